--- a/internal/state/balance/cold.go
+++ b/internal/state/balance/cold.go
@@ -10,92 +10,99 @@
 	"github.com/hookhall/hookhall"
 )
 
-// coldWindow is the span in which the requests to a cold target are counted.
+// coldWindow is the sliding window in which the requests to a cold target are counted.
 const coldWindow = time.Second
 
 const (
-	// placerShare and ownShare are the parts of what a cold target may get from the
-	// whole fleet in a second that its placer gives out, and that all gateways
-	// together send on their own while they have no placer. Two placers at once, as
-	// when processes disagree on the members, stay within the bound together with
-	// them, and a fifth of what one placer sends may arrive a second late.
-	placerShare = 0.4
-	ownShare    = 0.15
+	// placementOwnerShare is the part of the fleet-wide limit of a cold target that
+	// its placement owner assigns, and directShare the part that all gateways
+	// together send without asking while there is no placement owner. Two placement
+	// owners at once, as when processes disagree on the members, stay within the
+	// limit together with the gateways (2 x 0.4 + 0.15 = 0.95), and a fifth of what
+	// one placement owner sends may arrive a second late.
+	placementOwnerShare = 0.4
+	directShare         = 0.15
 )
 
-// ColdLimits bound what cold targets get.
+// ColdLimits bound the requests that a cold target gets from the whole fleet. For a
+// service whose targets bear ColdRate requests a second while cold, the limit in any
+// second is ColdRate x Over + Slack.
 type ColdLimits struct {
-	// Over and Slack make the bound of a service whose targets bear ColdRate requests
-	// a second when cold: ColdRate x Over + Slack in any second, from the whole fleet.
-	Over  float64
-	Slack float64
+	Over  float64 // factor; values below 1 count as 1
+	Slack float64 // requests
 }
 
-// most is the bound for a service, in requests in any second.
-func (l ColdLimits) most(s *hookhall.Service) float64 {
+// maxPerSecond returns the fleet-wide limit of each cold target of a service, in
+// requests in any second.
+func (l ColdLimits) maxPerSecond(s *hookhall.Service) float64 {
 	return s.ColdRate*max(l.Over, 1) + l.Slack
 }
 
-// Placer is how many requests in any second a cold target of a service gets from its
-// placer: a part of the bound, and no more than the target bears for long. A service
-// whose targets are never cold has no bound, and gets 0.
+// Placer returns how many requests in any second a cold target of a service may get
+// from its placement owner: placementOwnerShare of the limit, but at least 1 and no
+// more than the target bears continuously. For a service whose targets are never cold
+// it returns 0, which is not used as a limit.
 func (l ColdLimits) Placer(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
 	}
-	return int(max(min(s.ColdRate, placerShare*l.most(s)), 1))
+	return int(max(min(s.ColdRate, placementOwnerShare*l.maxPerSecond(s)), 1))
 }
 
-// Owners is how many gateways may each send one request a second to a cold target of
-// a service without its placer.
+// Owners returns how many gateways may each send one request a second to a cold target
+// of a service while it has no placement owner. It is at least 1, or 0 for a service
+// whose targets are never cold.
 func (l ColdLimits) Owners(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
 	}
-	return int(max(ownShare*l.most(s), 1))
+	return int(max(directShare*l.maxPerSecond(s), 1))
 }
 
-// Owns tells whether a gateway is among the first so many of all, by rendezvous
-// hashing for a target.
-func Owns(target, self string, all []string, owners int) bool {
-	own := weight(target, self)
-	before := 0
-	for _, a := range all {
-		if a != self && weight(target, a) > own {
-			before++
+// Owns reports whether the gateway self is among the first count of all gateways in
+// the order of rendezvous hashing for a target. If all lacks self, it is ranked too.
+func Owns(target, self string, all []string, count int) bool {
+	ownWeight := rendezvousWeight(target, self)
+	rank := 0
+	for _, gateway := range all {
+		if gateway != self && rendezvousWeight(target, gateway) > ownWeight {
+			rank++
 		}
 	}
-	return before < owners
+	return rank < count
 }
 
-func weight(target, gateway string) uint64 {
-	return xxhash.Sum64String(target + "\x00" + gateway)
+// rendezvousWeight returns the weight of a candidate for a key in rendezvous hashing;
+// the candidate with the largest weight is selected.
+func rendezvousWeight(key, candidate string) uint64 {
+	return xxhash.Sum64String(key + "\x00" + candidate)
 }
 
-// coldRoom tells whether a cold target may get another request.
-func (a *record) coldRoom(most int, now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.trimColds(now)
-	return len(a.colds) < most
+// hasColdCapacity reports whether a cold target may get another request when it may
+// get maxRequests in a coldWindow.
+func (r *record) hasColdCapacity(maxRequests int, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.dropOldColdRequests(now)
+	return len(r.coldRequests) < maxRequests
 }
 
-// takeCold counts a request to a cold target, unless it has had its most: another
-// one may have been chosen at the same moment.
-func (a *record) takeCold(most int, now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.trimColds(now)
-	if len(a.colds) >= most {
+// reserveCold counts a request to a cold target, or returns false if it already has
+// maxRequests: a concurrent call may have chosen it after hasColdCapacity.
+func (r *record) reserveCold(maxRequests int, now time.Time) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.dropOldColdRequests(now)
+	if len(r.coldRequests) >= maxRequests {
 		return false
 	}
-	a.colds = append(a.colds, now)
+	r.coldRequests = append(r.coldRequests, now)
 	return true
 }
 
-// trimColds forgets requests that no window holds. The caller holds a.mu.
-func (a *record) trimColds(now time.Time) {
-	for len(a.colds) > 0 && now.Sub(a.colds[0]) >= coldWindow {
-		a.colds = a.colds[1:]
+// dropOldColdRequests removes requests older than coldWindow. r.mu must be held.
+func (r *record) dropOldColdRequests(now time.Time) {
+	for len(r.coldRequests) > 0 && now.Sub(r.coldRequests[0]) >= coldWindow {
+		r.coldRequests = r.coldRequests[1:]
 	}
 }
--- a/internal/state/balance/doc.go
+++ b/internal/state/balance/doc.go
@@ -5,20 +5,21 @@
 //
 // # Model
 //
-// A Tracker has a record of every target that this process has sent to: calls in
-// progress, prompt tokens that it was sent and has not read yet, the pace of
-// its answers, failures, and the prompt parts that it should hold. A choice
-// compares estimates of when each target would begin to answer.
+// A Tracker keeps one record per target that this process has sent calls to: the
+// calls in progress, the prompt tokens sent to it but not read yet, its average
+// latency, its failures, and the prompt parts that it presumably still caches. A
+// choice compares estimates of when each target would begin to answer.
 //
-// Engines keep the prompts that they have read. Which one holds a shared part
-// is agreed without a word: rendezvous hashing of the part gives every process
-// the same first engine. Another one is taken when the first is so busy that
-// reading the part anew there is earlier.
+// Engines cache the prompts that they have read. Processes agree on the engine for a
+// shared prompt part without communication: rendezvous hashing of the part yields the
+// same preferred engine in every process. Another engine is chosen when the preferred
+// one is so busy that reading the part again elsewhere finishes earlier.
 //
 // # Invariants
 //
 //   - A target that is leaving, or that the caller has excluded, is not chosen.
-//   - A target that fails is left out for a pause that grows; the pause ends by
-//     itself, and the next call is its probe. If all targets are left out, the
-//     one whose pause ends first is chosen, so that a service always has one.
+//   - A target that fails is ejected for a pause that grows with each failure. The
+//     pause ends by itself, and the next call serves as the probe. If all targets are
+//     ejected, the one whose pause ends first is chosen, so that a service always has
+//     a target.
 package balance
--- a/internal/state/balance/life_test.go
+++ b/internal/state/balance/life_test.go
@@ -10,15 +10,17 @@
 	"github.com/hookhall/hookhall"
 )
 
-// TestRecordOfLife: what is believed of a target ends with its life.
-func TestRecordOfLife(t *testing.T) {
+// TestRecordPerIncarnation guards against applying the state of a target to a later
+// incarnation: a restarted target has lost its cached prompts and its calls in progress,
+// and neither its pauses nor its latency say anything about the new process.
+func TestRecordPerIncarnation(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
 		before func(b *Tracker, t hookhall.Target)
 		wish   Wish
-		other  bool // the other target is chosen in the same life
+		other  bool // the other target is chosen in the same incarnation
 	}{
-		"a prompt that it has read": {func(b *Tracker, t hookhall.Target) {
+		"a cached prompt": {func(b *Tracker, t hookhall.Target) {
 			b.Begin(t, prompt("p", 10000, 100), now).End()
 		}, prompt("p", 10000, 100), false},
 		"work in progress": {func(b *Tracker, t hookhall.Target) {
@@ -40,7 +42,7 @@
 			b := NewTracker()
 			list := []hookhall.Target{{ID: "t0", Born: 5, Slots: 4}, {ID: "t1", Born: 5, Slots: 4}}
 			if c.other {
-				// The other one is a little worse than one of which nothing is known.
+				// The other target is a little worse than one without a record.
 				b.Begin(list[1], prompt("", 0, 2000), now)
 				u := b.Begin(list[1], Wish{}, now)
 				u.Succeeded(100 * time.Millisecond)
@@ -52,15 +54,15 @@
 				return got.ID
 			}
 			if got := choose(); (got == "t1") != c.other {
-				t.Errorf("in the same life, %s is chosen", got)
+				t.Errorf("in the same incarnation, %s is chosen", got)
 			}
-			list[0].Born = 3 // its clock was set back
+			list[0].Born = 3 // earlier than before: the clock of its host was set back
 			if got := choose(); c.other && got != "t0" {
-				t.Errorf("in another life, %s is chosen", got)
+				t.Errorf("in another incarnation, %s is chosen", got)
 			}
 			u := b.Begin(list[0], prompt("p", 10000, 100), now)
-			if u.unread != 10100 || u.record.inflight != 1 {
-				t.Errorf("in another life, %d tokens are to be read, %d calls in progress", u.unread, u.record.inflight)
+			if u.unreadTokens != 10100 || u.record.inflight != 1 {
+				t.Errorf("in another incarnation, %d unread tokens and %d calls in progress, want 10100 and 1", u.unreadTokens, u.record.inflight)
 			}
 		})
 	}
--- a/internal/state/balance/record.go
+++ b/internal/state/balance/record.go
@@ -9,130 +9,142 @@
 )
 
 const (
-	// ejectFirst is the pause after the first failure that ejects.
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 4 * time.Second
-	// weakAfter failures in a row eject when each may have been the call's fault.
-	weakAfter = 4
-	// fullFirst is how long a target that refused a call is left out: about as long
-	// as a place takes to come free. It doubles with each refusal in a row, up to
-	// fullMost, since a target that goes on refusing while others take calls is not
-	// merely full; fullMost bounds how late its recovery is noticed.
-	fullFirst = 30 * time.Millisecond
-	fullMost  = time.Second
-	// smoothing of averages: the weight of a new sample is 1/smoothing.
+	// minEjectionPause is the pause after the first failure that ejects a target. It
+	// doubles with each further failure in a row, up to maxEjectionPause.
+	minEjectionPause = 500 * time.Millisecond
+	maxEjectionPause = 4 * time.Second
+	// softFailureThreshold is how many failures in a row eject a target when each of
+	// them may have been caused by the call itself.
+	softFailureThreshold = 4
+	// minRefusalPause is how long a target that refused a call is left out, about the
+	// time in which a slot becomes free. It doubles with each refusal in a row, up to
+	// maxRefusalPause, since a target that keeps refusing while others accept calls is
+	// not merely full. maxRefusalPause bounds how late its recovery is noticed.
+	minRefusalPause = 30 * time.Millisecond
+	maxRefusalPause = time.Second
+	// smoothing determines the moving averages: a new sample has weight 1/smoothing.
 	smoothing = 8
-	// partKeep is how long a prompt part is believed to be held after its last use.
-	partKeep = 30 * time.Second
+	// partRetention is how long after its last use a prompt part is assumed to be
+	// cached by the target.
+	partRetention = 30 * time.Second
 )
 
-// record is what is known of one life of a target.
+// record holds the state of one incarnation of a target as observed by this process.
+// Its methods lock mu unless they say otherwise.
 type record struct {
-	mu       sync.Mutex
-	inflight int
-	unread   int // prompt tokens sent and not read yet
-	held     int // tokens of calls in progress that they share with none
-	pace     float64
-	failRate float64
-	failures int
-	refusals int       // in a row
-	until    time.Time // ejected until then
-	full     time.Time // refused a call, and is left out until then
-	parts    map[string]time.Time
-	used     time.Time
-	colds    []time.Time // of requests within the last second that it got while cold
+	mu           sync.Mutex
+	inflight     int     // calls in progress
+	unreadTokens int     // prompt tokens sent and not read yet
+	heldTokens   int     // tokens of calls in progress outside shared parts
+	avgLatency   float64 // moving average, in nanoseconds; 0 before the first answer
+	failureRate  float64 // moving average, from 0 to 1
+	failures     int     // in a row
+	refusals     int     // in a row
+	ejectedUntil time.Time
+	refusedUntil time.Time            // end of the pause after a refusal
+	partLastUsed map[string]time.Time // by prompt part
+	lastUsed     time.Time
+	coldRequests []time.Time // requests of the last coldWindow that were sent while cold
 }
 
-func (a *record) begin(unread, held int, parts []string, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.inflight++
-	a.unread += unread
-	a.held += held
-	a.used = now
-	for _, p := range parts {
-		if a.parts == nil {
-			a.parts = map[string]time.Time{}
+// begin counts a call in progress with the given prompt tokens to read, tokens held
+// during the call, and prompt parts.
+func (r *record) begin(unreadTokens, heldTokens int, parts []string, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.inflight++
+	r.unreadTokens += unreadTokens
+	r.heldTokens += heldTokens
+	r.lastUsed = now
+	for _, part := range parts {
+		if r.partLastUsed == nil {
+			r.partLastUsed = map[string]time.Time{}
 		}
-		a.parts[p] = now
+		r.partLastUsed[part] = now
 	}
 }
 
-func (a *record) read(tokens int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.unread -= tokens
+// read subtracts prompt tokens that the target has read.
+func (r *record) read(tokens int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unreadTokens -= tokens
 }
 
-func (a *record) end(held int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.inflight--
-	a.held -= held
+// end counts the end of a call that held the given tokens.
+func (r *record) end(heldTokens int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.inflight--
+	r.heldTokens -= heldTokens
 }
 
-func (a *record) succeeded(took time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.failures = 0
-	a.refusals = 0
-	a.until, a.full = time.Time{}, time.Time{}
-	a.failRate -= a.failRate / smoothing
-	sample := float64(took)
-	if a.pace == 0 {
-		a.pace = sample
+// succeeded counts an answer with the given latency and ends any pause.
+func (r *record) succeeded(latency time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.failures = 0
+	r.refusals = 0
+	r.ejectedUntil, r.refusedUntil = time.Time{}, time.Time{}
+	r.failureRate -= r.failureRate / smoothing
+	sample := float64(latency)
+	if r.avgLatency == 0 {
+		r.avgLatency = sample
 	}
-	a.pace += (sample - a.pace) / smoothing
+	r.avgLatency += (sample - r.avgLatency) / smoothing
 }
 
-// failed counts a failure; a hard one (no connection, silence) ejects at once.
-func (a *record) failed(hard bool, now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.failures++
-	a.failRate += (1 - a.failRate) / smoothing
-	if !hard && a.failures < weakAfter {
+// failed counts a failure. A hard failure (no connection, silence) ejects the target
+// at once, others only from softFailureThreshold in a row.
+func (r *record) failed(hard bool, now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.failures++
+	r.failureRate += (1 - r.failureRate) / smoothing
+	if !hard && r.failures < softFailureThreshold {
 		return
 	}
-	pause := min(ejectFirst<<min(a.failures-1, 6), ejectMost)
-	a.until = now.Add(pause)
+	pause := min(minEjectionPause<<min(r.failures-1, 6), maxEjectionPause)
+	r.ejectedUntil = now.Add(pause)
 }
 
-// refused leaves a target out for a moment: it said that it has no place.
-func (a *record) refused(now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	pause := min(fullFirst<<min(a.refusals, 8), fullMost)
-	a.refusals++
-	a.full = now.Add(pause)
+// refused counts a call that the target rejected for lack of a free slot, and leaves
+// the target out for a short pause.
+func (r *record) refused(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	pause := min(minRefusalPause<<min(r.refusals, 8), maxRefusalPause)
+	r.refusals++
+	r.refusedUntil = now.Add(pause)
 }
 
-// figures is a copy of what a choice needs.
-type figures struct {
-	inflight int
-	unread   int
-	held     int
-	pace     float64
-	failRate float64
-	until    time.Time
-	full     time.Time
-	holds    bool
+// snapshot is a copy of the fields of a record that a choice needs.
+type snapshot struct {
+	inflight     int
+	unreadTokens int
+	heldTokens   int
+	avgLatency   float64 // in nanoseconds; 0 before the first answer
+	failureRate  float64
+	ejectedUntil time.Time
+	refusedUntil time.Time
+	holdsPart    bool // the prompt part asked for is presumably cached
 }
 
-func (a *record) figures(part string, now time.Time) figures {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	used, ok := a.parts[part]
-	return figures{a.inflight, a.unread, a.held, a.pace, a.failRate, a.until, a.full, ok && now.Sub(used) < partKeep}
+// snapshot returns a copy of the record, with holdsPart set for part.
+func (r *record) snapshot(part string, now time.Time) snapshot {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	lastUsed, ok := r.partLastUsed[part]
+	return snapshot{r.inflight, r.unreadTokens, r.heldTokens, r.avgLatency, r.failureRate, r.ejectedUntil, r.refusedUntil, ok && now.Sub(lastUsed) < partRetention}
 }
 
-// sweep forgets parts that were not used for long.
-func (a *record) sweep(now time.Time) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for p, used := range a.parts {
-		if now.Sub(used) > partKeep {
-			delete(a.parts, p)
+// sweep removes prompt parts whose last use is longer ago than partRetention.
+func (r *record) sweep(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for part, lastUsed := range r.partLastUsed {
+		if now.Sub(lastUsed) > partRetention {
+			delete(r.partLastUsed, part)
 		}
 	}
 }
--- a/internal/state/balance/ring.go
+++ b/internal/state/balance/ring.go
@@ -13,63 +13,66 @@
 	"github.com/hookhall/hookhall"
 )
 
-// ringWindow is how many neighbours on a ring a key is divided among: one alone would get
-// as many keys as its distance to the next is long, which is several times the mean for
-// some.
+// ringWindow is the number of consecutive ring entries among which the target of a
+// key is selected. With one entry, a target would get keys in proportion to its
+// distance to its neighbour, for some targets several times the mean.
 const ringWindow = 8
 
-// ring has the targets of a large service in the order of the hashes of their ids, so
-// that the first of them for a key is found without a look at all.
+// ring orders the targets of a large service by the hashes of their ids, so that the
+// preferred target of a key is found without scanning all targets. It is immutable.
 type ring struct {
-	list   []hookhall.Target
-	places []place
+	targets []hookhall.Target
+	entries []ringEntry // sorted by hash, without targets that are leaving
 }
 
-type place struct {
-	hash uint64
-	at   int32 // in list
+type ringEntry struct {
+	hash  uint64 // of the target's id
+	index int32  // in ring.targets
 }
 
-func newRing(list []hookhall.Target) *ring {
-	r := &ring{list: list, places: make([]place, 0, len(list))}
-	for i := range list {
-		if !list[i].Leaving {
-			r.places = append(r.places, place{xxhash.Sum64String(list[i].ID), int32(i)})
+func newRing(targets []hookhall.Target) *ring {
+	r := &ring{targets: targets, entries: make([]ringEntry, 0, len(targets))}
+	for i := range targets {
+		if !targets[i].Leaving {
+			r.entries = append(r.entries, ringEntry{xxhash.Sum64String(targets[i].ID), int32(i)})
 		}
 	}
-	slices.SortFunc(r.places, func(a, b place) int { return cmp.Compare(a.hash, b.hash) })
+	slices.SortFunc(r.entries, func(a, b ringEntry) int { return cmp.Compare(a.hash, b.hash) })
 	return r
 }
 
-// first is the first target for a key: of the neighbours of the key's hash, the one by
-// rendezvous hashing. When the list changes, few keys get another one.
-func (r *ring) first(key string) string {
-	if len(r.places) == 0 {
+// preferred returns the id of the preferred target of a key, "" if the ring is empty:
+// the one selected by rendezvous hashing among the ringWindow entries that follow the
+// hash of the key. When the targets change, few keys move.
+func (r *ring) preferred(key string) string {
+	if len(r.entries) == 0 {
 		return ""
 	}
-	h := xxhash.Sum64String(key)
-	from := sort.Search(len(r.places), func(i int) bool { return r.places[i].hash >= h })
-	best, top := "", uint64(0)
-	for i := range min(ringWindow, len(r.places)) {
-		id := r.list[r.places[(from+i)%len(r.places)].at].ID
-		if w := weight(key, id); best == "" || w > top {
-			best, top = id, w
+	hash := xxhash.Sum64String(key)
+	from := sort.Search(len(r.entries), func(i int) bool { return r.entries[i].hash >= hash })
+	best, maxWeight := "", uint64(0)
+	for i := range min(ringWindow, len(r.entries)) {
+		id := r.targets[r.entries[(from+i)%len(r.entries)].index].ID
+		if w := rendezvousWeight(key, id); best == "" || w > maxWeight {
+			best, maxWeight = id, w
 		}
 	}
 	return best
 }
 
-// rings has the latest ring of each service.
-type rings struct{ byPool sync.Map }
+// rings caches the latest ring of each service.
+type rings struct{ byPool sync.Map } // pool name to *ring
 
-// of makes the ring of a list, unless it is that of the last call. Lists are immutable.
-func (r *rings) of(list []hookhall.Target) *ring {
-	if known, ok := r.byPool.Load(list[0].Pool); ok {
-		if same := known.(*ring); len(same.list) == len(list) && &same.list[0] == &list[0] {
-			return same
+// forTargets returns the ring of a non-empty list of targets of one service. It is
+// built anew unless the list is the very slice of the previous call; lists are
+// immutable.
+func (r *rings) forTargets(targets []hookhall.Target) *ring {
+	if cached, ok := r.byPool.Load(targets[0].Pool); ok {
+		if latest := cached.(*ring); len(latest.targets) == len(targets) && &latest.targets[0] == &targets[0] {
+			return latest
 		}
 	}
-	made := newRing(list)
-	r.byPool.Store(list[0].Pool, made)
-	return made
+	built := newRing(targets)
+	r.byPool.Store(targets[0].Pool, built)
+	return built
 }
--- a/internal/state/balance/sample.go
+++ b/internal/state/balance/sample.go
@@ -14,86 +14,89 @@
 )
 
 const (
-	// scanMost is how many targets of a service are compared one by one. Beyond that a
-	// choice would take longer the larger the fleet is, at the one process that chooses
-	// for all.
-	scanMost = 256
-	// sampleSize is how many of a larger service are drawn for a choice: among so many
-	// there are some without work, in each hall, unless nearly all are busy.
+	// maxScannedTargets is the largest number of targets of a service that are all
+	// compared. Scanning more would make each choice slower the larger the fleet is,
+	// at the one process that places calls for all others.
+	maxScannedTargets = 256
+	// sampleSize is how many targets of a larger service are drawn for a choice. A
+	// sample of this size contains idle targets in each hall unless nearly all
+	// targets are busy.
 	sampleSize = 64
 )
 
-// sample is a part of a large service's targets that holds the best one with near
-// certainty: those that should hold the wish's shared part, and some at random.
-func (b *Tracker) sample(targets []hookhall.Target, w Wish) []hookhall.Target {
-	some := make([]hookhall.Target, 0, sampleSize+ringWindow)
+// sample returns a subset of a large service's targets that contains the best one
+// with near certainty: the presumed holders of the shared prompt part, and sampleSize
+// targets at random, possibly repeated. The targets must be sorted by id.
+func (b *Tracker) sample(targets []hookhall.Target, criteria Wish) []hookhall.Target {
+	sampled := make([]hookhall.Target, 0, sampleSize+ringWindow)
 	add := func(id string) {
 		if i, ok := find(targets, id); ok {
-			some = append(some, targets[i])
+			sampled = append(sampled, targets[i])
 		}
 	}
-	if w.Engine && w.Shared != "" {
-		for _, id := range b.holders.of(w.Shared) {
+	if criteria.Engine && criteria.Shared != "" {
+		for _, id := range b.holders.targets(criteria.Shared) {
 			add(id)
 		}
-		add(b.First(w.Shared, targets))
+		add(b.First(criteria.Shared, targets))
 	}
 	for range sampleSize {
-		some = append(some, targets[rand.IntN(len(targets))])
+		sampled = append(sampled, targets[rand.IntN(len(targets))])
 	}
-	return some
+	return sampled
 }
 
-// find looks a target up in a list that is sorted by id.
+// find returns the index of a target in a list that is sorted by id, and whether the
+// list contains it.
 func find(targets []hookhall.Target, id string) (int, bool) {
 	return slices.BinarySearchFunc(targets, id, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
 }
 
-// holderIndex has the targets that were sent a shared part lately.
+// holderIndex records which targets were recently sent which shared prompt part.
 type holderIndex struct {
-	mu     sync.Mutex
-	byPart map[string]map[string]time.Time // last use, by part and target
+	mu       sync.Mutex
+	lastUsed map[string]map[string]time.Time // by part and target id
 }
 
-// note takes in that a target was sent a part.
-func (x *holderIndex) note(part, target string, now time.Time) {
+// add records that a target was sent a part. It ignores the empty part.
+func (x *holderIndex) add(part, target string, now time.Time) {
 	if part == "" {
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.byPart == nil {
-		x.byPart = map[string]map[string]time.Time{}
+	if x.lastUsed == nil {
+		x.lastUsed = map[string]map[string]time.Time{}
 	}
-	if x.byPart[part] == nil {
-		x.byPart[part] = map[string]time.Time{}
+	if x.lastUsed[part] == nil {
+		x.lastUsed[part] = map[string]time.Time{}
 	}
-	x.byPart[part][target] = now
+	x.lastUsed[part][target] = now
 }
 
-// of lists the targets that should hold a part.
-func (x *holderIndex) of(part string) []string {
+// targets returns the ids of the targets that presumably cache a part, unordered.
+func (x *holderIndex) targets(part string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	list := make([]string, 0, len(x.byPart[part]))
-	for id := range x.byPart[part] {
-		list = append(list, id)
+	ids := make([]string, 0, len(x.lastUsed[part]))
+	for id := range x.lastUsed[part] {
+		ids = append(ids, id)
 	}
-	return list
+	return ids
 }
 
-// sweep forgets uses that are long ago.
+// sweep removes uses that are at least partRetention old.
 func (x *holderIndex) sweep(now time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	for part, uses := range x.byPart {
-		for id, at := range uses {
-			if now.Sub(at) >= partKeep {
-				delete(uses, id)
+	for part, lastUsedByTarget := range x.lastUsed {
+		for id, lastUsed := range lastUsedByTarget {
+			if now.Sub(lastUsed) >= partRetention {
+				delete(lastUsedByTarget, id)
 			}
 		}
-		if len(uses) == 0 {
-			delete(x.byPart, part)
+		if len(lastUsedByTarget) == 0 {
+			delete(x.lastUsed, part)
 		}
 	}
 }
--- a/internal/state/balance/tracker.go
+++ b/internal/state/balance/tracker.go
@@ -15,52 +15,58 @@
 )
 
 const (
-	// readRate is how many prompt tokens an engine reads in a millisecond, until
-	// it is known better.
-	readRate = 50.0
-	// anewPenalty makes reading a shared part anew dearer than the time it takes:
-	// it takes the engine's time from others, too.
-	anewPenalty = 3.0
-	// missedAim is what it costs, in milliseconds, to miss the aim.
-	missedAim = 2000.0
-	// perMegabyte makes it dear to have results brought from another hall.
-	perMegabyte = 12.0
-	// perCall is what a call in progress adds to an engine's start of another,
-	// in milliseconds.
-	perCall = 1.0
-	// failWeight is how many times its own time a failure costs.
-	failWeight = 6.0
-	// memoryShare is how much of an engine's memory running calls may take up, by
-	// what is known of them, before it is avoided; the rest is for shared parts.
-	memoryShare = 0.7
-	// unknownPace is the pace of a target that has not answered yet.
-	unknownPace = float64(20 * time.Millisecond)
+	// tokensPerMillisecond is the assumed rate at which an engine reads prompt tokens.
+	tokensPerMillisecond = 50.0
+	// rereadPenalty is added to the cost of reading a shared part again, as a multiple
+	// of the reading time: reading it also delays the engine's other calls.
+	rereadPenalty = 3.0
+	// overloadCost is the cost, in milliseconds, of missing the latency target, or of
+	// an engine whose slots or memory are exhausted.
+	overloadCost = 2000.0
+	// costPerRemoteMegabyte is the cost, in milliseconds, of each megabyte of results
+	// transferred from another hall.
+	costPerRemoteMegabyte = 12.0
+	// costPerCall is the delay, in milliseconds, that each call in progress adds to
+	// the start of another call at an engine.
+	costPerCall = 1.0
+	// failureCostFactor is the cost of a failure as a multiple of the time of the call.
+	failureCostFactor = 6.0
+	// maxMemoryFraction is the part of an engine's memory that running calls may use,
+	// as far as this process knows them, before the engine is avoided. The rest is
+	// for cached shared parts.
+	maxMemoryFraction = 0.7
+	// defaultLatency is the latency, in nanoseconds, assumed of a target that has not
+	// answered yet.
+	defaultLatency = float64(20 * time.Millisecond)
 )
 
-// ReadTime is how long an engine that does nothing else takes to read tokens.
+// ReadTime returns how long an otherwise idle engine takes to read prompt tokens.
 func ReadTime(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / readRate * float64(time.Millisecond))
+	return time.Duration(float64(tokens) / tokensPerMillisecond * float64(time.Millisecond))
 }
 
-// Tracker has the records of all targets' lives.
+// Tracker holds the records of all targets, one per incarnation, and chooses among
+// targets. Its methods may be called concurrently.
 type Tracker struct {
-	records sync.Map
+	records sync.Map // hookhall.Life to *record
 	holders holderIndex
 	rings   rings
 }
 
-// NewTracker makes an empty Tracker.
+// NewTracker returns an empty Tracker.
 func NewTracker() *Tracker { return &Tracker{} }
 
+// record returns the record of an incarnation and creates it if necessary.
 func (b *Tracker) record(l hookhall.Life) *record {
-	if a, ok := b.records.Load(l); ok {
-		return a.(*record)
+	if r, ok := b.records.Load(l); ok {
+		return r.(*record)
 	}
-	a, _ := b.records.LoadOrStore(l, &record{})
-	return a.(*record)
+	r, _ := b.records.LoadOrStore(l, &record{})
+	return r.(*record)
 }
 
-// Keep forgets the records of lives that are over.
+// Keep removes the records of incarnations for which current returns false, and from
+// the others the prompt parts that are presumably no longer cached.
 func (b *Tracker) Keep(current func(l hookhall.Life) bool, now time.Time) {
 	b.records.Range(func(k, v any) bool {
 		if !current(k.(hookhall.Life)) {
@@ -73,38 +79,43 @@
 	b.holders.sweep(now)
 }
 
-// Wish is what a call wants of its target.
+// Wish describes a call and the conditions that its target must meet.
 type Wish struct {
 	// Engine is set when the target reads prompts.
 	Engine bool
-	// Shared is the id of the deepest shared part of the prompt, "" for none,
-	// and SharedTokens how many tokens it has with all before it.
-	Shared       string
+	// Shared is the id of the longest part of the prompt that other prompts share, ""
+	// for none.
+	Shared string
+	// SharedTokens is the number of prompt tokens up to the end of Shared, OwnTokens
+	// that of the tokens after it.
 	SharedTokens int
 	OwnTokens    int
-	// OutTokens is the most tokens that may come out.
+	// OutTokens is the maximum number of output tokens.
 	OutTokens int
-	// Spec is what the operators tell of the engines, nil when they don't.
+	// Spec is the configured capacity of the engines, nil if not configured.
 	Spec *hookhall.EngineSpec
-	// Parts are all parts of the prompt, to be remembered.
+	// Parts are the ids of all parts of the prompt; the target is recorded as caching
+	// them.
 	Parts []string
-	// Slack is the time until the aim, 0 when it is past or not known.
+	// Slack is the time left until the latency target, 0 if it has passed or is not
+	// known.
 	Slack time.Duration
-	// Near has the bytes that the target reads, by hall.
+	// Near holds the number of bytes that the target reads, by the hall that has them.
 	Near map[string]float64
-	// Exclude are targets that were tried already.
+	// Exclude holds the ids of targets that were already tried.
 	Exclude map[string]bool
-	// Halls are where the target may stand; none means anywhere.
+	// Halls lists the halls in which the target may be; empty allows all.
 	Halls []string
 	Versions
-	// Cold tells how many requests in any second a cold target may get from this
-	// process; nil leaves cold targets out.
+	// Cold returns how many requests in any second a cold target may get from this
+	// process, by the target's id; nil excludes cold targets.
 	Cold func(target string) int
-	// Limiter rations targets that name a rate limit; nil if none does.
+	// Limiter enforces the rate limits that targets have named; nil enforces none.
 	Limiter Limiter
 }
 
-// Limiter rations targets that name a rate limit.
+// Limiter enforces the rate limits that targets name. Its methods must be safe for
+// concurrent use.
 type Limiter interface {
 	// Due returns how long it takes until a target may get another request, 0 for now.
 	Due(l hookhall.Life, now time.Time) time.Duration
@@ -113,284 +124,295 @@
 	Reserve(l hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool)
 }
 
-// Choose picks the target with the earliest expected answer among targets, and
-// tells the estimate. ok is false when none is left.
-func (b *Tracker) Choose(targets []hookhall.Target, w Wish, now time.Time) (t hookhall.Target, ok bool) {
+// Choose returns the target with the earliest expected answer and counts the request
+// against the limits of a cold or rate-limited target. ok is false if no target
+// qualifies. A list of more than 256 targets must be sorted by id.
+func (b *Tracker) Choose(targets []hookhall.Target, criteria Wish, now time.Time) (t hookhall.Target, ok bool) {
 	for {
-		t, ok = b.pick(targets, w, now)
-		if !ok || b.take(t, w, now) {
+		t, ok = b.pick(targets, criteria, now)
+		if !ok || b.reserve(t, criteria, now) {
 			return t, ok
 		}
-		// Another request took its last place; now it is no candidate any more.
+		// A concurrent request used up the target's limit, so that it is no longer a
+		// candidate.
 	}
 }
 
-// take counts a request to a target that gets a bounded number of them.
-func (b *Tracker) take(t hookhall.Target, w Wish, now time.Time) bool {
-	if t.Cold(now) && !b.record(t.Life()).takeCold(w.Cold(t.ID), now) {
+// reserve counts a request against the limits of a cold or rate-limited target. It
+// returns false if no request is left.
+func (b *Tracker) reserve(t hookhall.Target, criteria Wish, now time.Time) bool {
+	if t.Cold(now) && !b.record(t.Life()).reserveCold(criteria.Cold(t.ID), now) {
 		return false
 	}
-	if w.Limiter == nil {
+	if criteria.Limiter == nil {
 		return true
 	}
-	_, ok := w.Limiter.Reserve(t.Life(), 0, now)
+	_, ok := criteria.Limiter.Reserve(t.Life(), 0, now)
 	return ok
 }
 
-// Next returns the target that may get a request first, and how long it takes until
-// then, when Choose finds none because of rate limits. ok is false if no limited target
-// may get the request at all.
-func (b *Tracker) Next(targets []hookhall.Target, w Wish, now time.Time) (next hookhall.Target, wait time.Duration, ok bool) {
-	if w.Limiter == nil {
+// Next returns the rate-limited target that may get a request first and the time until
+// then, for use when Choose finds no target because of rate limits. ok is false if no
+// limited target may get the request at all.
+func (b *Tracker) Next(targets []hookhall.Target, criteria Wish, now time.Time) (next hookhall.Target, wait time.Duration, ok bool) {
+	if criteria.Limiter == nil {
 		return hookhall.Target{}, 0, false
 	}
-	for _, t := range w.among(targets) {
-		if t.Leaving || w.Exclude[t.ID] || !w.allows(t) || t.Cold(now) {
+	for _, t := range criteria.among(targets) {
+		if t.Leaving || criteria.Exclude[t.ID] || !criteria.allows(t) || t.Cold(now) {
 			continue
 		}
-		if due := w.Limiter.Due(t.Life(), now); due > 0 && (!ok || due < wait) {
+		if due := criteria.Limiter.Due(t.Life(), now); due > 0 && (!ok || due < wait) {
 			next, wait, ok = t, due, true
 		}
 	}
 	return next, wait, ok
 }
 
-func (b *Tracker) pick(targets []hookhall.Target, w Wish, now time.Time) (t hookhall.Target, ok bool) {
-	var open, full, ejected []candidate
-	targets = w.among(targets)
-	if len(targets) > scanMost {
-		open, _, _ = b.candidates(b.sample(targets, w), w, now)
+// pick returns the target with the earliest expected answer without counting a
+// request.
+func (b *Tracker) pick(targets []hookhall.Target, criteria Wish, now time.Time) (t hookhall.Target, ok bool) {
+	var open, refusing, ejected []candidate
+	targets = criteria.among(targets)
+	if len(targets) > maxScannedTargets {
+		open, _, _ = b.candidates(b.sample(targets, criteria), criteria, now)
 	}
 	if len(open) == 0 {
-		open, full, ejected = b.candidates(targets, w, now)
+		open, refusing, ejected = b.candidates(targets, criteria, now)
 	}
 	if len(open) == 0 {
-		open = full // all that work refuse: their pauses say nothing any more
+		open = refusing // all that work refuse calls, so that their pauses distinguish none
 	}
 	if len(open) == 0 {
-		return soonest(ejected)
+		return earliestReadmitted(ejected)
 	}
-	holder := b.holding(open, w, targets)
-	best := math.Inf(1)
+	holdsPart := b.partHolders(open, criteria, targets)
+	minCost := math.Inf(1)
 	for _, c := range open {
-		if s := score(c.target, c.figures, w, holder(c)); s < best {
-			t, best = c.target, s
+		if cost := expectedCost(c.target, c.snapshot, criteria, holdsPart(c)); cost < minCost {
+			t, minCost = c.target, cost
 		}
 	}
 	return t, true
 }
 
-// candidate is a target that may be chosen, with what is known of it.
+// candidate is a target that may be chosen, with a snapshot of its record.
 type candidate struct {
 	target hookhall.Target
-	figures
+	snapshot
 }
 
-// candidates are the targets that may be chosen: those that are open, those that
-// refused a call a moment ago, and those that failed and are ejected for a pause.
-func (b *Tracker) candidates(targets []hookhall.Target, w Wish, now time.Time) (open, full, ejected []candidate) {
+// candidates returns the targets that may be chosen, in three groups: those without a
+// pause, those in a pause after a refusal, and those ejected after a failure.
+func (b *Tracker) candidates(targets []hookhall.Target, criteria Wish, now time.Time) (open, refusing, ejected []candidate) {
 	for _, t := range targets {
-		if t.Leaving || w.Exclude[t.ID] || !w.allows(t) || !b.bears(t, w, now) {
+		if t.Leaving || criteria.Exclude[t.ID] || !criteria.allows(t) || !b.hasCapacity(t, criteria, now) {
 			continue
 		}
-		c := candidate{t, b.record(t.Life()).figures(w.Shared, now)}
+		c := candidate{t, b.record(t.Life()).snapshot(criteria.Shared, now)}
 		switch {
-		case c.until.After(now):
+		case c.ejectedUntil.After(now):
 			ejected = append(ejected, c)
-		case c.full.After(now):
-			full = append(full, c)
+		case c.refusedUntil.After(now):
+			refusing = append(refusing, c)
 		default:
 			open = append(open, c)
 		}
 	}
-	return open, full, ejected
+	return open, refusing, ejected
 }
 
-// allows tells whether a target stands where the request may run, and has a version that
-// may run it.
-func (w *Wish) allows(t hookhall.Target) bool {
-	return (len(w.Halls) == 0 || slices.Contains(w.Halls, t.Hall)) && w.Allow(t)
+// allows reports whether the hall and the version of a target may run the request.
+func (c *Wish) allows(t hookhall.Target) bool {
+	return (len(c.Halls) == 0 || slices.Contains(c.Halls, t.Hall)) && c.Allow(t)
 }
 
-// bears tells whether a target may get another request now: one that is cold falls
-// over under more than a few a second, and one may have named a limit itself.
-func (b *Tracker) bears(t hookhall.Target, w Wish, now time.Time) bool {
-	if w.Limiter != nil && w.Limiter.Due(t.Life(), now) > 0 {
+// hasCapacity reports whether a target may get another request now: a cold target
+// fails under more than a few requests a second, and a target may have named a rate
+// limit.
+func (b *Tracker) hasCapacity(t hookhall.Target, criteria Wish, now time.Time) bool {
+	if criteria.Limiter != nil && criteria.Limiter.Due(t.Life(), now) > 0 {
 		return false
 	}
 	if !t.Cold(now) {
 		return true
 	}
-	return w.Cold != nil && b.record(t.Life()).coldRoom(w.Cold(t.ID), now)
+	return criteria.Cold != nil && b.record(t.Life()).hasColdCapacity(criteria.Cold(t.ID), now)
 }
 
-// soonest is the candidate whose pause ends first.
-func soonest(ejected []candidate) (t hookhall.Target, ok bool) {
+// earliestReadmitted returns the ejected candidate whose pause ends first.
+func earliestReadmitted(ejected []candidate) (t hookhall.Target, ok bool) {
 	var until time.Time
 	for _, c := range ejected {
-		if !ok || c.until.Before(until) {
-			t, until, ok = c.target, c.until, true
+		if !ok || c.ejectedUntil.Before(until) {
+			t, until, ok = c.target, c.ejectedUntil, true
 		}
 	}
 	return t, ok
 }
 
-// holding tells which candidates hold the wish's shared part: those that were
-// sent it lately, or, when there are none, the first by rendezvous hashing, so
-// that all processes send it to the same one. A target that is new and would be
-// the first is no reason to read the part anew.
-func (b *Tracker) holding(open []candidate, w Wish, targets []hookhall.Target) func(candidate) bool {
+// partHolders returns a function that reports whether a candidate presumably caches
+// the shared part: if any candidate was sent the part recently, those that were;
+// otherwise the preferred target by rendezvous hashing, so that all processes send the
+// part to the same one. A new target that becomes the preferred one thus causes no
+// part to be read again.
+func (b *Tracker) partHolders(open []candidate, criteria Wish, targets []hookhall.Target) func(candidate) bool {
 	for _, c := range open {
-		if c.holds {
-			return func(c candidate) bool { return c.holds }
+		if c.holdsPart {
+			return func(c candidate) bool { return c.holdsPart }
 		}
 	}
-	first := ""
-	if w.Engine && w.Shared != "" {
-		first = b.First(w.Shared, targets)
+	preferred := ""
+	if criteria.Engine && criteria.Shared != "" {
+		preferred = b.First(criteria.Shared, targets)
 	}
-	return func(c candidate) bool { return c.target.ID == first }
+	return func(c candidate) bool { return c.target.ID == preferred }
 }
 
-// score is the expected time to the answer in milliseconds, with a little
-// chance so that processes don't all choose alike.
-func score(t hookhall.Target, f figures, w Wish, holds bool) float64 {
-	chance := rand.Float64()
-	if !w.Engine {
-		pace := f.pace
-		if pace == 0 {
-			pace = unknownPace
+// expectedCost returns the expected time to the answer with penalties, in
+// milliseconds. A random part below 1 ms keeps processes from all choosing the same
+// target.
+func expectedCost(t hookhall.Target, s snapshot, criteria Wish, holdsPart bool) float64 {
+	jitter := rand.Float64()
+	if !criteria.Engine {
+		latency := s.avgLatency
+		if latency == 0 {
+			latency = defaultLatency
 		}
-		load := float64(f.inflight+1) / float64(max(t.Slots, 1))
-		return (pace/1e6)*(1+load)*(1+failWeight*f.failRate) + chance
+		load := float64(s.inflight+1) / float64(max(t.Slots, 1))
+		return (latency/1e6)*(1+load)*(1+failureCostFactor*s.failureRate) + jitter
 	}
-	ms := float64(f.unread)/readRate + float64(f.inflight)*perCall
-	read := float64(w.OwnTokens) / readRate
-	if w.Shared != "" && !holds {
-		read += float64(w.SharedTokens) / readRate
-		ms += anewPenalty * float64(w.SharedTokens) / readRate
+	cost := float64(s.unreadTokens)/tokensPerMillisecond + float64(s.inflight)*costPerCall
+	readTime := float64(criteria.OwnTokens) / tokensPerMillisecond
+	if criteria.Shared != "" && !holdsPart {
+		readTime += float64(criteria.SharedTokens) / tokensPerMillisecond
+		cost += rereadPenalty * float64(criteria.SharedTokens) / tokensPerMillisecond
 	}
-	ms += read + crowd(f, w)
-	if w.Slack > 0 && float64(f.unread)/readRate+read > w.Slack.Seconds()*1e3 {
-		ms += missedAim
+	cost += readTime + overload(s, criteria)
+	if criteria.Slack > 0 && float64(s.unreadTokens)/tokensPerMillisecond+readTime > criteria.Slack.Seconds()*1e3 {
+		cost += overloadCost
 	}
-	for hall, bytes := range w.Near {
+	for hall, bytes := range criteria.Near {
 		if hall != t.Hall {
-			ms += perMegabyte * bytes / 1e6
+			cost += costPerRemoteMegabyte * bytes / 1e6
 		}
 	}
-	return ms*(1+failWeight*f.failRate) + chance
+	return cost*(1+failureCostFactor*s.failureRate) + jitter
 }
 
-// crowd is what it costs, in milliseconds, to go where places or memory run out:
-// the engine would hold the call back, or put another one back and read it anew.
-func crowd(f figures, w Wish) float64 {
-	if w.Spec == nil {
+// overload returns the cost, in milliseconds, of an engine whose slots or memory would
+// be exhausted: it would queue the call, or preempt another one and read its prompt
+// again.
+func overload(s snapshot, criteria Wish) float64 {
+	if criteria.Spec == nil {
 		return 0
 	}
-	ms := 0.0
-	if w.Spec.Slots > 0 && f.inflight >= w.Spec.Slots {
-		ms += missedAim
+	cost := 0.0
+	if criteria.Spec.Slots > 0 && s.inflight >= criteria.Spec.Slots {
+		cost += overloadCost
 	}
-	over := float64(f.held+w.OwnTokens+w.OutTokens) - memoryShare*float64(w.Spec.Memory)
-	if w.Spec.Memory > 0 && over > 0 {
-		ms += missedAim + over/readRate
+	excessTokens := float64(s.heldTokens+criteria.OwnTokens+criteria.OutTokens) - maxMemoryFraction*float64(criteria.Spec.Memory)
+	if criteria.Spec.Memory > 0 && excessTokens > 0 {
+		cost += overloadCost + excessTokens/tokensPerMillisecond
 	}
-	return ms
+	return cost
 }
 
-// First is the first of targets for a key, leaving ones left out: by rendezvous hashing
-// over all, or over a part of the ring of a large service.
+// First returns the id of the preferred target of a key without targets that are
+// leaving, "" if there is none. It uses rendezvous hashing over all targets, or over a
+// section of the hash ring if the service has more than 256.
 func (b *Tracker) First(key string, targets []hookhall.Target) string {
-	if len(targets) > scanMost {
-		return b.rings.of(targets).first(key)
+	if len(targets) > maxScannedTargets {
+		return b.rings.forTargets(targets).preferred(key)
 	}
 	return First(key, targets)
 }
 
-// First is the first of targets by rendezvous hashing of a key, leaving ones
-// left out.
+// First returns the id of the target selected by rendezvous hashing of a key, without
+// targets that are leaving; "" if there is none.
 func First(key string, targets []hookhall.Target) string {
-	best, top := "", uint64(0)
+	best, maxWeight := "", uint64(0)
 	for _, t := range targets {
 		if t.Leaving {
 			continue
 		}
-		h := xxhash.Sum64String(key + "\x00" + t.ID)
-		if best == "" || h > top {
-			best, top = t.ID, h
+		weight := xxhash.Sum64String(key + "\x00" + t.ID)
+		if best == "" || weight > maxWeight {
+			best, maxWeight = t.ID, weight
 		}
 	}
 	return best
 }
 
-// Use is one call in progress at a target.
+// Use is a call in progress at a target. Read and End must not be called concurrently.
 type Use struct {
-	record *record
-	unread int
-	held   int
-	began  time.Time
-	read   bool
-	over   bool
+	record       *record
+	unreadTokens int // prompt tokens counted as unread until Read
+	heldTokens   int // tokens counted as held until End
+	began        time.Time
+	isRead       bool
+	isEnded      bool
 }
 
-// Begin counts a call to t.
-func (b *Tracker) Begin(t hookhall.Target, w Wish, now time.Time) *Use {
-	a := b.record(t.Life())
-	u := &Use{record: a, began: now}
-	if w.Engine {
-		u.unread = w.OwnTokens
-		u.held = w.OwnTokens + w.OutTokens
-		if !a.figures(w.Shared, now).holds {
-			u.unread += w.SharedTokens
+// Begin counts a call to t as in progress. The caller must call End.
+func (b *Tracker) Begin(t hookhall.Target, criteria Wish, now time.Time) *Use {
+	r := b.record(t.Life())
+	u := &Use{record: r, began: now}
+	if criteria.Engine {
+		u.unreadTokens = criteria.OwnTokens
+		u.heldTokens = criteria.OwnTokens + criteria.OutTokens
+		if !r.snapshot(criteria.Shared, now).holdsPart {
+			u.unreadTokens += criteria.SharedTokens
 		}
 	}
-	a.begin(u.unread, u.held, w.Parts, now)
-	if w.Engine {
-		b.holders.note(w.Shared, t.ID, now)
+	r.begin(u.unreadTokens, u.heldTokens, criteria.Parts, now)
+	if criteria.Engine {
+		b.holders.add(criteria.Shared, t.ID, now)
 	}
 	return u
 }
 
-// Read counts the prompt as read: the answer has begun.
+// Read counts the prompt as read; call it when the answer begins. Repeated calls have
+// no effect.
 func (u *Use) Read() {
-	if !u.read {
-		u.read = true
-		u.record.read(u.unread)
+	if !u.isRead {
+		u.isRead = true
+		u.record.read(u.unreadTokens)
 	}
 }
 
-// End counts the call's end. It may be called again without effect.
+// End counts the end of the call and, if necessary, its prompt as read. Repeated calls
+// have no effect.
 func (u *Use) End() {
 	u.Read()
-	if !u.over {
-		u.over = true
-		u.record.end(u.held)
+	if !u.isEnded {
+		u.isEnded = true
+		u.record.end(u.heldTokens)
 	}
 }
 
-// Succeeded counts an answer whose head came after took.
-func (u *Use) Succeeded(took time.Duration) { u.record.succeeded(took) }
+// Succeeded counts an answer whose header arrived after latency.
+func (u *Use) Succeeded(latency time.Duration) { u.record.succeeded(latency) }
 
-// Failed counts a failure; hard tells that the target could not be reached or
-// was silent, which no call can be to blame for.
+// Failed counts a failure. hard is set if the target was unreachable or silent, which
+// the call itself cannot have caused.
 func (u *Use) Failed(hard bool, now time.Time) { u.record.failed(hard, now) }
 
-// Refused counts the target's word that it had no place for the call.
+// Refused counts a call that the target rejected for lack of a free slot.
 func (u *Use) Refused(now time.Time) { u.record.refused(now) }
 
-// Status is a target's part of a state dump.
+// Status is the part of a state dump that describes one target.
 type Status struct {
-	Inflight int
-	Unread   int
-	PaceMS   float64
-	FailRate float64
-	Ejected  bool
-	Full     bool
+	Inflight int     // calls in progress
+	Unread   int     // prompt tokens sent and not read yet
+	PaceMS   float64 // moving average of the latency; 0 before the first answer
+	FailRate float64 // moving average, from 0 to 1
+	Ejected  bool    // in a pause after a failure
+	Full     bool    // in a pause after a refusal
 }
 
-// Status reads a target's record.
+// Status returns the status of an incarnation of a target.
 func (b *Tracker) Status(l hookhall.Life, now time.Time) Status {
-	f := b.record(l).figures("", now)
-	return Status{f.inflight, f.unread, f.pace / 1e6, f.failRate, f.until.After(now), f.full.After(now)}
+	s := b.record(l).snapshot("", now)
+	return Status{s.inflight, s.unreadTokens, s.avgLatency / 1e6, s.failureRate, s.ejectedUntil.After(now), s.refusedUntil.After(now)}
 }
--- a/internal/state/balance/tracker_test.go
+++ b/internal/state/balance/tracker_test.go
@@ -13,6 +13,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// targets returns n warm targets in three halls.
 func targets(n int) []hookhall.Target {
 	var list []hookhall.Target
 	for i := range n {
@@ -21,59 +22,63 @@
 	return list
 }
 
+// prompt returns the criteria of a call to an engine with a prompt whose first tokens are
+// shared, followed by own ones.
 func prompt(shared string, tokens, own int) Wish {
 	return Wish{Engine: true, Shared: shared, SharedTokens: tokens, OwnTokens: own, Parts: []string{shared}, Slack: time.Second}
 }
 
+// TestEngines guards against wasted engine time: prompts go where their shared part is
+// cached, unless that engine is overloaded, and otherwise near their inputs.
 func TestEngines(t *testing.T) {
 	now := time.Now()
 	Convey("Given six engines", t, func() {
 		b, list := NewTracker(), targets(6)
-		choose := func(w Wish) string {
-			c, ok := b.Choose(list, w, now)
+		choose := func(criteria Wish) string {
+			c, ok := b.Choose(list, criteria, now)
 			So(ok, ShouldBeTrue)
 			return c.ID
 		}
-		Convey("a shared part goes to its first engine, whoever asks", func() {
+		Convey("a shared part goes to its preferred engine", func() {
 			So(choose(prompt("p", 10000, 100)), ShouldEqual, First("p", list))
 			So(First("p", list), ShouldEqual, First("p", list[:6]))
 		})
-		Convey("an engine that holds it keeps it when a new one would be the first", func() {
-			held := First("p", list[:3])
+		Convey("an engine that holds a part keeps it when a new engine becomes the preferred one", func() {
+			holder := First("p", list[:3])
 			for _, c := range list[:3] {
-				if c.ID == held {
+				if c.ID == holder {
 					b.Begin(c, prompt("p", 10000, 100), now).End()
 				}
 			}
-			So(choose(prompt("p", 10000, 100)), ShouldEqual, held)
+			So(choose(prompt("p", 10000, 100)), ShouldEqual, holder)
 		})
-		Convey("a busy holder is left when waiting would miss the aim", func() {
-			first := First("p", list)
+		Convey("a busy holder is not chosen when waiting would miss the latency target", func() {
+			preferred := First("p", list)
 			for _, c := range list {
-				if c.ID == first {
+				if c.ID == preferred {
 					b.Begin(c, prompt("p", 10000, 100), now)
 					b.Begin(c, prompt("q", 0, 60000), now)
 				}
 			}
-			So(choose(prompt("p", 10000, 100)), ShouldNotEqual, first)
+			So(choose(prompt("p", 10000, 100)), ShouldNotEqual, preferred)
 		})
-		Convey("and not when there is time", func() {
-			first := First("p", list)
+		Convey("a busy holder is chosen when there is time to wait", func() {
+			preferred := First("p", list)
 			for _, c := range list {
-				if c.ID == first {
+				if c.ID == preferred {
 					b.Begin(c, prompt("p", 10000, 100), now)
 					b.Begin(c, prompt("q", 0, 10000), now)
 				}
 			}
-			So(choose(prompt("p", 10000, 100)), ShouldEqual, first)
+			So(choose(prompt("p", 10000, 100)), ShouldEqual, preferred)
 		})
-		Convey("one whose places or memory run out is avoided", func() {
-			first := First("p", list)
+		Convey("an engine whose slots or memory are exhausted is avoided", func() {
+			preferred := First("p", list)
 			small := prompt("p", 10000, 100)
 			for _, spec := range []hookhall.EngineSpec{{Slots: 2, Memory: 1 << 30}, {Slots: 64, Memory: 1000}} {
 				b := NewTracker()
 				for _, c := range list {
-					if c.ID == first {
+					if c.ID == preferred {
 						for range 2 {
 							full := prompt("p", 10000, 100)
 							full.OutTokens = 300
@@ -83,58 +88,60 @@
 				}
 				small.Spec = &spec
 				c, _ := b.Choose(list, small, now)
-				So(c.ID, ShouldNotEqual, first)
+				So(c.ID, ShouldNotEqual, preferred)
 			}
 		})
-		Convey("prompts that share nothing go where the results lie", func() {
-			w := prompt("", 0, 500)
-			w.Near = map[string]float64{"h1": 6e6}
+		Convey("prompts without a shared part go to the hall that has the results", func() {
+			criteria := prompt("", 0, 500)
+			criteria.Near = map[string]float64{"h1": 6e6}
 			for range 10 {
-				c, _ := b.Choose(list, w, now)
+				c, _ := b.Choose(list, criteria, now)
 				So(c.Hall, ShouldEqual, "h1")
 			}
 		})
 	})
 }
 
+// TestFailures guards against sending calls to failing targets, against services that
+// run out of targets because all have failed, and against calls that are counted twice.
 func TestFailures(t *testing.T) {
 	now := time.Now()
 	Convey("Given two targets", t, func() {
 		b, list := NewTracker(), targets(2)
-		hard := func(i int, at time.Time) { b.Begin(list[i], Wish{}, at).Failed(true, at) }
-		Convey("a silent one is left out, and back after the pause", func() {
-			hard(0, now)
+		fail := func(i int, at time.Time) { b.Begin(list[i], Wish{}, at).Failed(true, at) }
+		Convey("a silent target is ejected until the pause ends", func() {
+			fail(0, now)
 			for range 10 {
 				c, _ := b.Choose(list, Wish{}, now)
 				So(c.ID, ShouldEqual, "t1")
 			}
 			So(b.Status(hookhall.Life{ID: "t0"}, now).Ejected, ShouldBeTrue)
-			So(b.Status(hookhall.Life{ID: "t0"}, now.Add(2*ejectFirst)).Ejected, ShouldBeFalse)
+			So(b.Status(hookhall.Life{ID: "t0"}, now.Add(2*minEjectionPause)).Ejected, ShouldBeFalse)
 		})
-		Convey("the last ones are never given up: the one whose pause ends first is tried", func() {
-			hard(0, now)
-			hard(1, now.Add(time.Millisecond))
+		Convey("if all targets are ejected, the one whose pause ends first is tried", func() {
+			fail(0, now)
+			fail(1, now.Add(time.Millisecond))
 			c, ok := b.Choose(list, Wish{}, now.Add(2*time.Millisecond))
 			So(ok, ShouldBeTrue)
 			So(c.ID, ShouldEqual, "t0")
 		})
-		Convey("excluded and leaving ones are not chosen", func() {
+		Convey("excluded and leaving targets are not chosen", func() {
 			list[0].Leaving = true
 			_, ok := b.Choose(list, Wish{Exclude: map[string]bool{"t1": true}}, now)
 			So(ok, ShouldBeFalse)
 		})
-		Convey("a slow one gets less", func() {
-			for i, took := range []time.Duration{400 * time.Millisecond, 20 * time.Millisecond} {
+		Convey("a slow target is avoided", func() {
+			for i, latency := range []time.Duration{400 * time.Millisecond, 20 * time.Millisecond} {
 				for range 20 {
 					u := b.Begin(list[i], Wish{}, now)
-					u.Succeeded(took)
+					u.Succeeded(latency)
 					u.End()
 				}
 			}
 			c, _ := b.Choose(list, Wish{}, now)
 			So(c.ID, ShouldEqual, "t1")
 		})
-		Convey("calls are counted once, whatever is told twice", func() {
+		Convey("repeated reports of a call are counted once", func() {
 			u := b.Begin(list[0], prompt("p", 100, 10), now)
 			So(b.Status(hookhall.Life{ID: "t0"}, now).Unread, ShouldEqual, 110)
 			u.Read()
@@ -146,14 +153,14 @@
 	})
 }
 
-// TestRefusals: a target that goes on refusing while others take calls gets few of
-// them, and when all refuse, none is left out.
+// TestRefusals guards against calls that are wasted on a target that keeps refusing while
+// others accept calls: it gets few of them. When all targets refuse, none is left out.
 func TestRefusals(t *testing.T) {
 	now := time.Now()
 	list := targets(3)
-	refusing := func(b *Tracker, ids ...string) (offers int) {
-		// Without this a target that never answered is held to be slow, and may
-		// never get a call: the choice among equals has chance in it.
+	callsToRefusing := func(b *Tracker, ids ...string) (offers int) {
+		// Without these answers a target has the default latency, which is higher than
+		// that of the others, and may never be chosen, as expectedCost is partly random.
 		for _, c := range list {
 			b.Begin(c, Wish{}, now).Succeeded(time.Millisecond)
 		}
@@ -174,23 +181,23 @@
 		return offers
 	}
 	t.Run("one", func(t *testing.T) {
-		if n := refusing(NewTracker(), "t1"); n == 0 || n > 12 {
-			t.Errorf("%d of 250 calls were offered to it", n)
+		if n := callsToRefusing(NewTracker(), "t1"); n == 0 || n > 12 {
+			t.Errorf("%d of 250 calls were sent to it, want 1 to 12", n)
 		}
 	})
 	t.Run("all", func(t *testing.T) {
-		if n := refusing(NewTracker(), "t0", "t1", "t2"); n != 250 {
-			t.Errorf("%d of 250 calls were offered", n)
+		if n := callsToRefusing(NewTracker(), "t0", "t1", "t2"); n != 250 {
+			t.Errorf("%d of 250 calls were sent, want all", n)
 		}
 	})
-	t.Run("a call that is taken ends the pause", func(t *testing.T) {
+	t.Run("an accepted call ends the pause", func(t *testing.T) {
 		b := NewTracker()
-		refusing(b, "t0", "t1", "t2")
+		callsToRefusing(b, "t0", "t1", "t2")
 		u := b.Begin(list[0], Wish{}, now)
 		u.Succeeded(time.Millisecond)
 		u.End()
 		if b.Status(hookhall.Life{ID: "t0"}, now).Full || !b.Status(hookhall.Life{ID: "t1"}, now).Full {
-			t.Error("t0 should be open, t1 not")
+			t.Error("t0 should accept calls and t1 be in a pause")
 		}
 	})
 }
--- a/internal/state/balance/versions.go
+++ b/internal/state/balance/versions.go
@@ -10,29 +10,31 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Versions say which versions of a service's software may run a request. The zero value
-// allows all.
+// Versions restricts the software versions of a service that may run a request. The
+// zero value allows all versions.
 type Versions struct {
-	Only string // if it is not empty
-	Not  string // if it is not empty
-	// Among is how many targets of the version Only are used, 0 for all. Which they are is
-	// the same for all processes.
+	Only string // the one version allowed; empty allows any
+	Not  string // the one version excluded; empty excludes none
+	// Among limits how many targets of version Only are used; 0 uses all. All
+	// processes select the same targets.
 	Among int
 }
 
-// Allow tells whether a target's version may run the request.
+// Allow reports whether the version of t may run the request. It ignores Among.
 func (v Versions) Allow(t hookhall.Target) bool {
 	return (v.Only == "" || t.Version == v.Only) && (v.Not == "" || t.Version != v.Not)
 }
 
-// among are the targets that may be used.
+// among returns the targets that may be used: all of them if Among is 0, otherwise
+// the first Among allowed targets in the order of rendezvous hashing of Only. It does
+// not modify targets.
 func (v Versions) among(targets []hookhall.Target) []hookhall.Target {
 	if v.Among == 0 {
 		return targets
 	}
-	some := slices.DeleteFunc(slices.Clone(targets), func(t hookhall.Target) bool { return !v.Allow(t) })
-	slices.SortFunc(some, func(a, b hookhall.Target) int {
-		return cmp.Compare(weight(v.Only, b.ID), weight(v.Only, a.ID))
+	allowed := slices.DeleteFunc(slices.Clone(targets), func(t hookhall.Target) bool { return !v.Allow(t) })
+	slices.SortFunc(allowed, func(a, b hookhall.Target) int {
+		return cmp.Compare(rendezvousWeight(v.Only, b.ID), rendezvousWeight(v.Only, a.ID))
 	})
-	return some[:min(v.Among, len(some))]
+	return allowed[:min(v.Among, len(allowed))]
 }
