--- a/internal/state/share/allocation.go
+++ b/internal/state/share/allocation.go
@@ -13,180 +13,200 @@
 )
 
 const (
-	// ahead is how much demand an entry leases at once.
-	ahead = 100 * time.Millisecond
-	// slackUnits of concurrency are leased beyond those in use.
-	slackUnits = 1
-	// shortRetry is when to come back after a refusal by concurrency.
-	shortRetry = 50 * time.Millisecond
+	// leaseAhead is the span of demand that an entry leases at once.
+	leaseAhead = 100 * time.Millisecond
+	// spareUnits is the number of concurrency units leased beyond those in use.
+	spareUnits = 1
+	// shortRetryDelay is the delay after which a request refused for concurrency may
+	// be retried. It also limits how long requests are denied without asking the
+	// owner.
+	shortRetryDelay = 50 * time.Millisecond
 )
 
-// Allocation is what one entry holds of one account's limits.
+// Allocation holds the units that one entry has leased of the limits of one account.
+// Its methods may be called concurrently; they lock mu.
 type Allocation struct {
 	mu sync.Mutex
-	// tokens of the rate limit, to be spent before stale.
-	tokens int64
-	stale  time.Time
-	// units of concurrency leased until lapse, and those in use.
-	units int64
-	lapse time.Time
-	in    int64
-	// denied is until when requests are refused without asking the owner;
-	// back is when the owner said that units come.
-	denied time.Time
-	back   time.Time
-	// demand is requests a second, averaged over windows.
-	demand float64
-	count  float64
-	window time.Time
-	// even is the fallback's bucket.
-	even *rate.Limiter
+	// tokens is the number of rate units left, which expire at tokensExpireAt.
+	tokens         int64
+	tokensExpireAt time.Time
+	// units is the number of concurrency units leased until unitsExpireAt, and inUse
+	// the number of requests in progress.
+	units         int64
+	unitsExpireAt time.Time
+	inUse         int64
+	// Until deniedUntil requests are refused without asking the owner; availableAt is
+	// when units become available according to the owner.
+	deniedUntil time.Time
+	availableAt time.Time
+	// demand is in requests a second, averaged over the previous window of at least a
+	// second. windowCount counts the requests since windowStart.
+	demand      float64
+	windowCount float64
+	windowStart time.Time
+	// fallbackLimiter limits the rate while the owner does not answer; nil before the
+	// first such request.
+	fallbackLimiter *rate.Limiter
 }
 
-// Allocations are what one entry holds, by account.
+// Allocations holds the allocations of one entry. The zero value is empty and ready
+// for concurrent use.
 type Allocations struct {
 	byAccount sync.Map // account name to *Allocation
 }
 
-// Allocation finds the allocation of an account.
-func (w *Allocations) Allocation(account string) *Allocation {
-	v, ok := w.byAccount.Load(account)
+// Allocation returns the allocation of an account and creates it if necessary.
+func (s *Allocations) Allocation(account string) *Allocation {
+	v, ok := s.byAccount.Load(account)
 	if !ok {
-		v, _ = w.byAccount.LoadOrStore(account, &Allocation{})
+		v, _ = s.byAccount.LoadOrStore(account, &Allocation{})
 	}
 	return v.(*Allocation)
 }
 
-// Decision is what an allocation says of one more request.
+// Decision is the result of Spend.
 type Decision int
 
-// Decisions of Spend.
+// The decisions of Spend.
 const (
-	// Pass: the request may run; Done must follow.
+	// Pass means that the request may run; the caller must call Done when it ends.
 	Pass Decision = iota
-	// Ask: the owner has to be asked with Want first.
+	// Ask means that the entry must first ask the owner for the units that Want
+	// returns.
 	Ask
-	// Deny: refused until the returned time.
+	// Deny means that the request is refused; it may be retried after the returned
+	// delay.
 	Deny
 )
 
-// Spend takes one request's units.
+// Spend takes the units of one request if the allocation has them. The duration is the
+// retry delay of Deny, otherwise 0.
 func (p *Allocation) Spend(a *hookhall.Account, now time.Time) (Decision, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.measure(now)
-	if now.Before(p.denied) {
-		return Deny, p.back.Sub(now)
+	p.countRequest(now)
+	if now.Before(p.deniedUntil) {
+		return Deny, p.availableAt.Sub(now)
 	}
-	if a.Rate > 0 && (p.tokens <= 0 || now.After(p.stale)) {
+	if a.Rate > 0 && (p.tokens <= 0 || now.After(p.tokensExpireAt)) {
 		return Ask, 0
 	}
-	if a.Concurrency > 0 && (p.in >= p.units || now.After(p.lapse)) {
+	if a.Concurrency > 0 && (p.inUse >= p.units || now.After(p.unitsExpireAt)) {
 		return Ask, 0
 	}
 	p.tokens--
-	p.in++
+	p.inUse++
 	return Pass, 0
 }
 
-func (p *Allocation) measure(now time.Time) {
-	if passed := now.Sub(p.window); passed >= time.Second {
-		p.demand = p.count / passed.Seconds()
-		p.count, p.window = 0, now
+// countRequest counts a request and updates the demand once a second. p.mu must be
+// held.
+func (p *Allocation) countRequest(now time.Time) {
+	if elapsed := now.Sub(p.windowStart); elapsed >= time.Second {
+		p.demand = p.windowCount / elapsed.Seconds()
+		p.windowCount, p.windowStart = 0, now
 	}
-	p.count++
+	p.windowCount++
 }
 
-// Done ends a request that was let pass.
+// Done ends a request that Spend or Fallback allowed. It must be called once for each.
 func (p *Allocation) Done() {
 	p.mu.Lock()
-	p.in--
+	p.inUse--
 	p.mu.Unlock()
 }
 
-// Want says what to ask the account's owner for.
+// Want returns what to ask the owner of the account for: the demand of leaseAhead, and
+// at least one unit of each limit that the account has.
 func (p *Allocation) Want(a *hookhall.Account, now time.Time) hookhall.Want {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := hookhall.Want{Account: a.Name}
+	want := hookhall.Want{Account: a.Name}
 	if a.Rate > 0 {
-		w.Rate = int64(max(1, math.Ceil(p.demand*ahead.Seconds())))
+		want.Rate = int64(max(1, math.Ceil(p.demand*leaseAhead.Seconds())))
 	}
 	if a.Concurrency > 0 {
-		if now.Before(p.lapse) {
-			w.Held = p.units
+		if now.Before(p.unitsExpireAt) {
+			want.Held = p.units
 		}
-		w.Concurrency = p.in + slackUnits + int64(p.demand*ahead.Seconds())
+		want.Concurrency = p.inUse + spareUnits + int64(p.demand*leaseAhead.Seconds())
 	}
-	return w
+	return want
 }
 
-// Fill takes in a lease.
-func (p *Allocation) Fill(l hookhall.ShareLease, now time.Time) {
+// Fill adds the rate units of a lease and replaces the concurrency units. If the lease
+// has a retry delay and lacks units, requests are denied for up to shortRetryDelay.
+func (p *Allocation) Fill(lease hookhall.ShareLease, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !l.Limited {
-		l.Rate, l.Concurrency = 1, p.in+1 // the owner knows of no limit
+	if !lease.Limited {
+		lease.Rate, lease.Concurrency = 1, p.inUse+1 // the owner has no limit configured: allow one request
 	}
-	if now.After(p.stale) {
+	if now.After(p.tokensExpireAt) {
 		p.tokens = 0
 	}
-	if l.Rate > 0 {
-		p.tokens += l.Rate
-		p.stale = now.Add(LeaseTime)
+	if lease.Rate > 0 {
+		p.tokens += lease.Rate
+		p.tokensExpireAt = now.Add(LeaseTime)
 	}
-	p.units, p.lapse = l.Concurrency, now.Add(LeaseTime)
-	if l.Rate == 0 && l.RetryAfter > 0 || l.Concurrency <= p.in && l.RetryAfter > 0 {
-		p.back = now.Add(l.RetryAfter)
-		p.denied = now.Add(min(l.RetryAfter, shortRetry))
+	p.units, p.unitsExpireAt = lease.Concurrency, now.Add(LeaseTime)
+	if lease.Rate == 0 && lease.RetryAfter > 0 || lease.Concurrency <= p.inUse && lease.RetryAfter > 0 {
+		p.availableAt = now.Add(lease.RetryAfter)
+		p.deniedUntil = now.Add(min(lease.RetryAfter, shortRetryDelay))
 	}
 }
 
-// Fallback decides without the owner, by an even share of the limits.
+// Fallback decides on a request without the owner, by an even share of the limits
+// among members. If it returns true, the caller must call Done when the request ends;
+// otherwise the duration is the retry delay.
 func (p *Allocation) Fallback(a *hookhall.Account, members int, now time.Time) (bool, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	n := float64(max(members, 1))
-	if a.Concurrency > 0 && p.in >= max(int64(float64(a.Concurrency)/n), 1) {
-		return false, shortRetry
+	memberCount := float64(max(members, 1))
+	if a.Concurrency > 0 && p.inUse >= max(int64(float64(a.Concurrency)/memberCount), 1) {
+		return false, shortRetryDelay
 	}
 	if a.Rate > 0 {
-		part := a.Rate / n
-		if p.even == nil || float64(p.even.Limit()) != part {
-			p.even = rate.NewLimiter(rate.Limit(part), int(max(1, part*burstTime.Seconds())))
+		evenRate := a.Rate / memberCount
+		if p.fallbackLimiter == nil || float64(p.fallbackLimiter.Limit()) != evenRate {
+			p.fallbackLimiter = rate.NewLimiter(rate.Limit(evenRate), int(max(1, evenRate*burstTime.Seconds())))
 		}
-		if !p.even.AllowN(now, 1) {
-			return false, time.Duration(float64(time.Second) / part)
+		if !p.fallbackLimiter.AllowN(now, 1) {
+			return false, time.Duration(float64(time.Second) / evenRate)
 		}
 	}
 	p.tokens = max(p.tokens-1, 0)
-	p.in++
+	p.inUse++
 	return true, 0
 }
 
-// Renewals lists accounts whose leased concurrency is in use and due.
-func (w *Allocations) Renewals(now time.Time) []string {
+// Renewals returns the names of accounts whose leased concurrency is in use or not
+// expired, and has less than three quarters of LeaseTime left. It also removes
+// allocations without requests in progress whose demand window began more than
+// idleTimeout ago.
+func (s *Allocations) Renewals(now time.Time) []string {
 	var names []string
-	w.byAccount.Range(func(k, v any) bool {
+	s.byAccount.Range(func(k, v any) bool {
 		p := v.(*Allocation)
 		p.mu.Lock()
-		if p.units > 0 && (p.in > 0 || now.Before(p.lapse)) && p.lapse.Sub(now) < LeaseTime*3/4 {
+		if p.units > 0 && (p.inUse > 0 || now.Before(p.unitsExpireAt)) && p.unitsExpireAt.Sub(now) < LeaseTime*3/4 {
 			names = append(names, k.(string))
 		}
-		idle := p.in == 0 && now.Sub(p.window) > idleTime
+		idle := p.inUse == 0 && now.Sub(p.windowStart) > idleTimeout
 		p.mu.Unlock()
 		if idle {
-			w.byAccount.Delete(k)
+			s.byAccount.Delete(k)
 		}
 		return true
 	})
 	return names
 }
 
-// Idle tells whether nothing of the account is in progress, so that its units
-// can be given back instead of renewed.
+// Idle reports whether the account has no request in progress and its demand window
+// began more than LeaseTime ago, that is, no request came for at least LeaseTime less a
+// second, so that its units can be returned instead of renewed.
 func (p *Allocation) Idle(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.in == 0 && now.Sub(p.window) > LeaseTime
+	return p.inUse == 0 && now.Sub(p.windowStart) > LeaseTime
 }
--- a/internal/state/share/doc.go
+++ b/internal/state/share/doc.go
@@ -1,23 +1,24 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package share holds fleet-wide limits of accounts: an owner's Grants lease
-// units out, an entry's Allocations spend them.
+// Package share enforces fleet-wide limits of client accounts: the Grants of an
+// account's owner lease units to entries, and the Allocations of an entry spend them.
 //
 // # Model
 //
-// The owner of an account (package view) keeps its token bucket and knows
-// which entry holds how many units of its concurrency, each for LeaseTime. An
-// entry asks for what it needs: one unit for a small account, a tenth of a
-// second's worth for a busy one. So a small account can use its whole limit
-// through any one entry, and unused units come back when their lease ends.
+// The owner of an account (package view) keeps the account's token bucket and records
+// how many concurrency units each entry has leased, each lease lasting LeaseTime. An
+// entry requests what it needs: one unit for an account with little traffic, a tenth
+// of a second's demand for a busy one. An account with little traffic can thus use its
+// entire limit through any one entry, and unused units return when their lease
+// expires.
 //
-// Without its owner an entry falls back to an even share of the limit.
+// While the owner does not answer, an entry allows an even share of the limit.
 //
 // # Invariants
 //
-//   - Units leased and not expired never exceed the limit, but for LeaseTime
-//     after an account's owner has changed: then each entry keeps what it
+//   - Units leased and not expired never exceed the limit, except for LeaseTime after
+//     the owner of an account has changed: during that time each entry keeps what it
 //     holds, or gets an even share.
 //   - Rate units are spent once and never returned.
 package share
--- a/internal/state/share/grants.go
+++ b/internal/state/share/grants.go
@@ -13,121 +13,130 @@
 )
 
 const (
-	// LeaseTime is how long units of concurrency are leased.
+	// LeaseTime is how long concurrency units are leased, and how long leased rate
+	// units can be spent.
 	LeaseTime = 2 * time.Second
-	// burstTime is how much of its rate an account may use at once.
+	// burstTime is the span of its rate that an account may use at once.
 	burstTime = 500 * time.Millisecond
-	// idleTime after the last want an account is forgotten.
-	idleTime = time.Minute
+	// idleTimeout is how long after the last request an account is removed.
+	idleTimeout = time.Minute
 )
 
-// Grants is an owner's record of what it has leased.
+// Grants records what an owner has leased of the limits of its accounts. The zero
+// value is empty and ready for concurrent use.
 type Grants struct {
 	accounts sync.Map // name to *account
 }
 
+// account is the owner's state of one account. Its methods require mu to be held.
 type account struct {
-	mu      sync.Mutex
-	bucket  *rate.Limiter
-	perSec  float64
-	entries map[string]*grant
-	// since is when this owner took the account over.
-	since time.Time
-	used  time.Time
+	mu            sync.Mutex
+	bucket        *rate.Limiter     // nil before the first lease of rate units
+	ratePerSecond float64           // of bucket
+	grants        map[string]*grant // by entry
+	// ownedSince is when this process began to own the account.
+	ownedSince time.Time
+	lastUsed   time.Time
 }
 
+// grant is the concurrency that one entry has leased.
 type grant struct {
-	units   int64
-	wanted  int64
-	expires time.Time
+	units     int64
+	wanted    int64
+	expiresAt time.Time
 }
 
-// Lease grants what a wants of account's limits. members is the size of the
-// fleet.
-func (l *Grants) Lease(a *hookhall.Account, from string, w hookhall.Want, members int, now time.Time) hookhall.ShareLease {
-	lease := hookhall.ShareLease{Account: w.Account}
+// Lease grants the entry from what it wants of the limits of a, as far as they allow,
+// and sets RetryAfter if it grants less. The lease is not limited if a is nil or has
+// no limits. members is the number of members of the fleet.
+func (g *Grants) Lease(a *hookhall.Account, from string, want hookhall.Want, members int, now time.Time) hookhall.ShareLease {
+	lease := hookhall.ShareLease{Account: want.Account}
 	if a == nil || a.Rate == 0 && a.Concurrency == 0 {
 		return lease
 	}
 	lease.Limited = true
-	v, ok := l.accounts.Load(a.Name)
+	v, ok := g.accounts.Load(a.Name)
 	if !ok {
-		v, _ = l.accounts.LoadOrStore(a.Name, &account{entries: map[string]*grant{}, since: now})
+		v, _ = g.accounts.LoadOrStore(a.Name, &account{grants: map[string]*grant{}, ownedSince: now})
 	}
-	x := v.(*account)
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.used = now
-	if a.Rate > 0 && w.Rate > 0 {
-		lease.Rate, lease.RetryAfter = x.leaseRate(a.Rate, w.Rate, now)
+	owned := v.(*account)
+	owned.mu.Lock()
+	defer owned.mu.Unlock()
+	owned.lastUsed = now
+	if a.Rate > 0 && want.Rate > 0 {
+		lease.Rate, lease.RetryAfter = owned.leaseRate(a.Rate, want.Rate, now)
 	}
 	if a.Concurrency > 0 {
-		lease.Concurrency = x.leaseUnits(int64(a.Concurrency), from, w, members, now)
-		if lease.Concurrency < w.Concurrency && lease.RetryAfter == 0 {
+		lease.Concurrency = owned.leaseUnits(int64(a.Concurrency), from, want, members, now)
+		if lease.Concurrency < want.Concurrency && lease.RetryAfter == 0 {
 			lease.RetryAfter = LeaseTime / 4
 		}
 	}
 	return lease
 }
 
-// leaseRate takes up to n tokens, and says when the next one comes.
-func (x *account) leaseRate(perSec float64, n int64, now time.Time) (int64, time.Duration) {
-	burst := int(max(1, math.Ceil(perSec*burstTime.Seconds())))
-	if x.bucket == nil {
-		x.bucket = rate.NewLimiter(rate.Limit(perSec), burst)
-		x.bucket.AllowN(now, burst-1) // a new owner doesn't know what was spent
-	} else if x.perSec != perSec {
-		x.bucket.SetLimitAt(now, rate.Limit(perSec))
-		x.bucket.SetBurstAt(now, burst)
+// leaseRate takes up to count tokens from the bucket and returns their number. If it
+// takes none, the duration is the time until the next token.
+func (a *account) leaseRate(ratePerSecond float64, count int64, now time.Time) (int64, time.Duration) {
+	burst := int(max(1, math.Ceil(ratePerSecond*burstTime.Seconds())))
+	if a.bucket == nil {
+		a.bucket = rate.NewLimiter(rate.Limit(ratePerSecond), burst)
+		a.bucket.AllowN(now, burst-1) // a new owner doesn't know what was spent, so start with one token
+	} else if a.ratePerSecond != ratePerSecond {
+		a.bucket.SetLimitAt(now, rate.Limit(ratePerSecond))
+		a.bucket.SetBurstAt(now, burst)
 	}
-	x.perSec = perSec
-	granted := min(n, int64(x.bucket.TokensAt(now)))
-	if granted > 0 && x.bucket.AllowN(now, int(granted)) {
+	a.ratePerSecond = ratePerSecond
+	granted := min(count, int64(a.bucket.TokensAt(now)))
+	if granted > 0 && a.bucket.AllowN(now, int(granted)) {
 		return granted, 0
 	}
-	missing := 1 - x.bucket.TokensAt(now)
-	return 0, time.Duration(max(missing, 0) / perSec * float64(time.Second))
+	missing := 1 - a.bucket.TokensAt(now)
+	return 0, time.Duration(max(missing, 0) / ratePerSecond * float64(time.Second))
 }
 
-// leaseUnits grants an entry its max-min fair part of the free units.
-func (x *account) leaseUnits(limit int64, from string, w hookhall.Want, members int, now time.Time) int64 {
-	x.drop(now)
-	if w.Concurrency <= 0 {
-		delete(x.entries, from)
+// leaseUnits grants an entry its max-min fair share of the free concurrency units and
+// returns their number. It replaces the entry's previous grant.
+func (a *account) leaseUnits(limit int64, from string, want hookhall.Want, members int, now time.Time) int64 {
+	a.dropExpired(now)
+	if want.Concurrency <= 0 {
+		delete(a.grants, from)
 		return 0
 	}
-	var others int64
-	for name, o := range x.entries {
-		if name != from {
-			others += o.units
+	var unitsOfOthers int64
+	for entry, other := range a.grants {
+		if entry != from {
+			unitsOfOthers += other.units
 		}
 	}
-	units := min(w.Concurrency, max(limit-others, 0), x.fair(limit, from, w.Concurrency))
-	if now.Sub(x.since) < LeaseTime {
-		// Leases of the owner before are not known here yet.
-		even := max(limit/int64(max(members, 1)), 1)
-		units = min(max(w.Held, min(w.Concurrency, even)), max(limit-others, 0))
+	units := min(want.Concurrency, max(limit-unitsOfOthers, 0), a.fairShare(limit, from, want.Concurrency))
+	if now.Sub(a.ownedSince) < LeaseTime {
+		// Leases of the previous owner may still run and are not known here: let each
+		// entry keep what it holds, or give it an even share.
+		evenShare := max(limit/int64(max(members, 1)), 1)
+		units = min(max(want.Held, min(want.Concurrency, evenShare)), max(limit-unitsOfOthers, 0))
 	}
-	x.entries[from] = &grant{units: units, wanted: w.Concurrency, expires: now.Add(LeaseTime)}
+	a.grants[from] = &grant{units: units, wanted: want.Concurrency, expiresAt: now.Add(LeaseTime)}
 	return units
 }
 
-// fair is the part of limit that from gets when all wants are met max-min.
-func (x *account) fair(limit int64, from string, wanted int64) int64 {
+// fairShare returns the part of limit that the entry from gets when limit is divided
+// among the wants of all entries by max-min fairness.
+func (a *account) fairShare(limit int64, from string, wanted int64) int64 {
 	wants := []int64{wanted}
-	for name, o := range x.entries {
-		if name != from {
-			wants = append(wants, o.wanted)
+	for entry, other := range a.grants {
+		if entry != from {
+			wants = append(wants, other.wanted)
 		}
 	}
-	left, open := limit, int64(len(wants))
-	for open > 0 {
-		part := max(left/open, 1)
+	left, unmet := limit, int64(len(wants))
+	for unmet > 0 {
+		evenShare := max(left/unmet, 1)
 		met := false
 		for i, want := range wants {
-			if want >= 0 && want <= part {
+			if want >= 0 && want <= evenShare {
 				left -= want
-				open--
+				unmet--
 				wants[i] = -1
 				met = true
 				if i == 0 {
@@ -136,37 +145,38 @@
 			}
 		}
 		if !met {
-			return part
+			return evenShare
 		}
 	}
 	return wanted
 }
 
-func (x *account) drop(now time.Time) {
-	for name, o := range x.entries {
-		if now.After(o.expires) {
-			delete(x.entries, name)
+// dropExpired removes expired grants.
+func (a *account) dropExpired(now time.Time) {
+	for entry, other := range a.grants {
+		if now.After(other.expiresAt) {
+			delete(a.grants, entry)
 		}
 	}
 }
 
-// Sweep forgets accounts that nobody has asked for.
-func (l *Grants) Sweep(now time.Time) {
-	l.accounts.Range(func(k, v any) bool {
-		x := v.(*account)
-		x.mu.Lock()
-		idle := now.Sub(x.used) > idleTime
-		x.mu.Unlock()
+// Sweep removes accounts for which no entry has requested a lease within idleTimeout.
+func (g *Grants) Sweep(now time.Time) {
+	g.accounts.Range(func(k, v any) bool {
+		a := v.(*account)
+		a.mu.Lock()
+		idle := now.Sub(a.lastUsed) > idleTimeout
+		a.mu.Unlock()
 		if idle {
-			l.accounts.Delete(k)
+			g.accounts.Delete(k)
 		}
 		return true
 	})
 }
 
-// Len is the number of accounts this owner knows.
-func (l *Grants) Len() int {
+// Len returns the number of accounts with recorded leases.
+func (g *Grants) Len() int {
 	n := 0
-	l.accounts.Range(func(_, _ any) bool { n++; return true })
+	g.accounts.Range(func(_, _ any) bool { n++; return true })
 	return n
 }
