--- a/internal/state/balance/cold.go
+++ b/internal/state/balance/cold.go
@@ -26,10 +26,10 @@
 
 // ColdLimits bound the requests that a cold target gets from the whole fleet. For a
 // service whose targets bear ColdRate requests a second while cold, the limit in any
-// second is ColdRate x Over + Slack.
+// second is ColdRate times a factor, plus a number of extra requests.
 type ColdLimits struct {
-	Over  float64 // factor; values below 1 count as 1
-	Slack float64 // requests
+	Over  float64 // factor of ColdRate; values below 1 count as 1
+	Slack float64 // requests in any second
 }
 
 // maxPerSecond returns the fleet-wide limit of each cold target of a service, in
--- a/internal/state/balance/incarnation_test.go
+++ b/internal/state/balance/incarnation_test.go
@@ -16,9 +16,9 @@
 func TestRecordPerIncarnation(t *testing.T) {
 	now := time.Now()
 	for name, c := range map[string]struct {
-		before func(b *Tracker, t hookhall.Target)
-		wish   Wish
-		other  bool // the other target is chosen in the same incarnation
+		before   func(b *Tracker, t hookhall.Target)
+		criteria Wish
+		other    bool // the other target is chosen in the same incarnation
 	}{
 		"a cached prompt": {func(b *Tracker, t hookhall.Target) {
 			b.Begin(t, prompt("p", 10000, 100), now).End()
@@ -50,7 +50,7 @@
 			}
 			c.before(b, list[0])
 			choose := func() string {
-				got, _ := b.Choose(list, c.wish, now)
+				got, _ := b.Choose(list, c.criteria, now)
 				return got.ID
 			}
 			if got := choose(); (got == "t1") != c.other {
--- a/internal/state/balance/tracker.go
+++ b/internal/state/balance/tracker.go
@@ -86,8 +86,8 @@
 	// Shared is the id of the longest part of the prompt that other prompts share, ""
 	// for none.
 	Shared string
-	// SharedTokens is the number of prompt tokens up to the end of Shared, OwnTokens
-	// that of the tokens after it.
+	// SharedTokens is the number of prompt tokens up to the end of the shared part,
+	// OwnTokens that of the tokens after it.
 	SharedTokens int
 	OwnTokens    int
 	// OutTokens is the maximum number of output tokens.
@@ -158,7 +158,7 @@
 	if criteria.Limiter == nil {
 		return hookhall.Target{}, 0, false
 	}
-	for _, t := range criteria.among(targets) {
+	for _, t := range criteria.selectTargets(targets) {
 		if t.Leaving || criteria.Exclude[t.ID] || !criteria.allows(t) || t.Cold(now) {
 			continue
 		}
@@ -173,7 +173,7 @@
 // request.
 func (b *Tracker) pick(targets []hookhall.Target, criteria Wish, now time.Time) (t hookhall.Target, ok bool) {
 	var open, refusing, ejected []candidate
-	targets = criteria.among(targets)
+	targets = criteria.selectTargets(targets)
 	if len(targets) > maxScannedTargets {
 		open, _, _ = b.candidates(b.sample(targets, criteria), criteria, now)
 	}
--- a/internal/state/balance/versions.go
+++ b/internal/state/balance/versions.go
@@ -20,15 +20,16 @@
 	Among int
 }
 
-// Allow reports whether the version of t may run the request. It ignores Among.
+// Allow reports whether the version of t may run the request. It ignores the limit on
+// the number of targets.
 func (v Versions) Allow(t hookhall.Target) bool {
 	return (v.Only == "" || t.Version == v.Only) && (v.Not == "" || t.Version != v.Not)
 }
 
-// among returns the targets that may be used: all of them if Among is 0, otherwise
-// the first Among allowed targets in the order of rendezvous hashing of Only. It does
-// not modify targets.
-func (v Versions) among(targets []hookhall.Target) []hookhall.Target {
+// selectTargets returns the targets that may be used: all of them if their number is not
+// limited, otherwise that many of the allowed targets, selected by rendezvous hashing of
+// Only. It does not modify targets.
+func (v Versions) selectTargets(targets []hookhall.Target) []hookhall.Target {
 	if v.Among == 0 {
 		return targets
 	}
--- a/internal/state/share/allocation.go
+++ b/internal/state/share/allocation.go
@@ -109,7 +109,8 @@
 	p.windowCount++
 }
 
-// Done ends a request that Spend or Fallback allowed. It must be called once for each.
+// Done ends a request that was allowed, by Spend or without the owner. It must be called
+// once for each.
 func (p *Allocation) Done() {
 	p.mu.Lock()
 	p.inUse--
