--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -15,83 +15,97 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLate is returned for a call that could no longer end in time.
+// ErrTooLate is returned for a call that can no longer start early enough to meet its
+// deadline.
 var ErrTooLate = errors.New("too late to start")
 
 const (
-	// shrink is the factor of a window whose targets' queues grow.
-	shrink = 0.9
-	// rateWindow is over how long arrival rates are averaged.
+	// windowShrinkFactor multiplies the window when calls wait at their targets.
+	windowShrinkFactor = 0.9
+	// rateWindow is the period over which arrival rates are averaged.
 	rateWindow = time.Second
-	// defaultRetry is when to come back while nothing has been measured.
-	defaultRetry = 500 * time.Millisecond
-	minRetry     = 20 * time.Millisecond
-	// leastShare of the pool's rate is left to a priority, whatever higher
-	// ones bring.
-	leastShare = 0.02
-	// shedMargin and a shedDoubt-th of the wait are allowed for error before a
-	// waiting call is refused.
-	shedMargin = 20 * time.Millisecond
-	shedDoubt  = 5
-	maxRetry   = 30 * time.Second
+	// defaultRetryDelay is sent to refused calls while the estimated wait is 0, that is,
+	// without measurements or waiting calls.
+	defaultRetryDelay = 500 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the delay sent to refused calls.
+	minRetryDelay = 20 * time.Millisecond
+	// minRateShare is the smallest part of the pool's rate that an estimate assigns to
+	// a priority, however many calls of higher priorities arrive. It keeps estimated
+	// waits finite.
+	minRateShare = 0.02
+	// shedMargin plus 1/shedErrorDivisor of the estimated wait are allowed for error of
+	// the estimate before a waiting call is refused.
+	shedMargin       = 20 * time.Millisecond
+	shedErrorDivisor = 5
+	maxRetryDelay    = 30 * time.Second
 )
 
-// Gate is the way into one pool.
+// Gate limits the calls that this entry has in progress in one pool, and queues the
+// others. It is safe for concurrent use.
 type Gate struct {
 	inflight atomic.Int64
-	queued   atomic.Int64
-	// window is a float64's bits; limit is the floor of it.
+	// queued is queue.length, readable without mu.
+	queued atomic.Int64
+	// limit is the integer part of window, readable without mu; math.MaxInt64 while the
+	// window is turned off.
 	limit atomic.Int64
-	// service is the average time between Enter and Leave, in nanoseconds.
-	service atomic.Int64
-	// expected are calls let in at admission that have yet to come here.
-	expected [priorities]atomic.Int64
-	// arrivals are rates of calls that came to the gate, by priority.
-	arrivals [priorities]rate
-
-	mu     sync.Mutex
-	queue  queue
+	// serviceTime is the moving average of the times passed to Leave, in nanoseconds,
+	// 0 without data.
+	serviceTime atomic.Int64
+	// expected counts, by priority, admitted calls that have yet to reach the gate.
+	expected [numPriorities]atomic.Int64
+	// arrivals are the rates of calls to Enter, by priority.
+	arrivals [numPriorities]rateCounter
+
+	// mu guards the fields below.
+	mu    sync.Mutex
+	queue queue
+	// window is the number of calls that may be in progress.
 	window float64
-	// first is where the window began; least and most bound it.
-	first  float64
-	least  float64
-	most   float64
-	shrunk time.Time
+	// evenShare is this entry's even share of the pool. minWindow and maxWindow bound
+	// the window; maxWindow 0 turns it off.
+	evenShare float64
+	minWindow float64
+	maxWindow float64
+	// shrunkAt is when the window last shrank.
+	shrunkAt time.Time
 }
 
-// NewGate makes a gate with a first window. most bounds it; 0 turns the
-// window off.
-func NewGate(order Order, first, most float64) *Gate {
+// NewGate returns a gate whose window begins at evenShare and grows to at most maxWindow
+// calls. maxWindow 0 turns the window off: every call passes.
+func NewGate(order Order, evenShare, maxWindow float64) *Gate {
 	g := &Gate{queue: queue{order: order}}
-	g.Resize(first, most)
+	g.Resize(evenShare, maxWindow)
 	return g
 }
 
-// Resize sets the bounds when the pool's capacity has changed. first is this
-// entry's even share of the pool: a share that has grown is open at once, and
-// the window never falls below it.
-func (g *Gate) Resize(first, most float64) {
+// Resize sets the window's bounds, in calls, after a change of the pool's capacity.
+// evenShare is this entry's even share of the pool and the lower bound. If it has grown,
+// the window grows to it immediately.
+func (g *Gate) Resize(evenShare, maxWindow float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if first > g.first {
-		g.window = max(g.window, first)
+	if evenShare > g.evenShare {
+		g.window = max(g.window, evenShare)
 	}
-	g.first, g.least, g.most = first, first, most
+	g.evenShare, g.minWindow, g.maxWindow = evenShare, evenShare, maxWindow
 	g.setWindow(g.window)
 	g.dispatch()
 }
 
+// setWindow sets the window to w calls within its bounds, at least 1. g.mu must be held.
 func (g *Gate) setWindow(w float64) {
-	if g.most <= 0 {
+	if g.maxWindow <= 0 {
 		g.limit.Store(math.MaxInt64)
 		return
 	}
-	g.window = min(max(w, g.least, 1), g.most)
+	g.window = min(max(w, g.minWindow, 1), g.maxWindow)
 	g.limit.Store(int64(g.window))
 }
 
-// Enter waits for its turn. It returns ErrTooLate when it.Start passes first,
-// or ctx's error. After nil the caller must call Leave.
+// Enter blocks until the call may start. It returns ErrTooLate if it.Start passes first
+// or the call is shed, and ctx's error if ctx ends. After a nil error the caller must
+// call Leave. An Item must not be shared between waiting calls.
 func (g *Gate) Enter(ctx context.Context, it *Item) error {
 	it.Priority = clamp(it.Priority)
 	g.arrivals[it.Priority].add(clock.Now())
@@ -117,28 +131,30 @@
 	case <-it.shed:
 		return ErrTooLate
 	case <-it.timer.C:
-		return g.giveUp(it, ErrTooLate)
+		return g.abandon(it, ErrTooLate)
 	case <-ctx.Done():
-		return g.giveUp(it, ctx.Err())
+		return g.abandon(it, ctx.Err())
 	}
 }
 
-// giveUp takes it out of the queue; if it was granted meanwhile it stays so.
-func (g *Gate) giveUp(it *Item, err error) error {
+// abandon removes it from the queue and returns err, or nil if the call was granted in
+// the meantime: it has then entered.
+func (g *Gate) abandon(it *Item, err error) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if it.state == itemGranted {
 		return nil
 	}
-	if it.state == itemGone {
-		return err // shed meanwhile
+	if it.state == itemRemoved {
+		return err // shed in the meantime
 	}
-	it.state = itemGone
+	it.state = itemRemoved
 	g.queue.remove(it)
 	g.queued.Store(int64(g.queue.length))
 	return err
 }
 
+// tryEnter counts a call as in progress and reports true if the window allows it.
 func (g *Gate) tryEnter() bool {
 	for {
 		n := g.inflight.Load()
@@ -151,7 +167,7 @@
 	}
 }
 
-// dispatch lets in whom the window allows; g.mu is held.
+// dispatch grants waiting calls as far as the window allows. g.mu must be held.
 func (g *Gate) dispatch() {
 	for g.queue.length > 0 && g.tryEnter() {
 		it := g.queue.pop()
@@ -161,10 +177,11 @@
 	g.queued.Store(int64(g.queue.length))
 }
 
-// Leave ends a call that had entered and took so long.
+// Leave ends a call for which Enter returned nil. took is the time since then; it goes
+// into the average service time.
 func (g *Gate) Leave(took time.Duration) {
 	g.inflight.Add(-1)
-	g.learn(took)
+	g.observeServiceTime(took)
 	if g.queued.Load() > 0 {
 		g.mu.Lock()
 		g.dispatch()
@@ -172,102 +189,110 @@
 	}
 }
 
-// Feedback moves the window by what an answer said: how long the call waited
-// at its target, and how long it ran.
+// Feedback adjusts the window after an answer. wait is how long the call waited in its
+// target's queue, busy how long it ran. The window shrinks if the wait exceeds half the
+// run time, at most once per run time, and grows if it is at most an eighth of it while
+// the window is used up.
 func (g *Gate) Feedback(wait, busy time.Duration, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.most <= 0 {
+	if g.maxWindow <= 0 {
 		return
 	}
 	switch {
-	case wait > busy/2 && now.Sub(g.shrunk) > busy:
-		g.shrunk = now
-		g.setWindow(g.window * shrink)
+	case wait > busy/2 && now.Sub(g.shrunkAt) > busy:
+		g.shrunkAt = now
+		g.setWindow(g.window * windowShrinkFactor)
 	case wait <= busy/8 && g.inflight.Load() >= g.limit.Load()-1:
 		g.setWindow(g.window + 1/g.window)
 		g.dispatch()
 	}
 }
 
-// learn takes a call's time into the average.
-func (g *Gate) learn(took time.Duration) {
-	const part = 16
+// observeServiceTime adds a call's duration to the moving average.
+func (g *Gate) observeServiceTime(took time.Duration) {
+	const divisor = 16
 	for {
-		old := g.service.Load()
-		next := old + (int64(took)-old)/part
+		old := g.serviceTime.Load()
+		next := old + (int64(took)-old)/divisor
 		if old == 0 {
 			next = int64(took)
 		}
-		if g.service.CompareAndSwap(old, max(next, 1)) {
+		if g.serviceTime.CompareAndSwap(old, max(next, 1)) {
 			return
 		}
 	}
 }
 
-func clamp(priority int) int { return min(max(priority, 0), priorities-1) }
+// clamp returns the priority within 0 to numPriorities-1.
+func clamp(priority int) int { return min(max(priority, 0), numPriorities-1) }
 
-// rate is how many calls a second of a priority can start: what the window
-// allows by the time that calls take, less what higher priorities bring.
-func (g *Gate) rate(priority int, now time.Time) float64 {
-	service := time.Duration(g.service.Load()).Seconds()
+// startRate returns how many calls of a priority can start per second: the window divided
+// by the service time, less the arrivals of higher priorities, but at least minRateShare
+// of the whole. It returns 0 without data or while the window is turned off.
+func (g *Gate) startRate(priority int, now time.Time) float64 {
+	service := time.Duration(g.serviceTime.Load()).Seconds()
 	limit := g.limit.Load()
 	if service == 0 || limit == math.MaxInt64 {
 		return 0
 	}
-	all := float64(limit) / service
-	left := all
-	for p := priority + 1; p < priorities; p++ {
-		left -= g.arrivals[p].value(now)
+	total := float64(limit) / service
+	left := total
+	for p := priority + 1; p < numPriorities; p++ {
+		left -= g.arrivals[p].perSecond(now)
 	}
-	return max(left, all*leastShare)
+	return max(left, total*minRateShare)
 }
 
-// Expect notes that a call let in at admission will come here, with n 1, or
-// that it has come or will not, with n -1.
+// Expect adds n to the admitted calls of a priority that have yet to reach the gate: 1 at
+// admission, -1 when the call arrives at the gate or no longer will.
 func (g *Gate) Expect(priority int, n int64) { g.expected[clamp(priority)].Add(n) }
 
-// backlog is how many expected calls of a priority or higher fill the room that
-// the window has left, and more.
+// backlog returns by how many the calls in progress, with the expected calls of this and
+// higher priorities, exceed the window; at least 0.
 func (g *Gate) backlog(priority int) float64 {
 	n := g.inflight.Load() - g.limit.Load()
-	for p := priority; p < priorities; p++ {
+	for p := priority; p < numPriorities; p++ {
 		n += g.expected[p].Load()
 	}
 	return float64(max(n, 0))
 }
 
-// Wait estimates how long a call of an account would wait now.
+// Wait estimates how long a call of a client account would wait in the queue if it came
+// now; 0 without data. weight is the account's share within its priority.
 func (g *Gate) Wait(account string, weight float64, priority int, now time.Time) time.Duration {
 	priority = clamp(priority)
 	n := g.backlog(priority)
 	if g.queued.Load() > 0 {
 		g.mu.Lock()
-		n += g.queue.ahead(account, weight, priority, g.queue.queued(account, priority)+1)
+		n += g.queue.itemsAhead(account, weight, priority, g.queue.accountLength(account, priority)+1)
 		g.mu.Unlock()
 	}
-	return g.seconds(n, priority, now)
+	return g.drainTime(n, priority, now)
 }
 
-func (g *Gate) seconds(n float64, priority int, now time.Time) time.Duration {
-	perSecond := g.rate(priority, now)
+// drainTime returns how long n calls of a priority take to start, 0 without data.
+func (g *Gate) drainTime(n float64, priority int, now time.Time) time.Duration {
+	perSecond := g.startRate(priority, now)
 	if perSecond <= 0 {
 		return 0
 	}
 	return time.Duration(n / perSecond * float64(time.Second))
 }
 
-// RetryAfter tells a refused call when the queue will have drained.
+// RetryAfter returns the delay after which a refused call should be retried: the
+// estimated wait, from minRetryDelay to maxRetryDelay.
 func (g *Gate) RetryAfter(account string, weight float64, priority int, now time.Time) time.Duration {
 	w := g.Wait(account, weight, priority, now)
 	if w == 0 {
-		w = defaultRetry
+		w = defaultRetryDelay
 	}
-	return min(max(w, minRetry), maxRetry)
+	return min(max(w, minRetryDelay), maxRetryDelay)
 }
 
-// Shed refuses the waiting calls that, as it looks now, will not start in time:
-// what they wait for is better given to others, and their callers told at once.
+// Shed refuses the waiting calls that are estimated to start too late, and returns their
+// number. This leaves the capacity to calls that can still succeed, and answers the
+// callers early. In OrderArrival it does nothing.
 func (g *Gate) Shed(now time.Time) int {
 	if g.queued.Load() == 0 || g.queue.order == OrderArrival {
 		return 0
@@ -276,7 +301,7 @@
 	defer g.mu.Unlock()
 	shed := 0
 	for p := range g.queue.classes {
-		for _, f := range g.queue.classes[p].flows {
+		for _, f := range g.queue.classes[p].flowsByAccount {
 			shed += g.shedFlow(f, p, now)
 		}
 	}
@@ -284,18 +309,19 @@
 	return shed
 }
 
-// shedFlow looks at a flow's items in the order in which they will be served.
+// shedFlow sheds calls of one flow, examined in the order of service, and returns their
+// number. g.mu must be held.
 func (g *Gate) shedFlow(f *flow, priority int, now time.Time) int {
 	items := append([]*Item(nil), f.items.items...)
 	sort.Slice(items, func(i, j int) bool { return items[i].Start.Before(items[j].Start) })
 	shed := 0
 	for i, it := range items {
-		n := g.queue.ahead(f.account, it.Weight, priority, i-shed)
-		wait := g.seconds(n, priority, now)
-		if wait <= shedMargin || now.Add(wait-shedMargin-wait/shedDoubt).Before(it.Start) {
+		n := g.queue.itemsAhead(f.account, it.Weight, priority, i-shed)
+		wait := g.drainTime(n, priority, now)
+		if wait <= shedMargin || now.Add(wait-shedMargin-wait/shedErrorDivisor).Before(it.Start) {
 			continue
 		}
-		it.state = itemGone
+		it.state = itemRemoved
 		g.queue.remove(it)
 		close(it.shed)
 		shed++
@@ -303,16 +329,17 @@
 	return shed
 }
 
-// Queued is how many calls wait.
+// Queued returns the number of waiting calls.
 func (g *Gate) Queued() int64 { return g.queued.Load() }
 
-// Idle tells whether the pool has room to spare: nobody waits, and the window is
-// not used up.
+// Idle reports whether the pool has spare capacity: no call waits, and fewer calls are in
+// progress than the window allows.
 func (g *Gate) Idle() bool {
 	return g.queued.Load() == 0 && g.inflight.Load() < g.limit.Load()
 }
 
-// Status is a gate's part of a state dump.
+// Status is the state of a gate as the admin interface shows it: calls in progress and
+// waiting, the window in calls, and the rate in calls per second for priority 0.
 type Status struct {
 	Inflight int64   `json:"inflight"`
 	Queued   int64   `json:"queued"`
@@ -320,48 +347,54 @@
 	Rate     float64 `json:"rate_per_s"`
 }
 
-// Status reads the gate.
+// Status returns the gate's state.
 func (g *Gate) Status(now time.Time) Status {
 	g.mu.Lock()
 	w := g.window
 	g.mu.Unlock()
-	return Status{g.inflight.Load(), g.queued.Load(), w, g.rate(0, now)}
+	return Status{g.inflight.Load(), g.queued.Load(), w, g.startRate(0, now)}
 }
 
-// rate counts events over two half windows.
-type rate struct {
-	mu       sync.Mutex
-	start    time.Time
-	current  float64
-	previous float64
+// rateCounter estimates the rate of events from the counts of the current and the
+// previous window of length rateWindow. Its zero value is ready.
+type rateCounter struct {
+	mu          sync.Mutex
+	windowStart time.Time
+	current     float64
+	previous    float64
 }
 
-func (r *rate) roll(now time.Time) {
-	switch passed := now.Sub(r.start); {
-	case r.start.IsZero():
-		r.start = now
+// advance starts a new window if the current one is over. r.mu must be held.
+func (r *rateCounter) advance(now time.Time) {
+	switch passed := now.Sub(r.windowStart); {
+	case r.windowStart.IsZero():
+		r.windowStart = now
 	case passed >= 2*rateWindow:
-		r.start, r.previous, r.current = now, 0, 0
+		r.windowStart, r.previous, r.current = now, 0, 0
 	case passed >= rateWindow:
-		r.start, r.previous, r.current = r.start.Add(rateWindow), r.current, 0
+		r.windowStart, r.previous, r.current = r.windowStart.Add(rateWindow), r.current, 0
 	}
 }
 
-func (r *rate) add(now time.Time) {
+// add counts one event.
+func (r *rateCounter) add(now time.Time) {
 	r.mu.Lock()
-	r.roll(now)
+	r.advance(now)
 	r.current++
 	r.mu.Unlock()
 }
 
-// value is events a second.
-func (r *rate) value(now time.Time) float64 {
+// perSecond returns the rate in events per second. The previous window counts by the part
+// of it that lies within rateWindow before now. If it is empty, the count is divided by
+// the elapsed time instead, unless less than 5% of the window has elapsed, which is too
+// little for a quotient.
+func (r *rateCounter) perSecond(now time.Time) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.roll(now)
-	part := now.Sub(r.start).Seconds() / rateWindow.Seconds()
-	if r.previous == 0 && part > 0.05 {
-		return r.current / (part * rateWindow.Seconds())
+	r.advance(now)
+	elapsed := now.Sub(r.windowStart).Seconds() / rateWindow.Seconds()
+	if r.previous == 0 && elapsed > 0.05 {
+		return r.current / (elapsed * rateWindow.Seconds())
 	}
-	return (r.current + r.previous*(1-part)) / rateWindow.Seconds()
+	return (r.current + r.previous*(1-elapsed)) / rateWindow.Seconds()
 }
--- a/internal/state/admission/gate_test.go
+++ b/internal/state/admission/gate_test.go
@@ -15,103 +15,105 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fill makes a gate with one place that is taken.
-func fill(order Order) *Gate {
+// fullGate returns a gate with a fixed window of one call, which is used up.
+func fullGate(order Order) *Gate {
 	g := NewGate(order, 1, 1)
 	if !g.tryEnter() {
-		panic("a new gate is open")
+		panic("new gate refuses a call within its window")
 	}
 	return g
 }
 
-// enter waits at a gate beside the test and sends its name when it is let in.
-// Who still waits when the test ends is canceled with it.
-func enter(t *testing.T, g *Gate, in chan<- string, name, account string, weight float64, priority int, start time.Duration) {
+// enter calls g.Enter in a goroutine and sends name when it returns, with " refused" after
+// an error. start is the time until the latest start. The end of the test cancels it.
+func enter(t *testing.T, g *Gate, returned chan<- string, name, account string, weight float64, priority int, start time.Duration) {
 	go func() {
 		it := &Item{Account: account, Weight: weight, Priority: priority, Start: time.Now().Add(start)}
 		if err := g.Enter(t.Context(), it); err != nil {
-			in <- name + " refused"
+			returned <- name + " refused"
 			return
 		}
-		in <- name
+		returned <- name
 	}()
 	synctest.Wait()
 }
 
-// drain lets waiting calls in one after another and returns their names.
-func drain(g *Gate, in <-chan string, n int) []string {
+// drain ends n calls in progress one after another, and returns the names of the waiting
+// calls that are granted in turn.
+func drain(g *Gate, returned <-chan string, n int) []string {
 	var names []string
 	for range n {
 		g.Leave(time.Millisecond)
 		synctest.Wait()
-		names = append(names, <-in)
+		names = append(names, <-returned)
 	}
 	return names
 }
 
-// Convey is not used in a bubble: its contexts are kept per goroutine.
+// Tests that run in a synctest bubble don't use Convey, which keeps its contexts by
+// goroutine.
 
 func TestGateOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderFair), make(chan string, 16)
-		enter(t, g, in, "low", "a", 1, 2, time.Hour)
-		enter(t, g, in, "slack", "b", 1, 5, time.Hour)
-		enter(t, g, in, "tight", "b", 1, 5, time.Minute)
-		enter(t, g, in, "high", "c", 1, 8, time.Hour)
-		equal(t, drain(g, in, 4), []string{"high", "tight", "slack", "low"})
+		g, returned := fullGate(OrderFair), make(chan string, 16)
+		enter(t, g, returned, "low", "a", 1, 2, time.Hour)
+		enter(t, g, returned, "slack", "b", 1, 5, time.Hour)
+		enter(t, g, returned, "tight", "b", 1, 5, time.Minute)
+		enter(t, g, returned, "high", "c", 1, 8, time.Hour)
+		equal(t, drain(g, returned, 4), []string{"high", "tight", "slack", "low"})
 	})
 }
 
 func TestGateArrivalOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderArrival), make(chan string, 16)
-		enter(t, g, in, "one", "a", 1, 2, time.Hour)
-		enter(t, g, in, "two", "b", 1, 8, time.Minute)
-		equal(t, drain(g, in, 2), []string{"one", "two"})
+		g, returned := fullGate(OrderArrival), make(chan string, 16)
+		enter(t, g, returned, "one", "a", 1, 2, time.Hour)
+		enter(t, g, returned, "two", "b", 1, 8, time.Minute)
+		equal(t, drain(g, returned, 2), []string{"one", "two"})
 	})
 }
 
-func TestGateShares(t *testing.T) {
+func TestGateWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderFair), make(chan string, 256)
+		g, returned := fullGate(OrderFair), make(chan string, 256)
 		for i := range 60 {
-			enter(t, g, in, "heavy", "a", 3, 5, time.Hour+time.Duration(i))
-			enter(t, g, in, "light", "b", 1, 5, time.Hour+time.Duration(i))
+			enter(t, g, returned, "heavy", "a", 3, 5, time.Hour+time.Duration(i))
+			enter(t, g, returned, "light", "b", 1, 5, time.Hour+time.Duration(i))
 		}
 		count := map[string]int{}
-		for _, n := range drain(g, in, 40) {
+		for _, n := range drain(g, returned, 40) {
 			count[n]++
 		}
 		equal(t, count, map[string]int{"heavy": 30, "light": 10})
 	})
 }
 
-func TestGateLowClassIsNotStarved(t *testing.T) {
+func TestGateLowClassNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderFair), make(chan string, 512)
+		g, returned := fullGate(OrderFair), make(chan string, 512)
 		for i := range 100 {
-			enter(t, g, in, "high", "a", 1, 5, time.Hour+time.Duration(i))
-			enter(t, g, in, "low", "b", 1, 4, time.Hour+time.Duration(i))
+			enter(t, g, returned, "high", "a", 1, 5, time.Hour+time.Duration(i))
+			enter(t, g, returned, "low", "b", 1, 4, time.Hour+time.Duration(i))
 		}
 		low := 0
-		for _, n := range drain(g, in, 100) {
+		for _, n := range drain(g, returned, 100) {
 			if n == "low" {
 				low++
 			}
 		}
-		// A class weighs four times the one below it.
+		// A class has four times the weight of the one below it.
 		equal(t, low, 20)
 	})
 }
 
-func TestGateRefusesAtOnce(t *testing.T) {
+func TestGateRefusesAtLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderFair), make(chan string, 8)
+		g, returned := fullGate(OrderFair), make(chan string, 8)
 		began := time.Now()
-		enter(t, g, in, "late", "a", 1, 5, 50*time.Millisecond)
-		enter(t, g, in, "too late", "a", 1, 5, -time.Millisecond)
-		equal(t, <-in, "too late refused")
-		equal(t, <-in, "late refused")
+		enter(t, g, returned, "late", "a", 1, 5, 50*time.Millisecond)
+		enter(t, g, returned, "too late", "a", 1, 5, -time.Millisecond)
+		equal(t, <-returned, "too late refused")
+		equal(t, <-returned, "late refused")
 		equal(t, time.Since(began), 50*time.Millisecond)
 		equal(t, g.queued.Load(), int64(0))
 	})
@@ -119,18 +121,18 @@
 
 func TestGateSheds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, in := fill(OrderFair), make(chan string, 64)
-		g.learn(100 * time.Millisecond) // ten calls a second
+		g, returned := fullGate(OrderFair), make(chan string, 64)
+		g.observeServiceTime(100 * time.Millisecond) // ten calls per second
 		for i := range 10 {
-			enter(t, g, in, fmt.Sprint(i), "a", 1, 5, 500*time.Millisecond+time.Duration(i))
+			enter(t, g, returned, fmt.Sprint(i), "a", 1, 5, 500*time.Millisecond+time.Duration(i))
 		}
 		shed := g.Shed(time.Now())
 		if shed < 3 || shed > 6 {
-			t.Fatalf("shed %d of 10 calls, of which about 5 can start in time", shed)
+			t.Fatalf("shed %d of 10 calls, want 3 to 6, since about 5 can start in time", shed)
 		}
 		for range shed {
-			if n := <-in; len(n) < 9 {
-				t.Fatalf("%q was let in", n)
+			if n := <-returned; len(n) < 9 {
+				t.Fatalf("%q was granted, want refused", n)
 			}
 		}
 		equal(t, g.queued.Load(), int64(10-shed))
@@ -139,7 +141,7 @@
 
 func TestGateCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := fill(OrderFair)
+		g := fullGate(OrderFair)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- g.Enter(ctx, &Item{Account: "a", Start: time.Now().Add(time.Hour)}) }()
@@ -153,9 +155,10 @@
 	})
 }
 
-// TestGateNothingLost lets many threads through a narrow gate.
+// TestGateNothingLost guards against counts of calls in progress and in the queue that
+// drift when grants, releases and cancellations of many goroutines race.
 func TestGateNothingLost(t *testing.T) {
-	Convey("Many threads pass a narrow gate, and it is empty after", t, func() {
+	Convey("A gate that many goroutines pass is empty afterwards", t, func() {
 		g := NewGate(OrderFair, 3, 3)
 		var wg sync.WaitGroup
 		for i := range 400 {
@@ -183,7 +186,7 @@
 	Convey("A window", t, func() {
 		now := time.Unix(1e9, 0)
 		g := NewGate(OrderFair, 4, 16)
-		Convey("grows while targets do not wait and it is used up", func() {
+		Convey("grows while calls do not wait at targets and it is used up", func() {
 			for range 4 {
 				So(g.tryEnter(), ShouldBeTrue)
 			}
@@ -193,7 +196,7 @@
 			}
 			So(g.limit.Load(), ShouldBeGreaterThan, 4)
 		})
-		Convey("shrinks when they do, not below its share, and once a service time", func() {
+		Convey("shrinks when they do, at most once per run time, but not below its even share", func() {
 			g.Resize(8, 16)
 			g.mu.Lock()
 			g.setWindow(12)
@@ -209,6 +212,7 @@
 	})
 }
 
+// equal fails the test unless got and want print alike.
 func equal[T any](t *testing.T, got, want T) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -216,14 +220,15 @@
 	}
 }
 
-// benchAccounts is how many accounts the benchmarks spread calls over.
+// benchAccounts is the number of client accounts in the benchmarks.
 const benchAccounts = 8200
 
+// benchItem returns the i-th call, of one of benchAccounts accounts.
 func benchItem(i int) *Item {
 	return &Item{Account: fmt.Sprintf("account-%d", i%benchAccounts), Weight: 1, Priority: i % 10, Start: time.Now().Add(time.Hour), Cost: 1}
 }
 
-// BenchmarkGateOpen passes a gate whose window is open.
+// BenchmarkGateOpen measures Enter and Leave while the window is open.
 func BenchmarkGateOpen(b *testing.B) {
 	g := NewGate(OrderFair, 1e6, 1e6)
 	b.ReportAllocs()
@@ -237,8 +242,8 @@
 	})
 }
 
-// BenchmarkQueue pushes to and pops from a queue with a call waiting for each
-// of 8,200 accounts.
+// BenchmarkQueue measures a push and a pop in a queue with a waiting call of each of 8,200
+// accounts.
 func BenchmarkQueue(b *testing.B) {
 	var q queue
 	items := make([]*Item, benchAccounts)
@@ -255,10 +260,11 @@
 	}
 }
 
-// BenchmarkWait estimates a wait behind 8,200 accounts, as every admission does.
+// BenchmarkWait measures the estimate of a wait behind 8,200 accounts, which every
+// admission makes.
 func BenchmarkWait(b *testing.B) {
-	g := fill(OrderFair)
-	g.learn(time.Millisecond)
+	g := fullGate(OrderFair)
+	g.observeServiceTime(time.Millisecond)
 	for i := range benchAccounts {
 		g.queue.push(benchItem(i))
 	}
--- a/internal/state/admission/queue.go
+++ b/internal/state/admission/queue.go
@@ -1,31 +1,35 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package admission decides who goes next into a pool.
+// Package admission limits the calls in progress in a pool, and decides which waiting
+// call starts next.
 //
 // # Model
 //
 // Each pool has a Gate with a window: the number of calls that this entry may
-// have in progress there. While the window is open a call passes without a
-// lock. Otherwise it waits in the gate's Queue, which is three levels deep:
+// have in progress there. A call that finds the window open and the queue empty
+// passes without taking a lock. Otherwise it waits in the gate's queue, which has
+// three levels:
 //
-//	class of priority   weighted start-time fairness, ClassWeight(p) apart
-//	account             weighted start-time fairness within the class
-//	request             least slack first within the account
+//	priority class      weighted fair queuing, weights by ClassWeight
+//	client account      weighted start-time fair queuing within the class
+//	request             earliest latest start first within the account
 //
-// A class of priority p weighs four times that of p-1: it goes first for all
-// practical purposes, and a lower one still gets its small share.
+// Class p has four times the weight of class p-1. In practice it is served first,
+// and the lower class still gets a small share.
 //
-// The window follows what the targets say of their own queues: it grows by one
-// a window's worth of answers while they hardly wait, and shrinks by a tenth
-// when they do. So waiting happens here, where the table's order applies, and
-// entries that know nothing of each other come to share a pool.
+// The window follows the queuing times that targets report with their answers. It
+// grows by one call per window of answers while calls hardly wait at the targets,
+// and shrinks by a tenth when they do. So calls wait here, where the table's
+// priorities and weights apply, and entries that do not communicate converge on
+// sharing a pool.
 //
 // # Invariants
 //
 //   - A waiting call is granted, refused or canceled exactly once.
-//   - A call whose time is up leaves the queue at once, not when it is reached.
-//   - Work per call is O(log n) in the accounts and requests waiting.
+//   - A call leaves the queue as soon as its latest start passes, not when it comes to
+//     the head.
+//   - A call costs O(log n) in the number of waiting accounts and requests.
 package admission
 
 import (
@@ -34,81 +38,100 @@
 	"time"
 )
 
-// priorities is the number of classes of priority.
-const priorities = 10
+// numPriorities is the number of priority classes. Priorities are 0 to 9, the highest.
+const numPriorities = 10
 
-// ClassWeight is the weight of a class of priority against the others.
+// ClassWeight returns the weight of a priority class relative to the other classes.
 func ClassWeight(priority int) float64 { return math.Pow(4, float64(priority)) }
 
-// Item is one call that wants to pass a gate.
+// Item describes one call for Gate.Enter.
 type Item struct {
-	Account  string
-	Weight   float64
+	// Account is the client account that the call is queued under.
+	Account string
+	// Weight is the account's share within its priority class; 0 or less means 1.
+	Weight float64
+	// Priority is 0 to 9, the highest; other values are clamped.
 	Priority int
-	// Start is the latest moment at which starting still makes sense.
+	// Start is the latest time, by package clock, at which the call can start and still
+	// meet its deadline.
 	Start time.Time
-	// Cost is the expected work, in any unit that a pool's calls share.
+	// Cost is the expected work, in any unit common to a pool's calls; 0 or less means 1.
 	Cost float64
 
-	granted chan struct{}
-	shed    chan struct{}
-	timer   *time.Timer
-	state   itemState
-	index   int // in the account's heap, or in the arrival heap
-	arrival uint64
-	flow    *flow
+	granted chan struct{} // closed when the call may start
+	shed    chan struct{} // closed when the call is refused by Shed
+	timer   *time.Timer   // fires at Start
+	state   itemState     // guarded by the gate's mu
+	index   int           // in the account's heap, or in the arrival heap
+	arrival uint64        // sequence number of the push
+	flow    *flow         // nil in OrderArrival
 }
 
+// itemState is the state of a queued item.
 type itemState int
 
 const (
 	itemWaiting itemState = iota
 	itemGranted
-	itemGone
+	itemRemoved // timed out, canceled or shed
 )
 
 // Order is how a queue orders its items.
 type Order int
 
-// The orders. Arrival is the baseline that experiments compare with.
+// OrderFair orders by priority class, account and latest start. OrderArrival is first
+// come, first served, the baseline for experiments.
 const (
 	OrderFair Order = iota
 	OrderArrival
 )
 
-// queue is not safe for concurrent use; its gate locks it.
+// queue holds the waiting calls of a gate. It is not safe for concurrent use; the gate's
+// mu must be held.
 type queue struct {
-	order   Order
-	length  int
-	waiting [priorities]int
-	classes [priorities]class
-	virtual float64 // of the fairness between classes
-	arrived uint64
-	fifo    itemHeap
+	order  Order
+	length int
+	// waitingByPriority counts the items of each class.
+	waitingByPriority [numPriorities]int
+	classes           [numPriorities]class
+	// virtualTime is the finish tag of the item served last.
+	virtualTime float64
+	// arrivals counts all items ever pushed.
+	arrivals uint64
+	// fifo holds the items in OrderArrival.
+	fifo itemHeap
 }
 
-// class is the accounts with waiting items of one priority.
+// class is the set of accounts with waiting items of one priority.
 type class struct {
-	// tag is the finish tag of the class's next item, last that of the item
-	// served last. With start tags a low class would go second at once.
-	tag     float64
-	last    float64
-	virtual float64
-	flows   map[string]*flow
+	// finishTag is that of the class's next item, lastTag that of the item served last.
+	// The order of classes goes by finish tags because with start tags a low class that
+	// becomes backlogged would be served second.
+	finishTag float64
+	lastTag   float64
+	// virtualTime is the start tag of the flow served last.
+	virtualTime float64
+	// flowsByAccount holds the backlogged flows, and those that have been served ahead of
+	// virtualTime, so that their next items wait accordingly.
+	flowsByAccount map[string]*flow
+	// backlog orders the flows with waiting items.
 	backlog flowHeap
-	// weights sums the weights of the backlogged flows.
-	weights float64
+	// totalWeight sums the weights of the backlogged flows.
+	totalWeight float64
 }
 
 // flow is one account's waiting items.
 type flow struct {
 	account string
-	weight  float64
-	tag     float64
-	items   itemHeap
-	index   int
+	// weight is that of the item which began the backlog.
+	weight   float64
+	startTag float64 // of the next item
+	items    itemHeap
+	index    int // in the class's backlog
 }
 
+// push adds an item, and sets its defaults: the priority is clamped, weight and cost are 1
+// unless positive.
 func (q *queue) push(it *Item) {
 	it.Priority = clamp(it.Priority)
 	if it.Weight <= 0 {
@@ -117,10 +140,10 @@
 	if it.Cost <= 0 {
 		it.Cost = 1
 	}
-	q.arrived++
-	it.arrival = q.arrived
+	q.arrivals++
+	it.arrival = q.arrivals
 	q.length++
-	q.waiting[it.Priority]++
+	q.waitingByPriority[it.Priority]++
 	if q.order == OrderArrival {
 		q.fifo.byArrival = true
 		heap.Push(&q.fifo, it)
@@ -128,130 +151,135 @@
 	}
 	c := &q.classes[it.Priority]
 	if len(c.backlog) == 0 {
-		c.tag = max(c.last, q.virtual) + it.Cost/ClassWeight(it.Priority)
+		c.finishTag = max(c.lastTag, q.virtualTime) + it.Cost/ClassWeight(it.Priority)
 	}
 	f := c.flow(it.Account)
 	it.flow = f
 	heap.Push(&f.items, it)
 	if len(f.items.items) == 1 {
-		f.tag, f.weight = max(f.tag, c.virtual), it.Weight
-		c.weights += f.weight
+		f.startTag, f.weight = max(f.startTag, c.virtualTime), it.Weight
+		c.totalWeight += f.weight
 		heap.Push(&c.backlog, f)
 	}
 }
 
+// flow returns the account's flow, and creates it if need be.
 func (c *class) flow(account string) *flow {
-	if c.flows == nil {
-		c.flows = map[string]*flow{}
+	if c.flowsByAccount == nil {
+		c.flowsByAccount = map[string]*flow{}
 	}
-	f := c.flows[account]
+	f := c.flowsByAccount[account]
 	if f == nil {
 		f = &flow{account: account}
-		c.flows[account] = f
+		c.flowsByAccount[account] = f
 	}
 	return f
 }
 
-// pop takes the next item, nil when none waits.
+// pop removes and returns the next item, or nil if the queue is empty.
 func (q *queue) pop() *Item {
 	if q.length == 0 {
 		return nil
 	}
 	if q.order == OrderArrival {
 		it := heap.Pop(&q.fifo).(*Item)
-		q.count(it)
+		q.decrement(it)
 		return it
 	}
 	p := q.nextClass()
 	c := &q.classes[p]
 	f := c.backlog[0]
 	it := heap.Pop(&f.items).(*Item)
-	q.virtual, c.virtual, c.last = c.tag, f.tag, c.tag
-	c.tag += it.Cost / ClassWeight(p)
-	f.tag += it.Cost / it.Weight
-	c.settle(f)
-	q.count(it)
+	q.virtualTime, c.virtualTime, c.lastTag = c.finishTag, f.startTag, c.finishTag
+	c.finishTag += it.Cost / ClassWeight(p)
+	f.startTag += it.Cost / it.Weight
+	c.reposition(f)
+	q.decrement(it)
 	return it
 }
 
-// nextClass is the class with the least tag; of equals, the higher one.
+// nextClass returns the backlogged class with the smallest finish tag, the higher one of
+// equals, or -1 if there is none.
 func (q *queue) nextClass() int {
 	best := -1
-	for p := priorities - 1; p >= 0; p-- {
-		if len(q.classes[p].backlog) > 0 && (best < 0 || q.classes[p].tag < q.classes[best].tag) {
+	for p := numPriorities - 1; p >= 0; p-- {
+		if len(q.classes[p].backlog) > 0 && (best < 0 || q.classes[p].finishTag < q.classes[best].finishTag) {
 			best = p
 		}
 	}
 	return best
 }
 
-// settle puts a flow in its place after its items or tag changed.
-func (c *class) settle(f *flow) {
+// reposition restores the order of the backlog after a change of f's items or tag, and
+// removes f from it when f has no items left.
+func (c *class) reposition(f *flow) {
 	if len(f.items.items) > 0 {
 		heap.Fix(&c.backlog, f.index)
 		return
 	}
 	heap.Remove(&c.backlog, f.index)
-	c.weights -= f.weight
-	if f.tag <= c.virtual {
-		delete(c.flows, f.account) // it owes nothing
+	c.totalWeight -= f.weight
+	if f.startTag <= c.virtualTime {
+		delete(c.flowsByAccount, f.account) // it has had no more than its share
 	}
 	if len(c.backlog) == 0 {
-		c.flows = nil // nobody waits: debts are forgotten
-		c.virtual, c.weights = 0, 0
+		c.flowsByAccount = nil // no competitors: earlier service no longer counts
+		c.virtualTime, c.totalWeight = 0, 0
 	}
 }
 
-// remove takes out an item that is waiting.
+// remove removes a waiting item.
 func (q *queue) remove(it *Item) {
-	q.count(it)
+	q.decrement(it)
 	if q.order == OrderArrival {
 		heap.Remove(&q.fifo, it.index)
 		return
 	}
 	heap.Remove(&it.flow.items, it.index)
-	q.classes[it.Priority].settle(it.flow)
+	q.classes[it.Priority].reposition(it.flow)
 }
 
-func (q *queue) count(it *Item) {
+// decrement uncounts an item that leaves the queue.
+func (q *queue) decrement(it *Item) {
 	q.length--
-	q.waiting[it.Priority]--
+	q.waitingByPriority[it.Priority]--
 }
 
-// above is the number of items of higher priorities.
-func (q *queue) above(priority int) int {
+// waitingAbove returns the number of waiting items of higher priorities.
+func (q *queue) waitingAbove(priority int) int {
 	n := 0
-	for p := priority + 1; p < priorities; p++ {
-		n += q.waiting[p]
+	for p := priority + 1; p < numPriorities; p++ {
+		n += q.waitingByPriority[p]
 	}
 	return n
 }
 
-// ahead is about how many items go before the one at a position (from 0) of an
-// account's flow: those of higher priorities, and in its own class the fair
-// part of the other accounts.
-func (q *queue) ahead(account string, weight float64, priority, position int) float64 {
-	n := float64(q.above(priority))
+// itemsAhead estimates how many items are served before the one at a position (from 0) of
+// an account's flow: all of higher priorities, and in its own class those of the other
+// accounts according to their weights. In OrderArrival it is the whole queue.
+func (q *queue) itemsAhead(account string, weight float64, priority, position int) float64 {
+	n := float64(q.waitingAbove(priority))
 	if q.order == OrderArrival {
 		return float64(q.length)
 	}
 	c := &q.classes[priority]
-	weights := c.weights
-	if f := c.flows[account]; f == nil || len(f.items.items) == 0 {
-		weights += weight
+	totalWeight := c.totalWeight
+	if f := c.flowsByAccount[account]; f == nil || len(f.items.items) == 0 {
+		totalWeight += weight
 	}
-	return n + min(float64(position)*weights/weight, float64(q.waiting[priority]))
+	return n + min(float64(position)*totalWeight/weight, float64(q.waitingByPriority[priority]))
 }
 
-// queued is how many items of an account wait in a class.
-func (q *queue) queued(account string, priority int) int {
-	if f := q.classes[priority].flows[account]; f != nil {
+// accountLength returns the number of an account's items that wait in a class.
+func (q *queue) accountLength(account string, priority int) int {
+	if f := q.classes[priority].flowsByAccount[account]; f != nil {
 		return len(f.items.items)
 	}
 	return 0
 }
 
-// itemHeap orders by latest start, or by arrival.
+// itemHeap is a heap of items by latest start, equal ones by arrival, or by arrival alone.
+// It keeps each item's index.
 type itemHeap struct {
 	items     []*Item
 	byArrival bool
@@ -282,11 +310,11 @@
 	return it
 }
 
-// flowHeap orders by start tag.
+// flowHeap is a heap of flows by start tag. It keeps each flow's index.
 type flowHeap []*flow
 
 func (h flowHeap) Len() int           { return len(h) }
-func (h flowHeap) Less(i, j int) bool { return h[i].tag < h[j].tag }
+func (h flowHeap) Less(i, j int) bool { return h[i].startTag < h[j].startTag }
 func (h flowHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].index, h[j].index = i, j
