--- a/internal/state/clock/clock.go
+++ b/internal/state/clock/clock.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// watchEvery is how often it is looked whether the instance was suspended: half of
-	// what a belief may age unnoticed beside the tenths of a second that news takes. A look
-	// costs 0.4 us.
-	watchEvery = 50 * time.Millisecond
-	// least is the shortest suspension that counts: the two clocks are read one after the
-	// other, and a process may lose its processor in between.
-	least = 20 * time.Millisecond
-	// samples is how often the clocks are compared at the start.
-	samples = 5
+	// watchInterval is the interval between checks for a suspension. It is half of the age
+	// that cached state may gain unnoticed, and short against the tenths of a second that
+	// updates take to arrive. A check costs 0.4 us.
+	watchInterval = 50 * time.Millisecond
+	// minSuspension is the shortest suspension that counts. The two clocks are read one
+	// after the other, and the process may be descheduled in between.
+	minSuspension = 20 * time.Millisecond
+	// calibrationSamples is how many further times the clocks are compared at the start;
+	// the largest offset is the one least delayed by descheduling.
+	calibrationSamples = 5
 )
 
-// boot reads the clock that goes on while an instance is suspended.
-var boot atomic.Pointer[func() time.Duration]
+// bootClock returns the time of the clock that continues while an instance is suspended:
+// CLOCK_BOOTTIME, or its replacement by Simulate.
+var bootClock atomic.Pointer[func() time.Duration]
 
-// bootTime reads CLOCK_BOOTTIME, 0 where it is not to be had.
+// bootTime returns the time since boot by CLOCK_BOOTTIME, or 0 if it is unavailable.
 func bootTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &t) != nil {
@@ -36,106 +38,109 @@
 	return time.Duration(t.Nano())
 }
 
-// state is what is known of suspensions.
+// state records the suspensions of the instance.
 var state struct {
-	asleep atomic.Int64 // how long the instance was suspended since the start
-	woken  atomic.Pointer[chan struct{}]
+	suspended atomic.Int64 // total duration of suspensions since start, in nanoseconds
+	// resumed is closed at the end of the next suspension; nil while Watch is not running.
+	resumed atomic.Pointer[chan struct{}]
 
-	wakes sync.Map // *func(), called at the end of each suspension, to nothing
+	// resumeCallbacks is a set of *func(), called at the end of each suspension.
+	resumeCallbacks sync.Map
 
-	mu    sync.Mutex
+	mu    sync.Mutex // serializes changes of the fields
 	start time.Time
-	base  time.Duration // CLOCK_BOOTTIME less the steady clock, without suspensions
+	// baseOffset is CLOCK_BOOTTIME minus the monotonic clock, without suspensions.
+	baseOffset time.Duration
 }
 
 func init() {
-	own := bootTime
-	boot.Store(&own)
-	restart()
+	read := bootTime
+	bootClock.Store(&read)
+	recalibrate()
 }
 
-// Simulate has another clock take CLOCK_BOOTTIME's place, for tests, until restore is
-// called.
+// Simulate replaces CLOCK_BOOTTIME by another clock, for tests, until restore is called.
 func Simulate(other func() time.Duration) (restore func()) {
-	before := boot.Swap(&other)
-	restart()
+	previous := bootClock.Swap(&other)
+	recalibrate()
 	return func() {
-		boot.Store(before)
-		restart()
+		bootClock.Store(previous)
+		recalibrate()
 	}
 }
 
-// restart begins to count anew.
-func restart() {
+// recalibrate forgets past suspensions and measures the offset of the clocks.
+func recalibrate() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
 	state.start = time.Now()
-	state.asleep.Store(0)
-	state.base = ahead()
-	for range samples {
-		state.base = max(state.base, ahead())
+	state.suspended.Store(0)
+	state.baseOffset = bootOffset()
+	for range calibrationSamples {
+		state.baseOffset = max(state.baseOffset, bootOffset())
 	}
 }
 
-// ahead is by how much CLOCK_BOOTTIME is ahead of the steady clock, or less when the
-// process lost its processor between the two.
-func ahead() time.Duration { return (*boot.Load())() - time.Since(state.start) }
+// bootOffset returns CLOCK_BOOTTIME minus the time of the monotonic clock since start, or
+// less if the process was descheduled between the two readings.
+func bootOffset() time.Duration { return (*bootClock.Load())() - time.Since(state.start) }
 
-// Now is the present time. Its time of day means nothing.
-func Now() time.Time { return time.Now().Add(time.Duration(state.asleep.Load())) }
+// Now returns the current time by this clock. Its time of day is meaningless.
+func Now() time.Time { return time.Now().Add(time.Duration(state.suspended.Load())) }
 
-// origin is where stamps count from: long before any time that is stamped, so that 0 may
-// stand for never.
+// origin is the zero point of stamps. It is long before any stamped time, so that the
+// stamp 0 can mean never.
 var origin = time.Now().Add(-100 * 365 * 24 * time.Hour)
 
-// Stamp is t as a number of nanoseconds, for atomic variables. The time of day, which may
-// jump, is no part of it.
+// Stamp returns t in nanoseconds since a fixed origin, for atomic variables. It does not
+// depend on the time of day, which may jump.
 func Stamp(t time.Time) int64 { return int64(t.Sub(origin)) }
 
-// Since is the time since t, suspensions included.
+// Since returns the time elapsed since t, including suspensions.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until is the time until t.
+// Until returns the time left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Check looks whether the instance was suspended, and returns for how long, 0 if it was
-// not.
+// Check detects a suspension that was not yet recorded, adds it to this clock and returns
+// its duration, or 0 if there was none.
 func Check() time.Duration {
-	slept := ahead() - state.base - time.Duration(state.asleep.Load())
-	if slept < least {
+	duration := bootOffset() - state.baseOffset - time.Duration(state.suspended.Load())
+	if duration < minSuspension {
 		return 0
 	}
-	return wake()
+	return recordSuspension()
 }
 
-// wake takes in a suspension.
-func wake() time.Duration {
+// recordSuspension adds a suspension to the clock, ends pauses and calls the callbacks. It
+// returns the duration, or 0 if another goroutine has recorded it.
+func recordSuspension() time.Duration {
 	state.mu.Lock()
 	defer state.mu.Unlock()
-	slept := ahead() - state.base - time.Duration(state.asleep.Load())
-	if slept < least {
-		return 0 // another one took it in
+	duration := bootOffset() - state.baseOffset - time.Duration(state.suspended.Load())
+	if duration < minSuspension {
+		return 0 // recorded by another goroutine
 	}
-	state.asleep.Add(int64(slept))
-	if woken := state.woken.Load(); woken != nil {
+	state.suspended.Add(int64(duration))
+	if resumed := state.resumed.Load(); resumed != nil {
 		next := make(chan struct{})
-		state.woken.Store(&next)
-		close(*woken)
+		state.resumed.Store(&next)
+		close(*resumed)
 	}
-	state.wakes.Range(func(f, _ any) bool {
-		(*f.(*func()))()
+	state.resumeCallbacks.Range(func(callback, _ any) bool {
+		(*callback.(*func()))()
 		return true
 	})
-	return slept
+	return duration
 }
 
-// Watch looks for suspensions until ctx ends, and tells of each. Only while it runs are
-// pauses ended by one.
+// Watch checks for suspensions every watchInterval until ctx ends, and calls suspended
+// with the duration of each that it detects. Woken works only while Watch runs.
 func Watch(ctx context.Context, suspended func(time.Duration)) {
-	woken := make(chan struct{})
-	state.woken.Store(&woken)
-	defer state.woken.Store(nil)
-	tick := time.NewTicker(watchEvery)
+	resumed := make(chan struct{})
+	state.resumed.Store(&resumed)
+	defer state.resumed.Store(nil)
+	tick := time.NewTicker(watchInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -143,28 +148,30 @@
 			return
 		case <-tick.C:
 		}
-		if slept := Check(); slept > 0 {
-			suspended(slept)
+		if duration := Check(); duration > 0 {
+			suspended(duration)
 		}
 	}
 }
 
-// Woken is closed at the end of the next suspension; nil while nobody watches.
+// Woken returns a channel that is closed at the end of the next suspension, or nil while
+// Watch is not running.
 func Woken() <-chan struct{} {
-	if woken := state.woken.Load(); woken != nil {
-		return *woken
+	if resumed := state.resumed.Load(); resumed != nil {
+		return *resumed
 	}
 	return nil
 }
 
-// WithDeadline is context.WithDeadline by this clock. A context whose deadline comes
-// nearer by a suspension is canceled at it.
+// WithDeadline is context.WithDeadline for a time of this clock. After a suspension the
+// context is canceled at t, which its own timer would reach late; its error is then
+// context.Canceled.
 func WithDeadline(ctx context.Context, t time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, Until(t))
-	nearer := func() { time.AfterFunc(Until(t), cancel) }
-	state.wakes.Store(&nearer, struct{}{})
+	rearm := func() { time.AfterFunc(Until(t), cancel) }
+	state.resumeCallbacks.Store(&rearm, struct{}{})
 	return ctx, func() {
-		state.wakes.Delete(&nearer)
+		state.resumeCallbacks.Delete(&rearm)
 		cancel()
 	}
 }
--- a/internal/state/clock/doc.go
+++ b/internal/state/clock/doc.go
@@ -1,22 +1,24 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock is the clock by which ages and deadlines count.
+// Package clock provides a clock for ages and deadlines that includes the time during
+// which the instance was suspended.
 //
 // # Model
 //
-// An instance may be suspended for seconds. The steady clock, by which Go's time and its
-// timers run, stands meanwhile: what was believed a moment before the suspension would be
-// a moment old after it. CLOCK_BOOTTIME goes on. So the difference of the two is looked at
-// often, and whatever it has grown by is added to the steady clock.
+// An instance may be suspended for seconds. The monotonic clock, which Go's time and
+// timers use, stops meanwhile: state cached just before the suspension would look fresh
+// after it. CLOCK_BOOTTIME continues. So the difference of the two clocks is checked
+// often, and its growth is added to the monotonic clock.
 //
-// Timers that run while an instance is suspended end late by that time. Those that matter
-// are told of the end of a suspension: contexts by WithDeadline, and pauses by Woken.
+// Timers that run during a suspension fire late by its duration. WithDeadline corrects
+// this for contexts, and Woken for pauses.
 //
 // # Invariants
 //
-//   - Times of this clock are compared with times of this clock only, and become timers by
-//     Until alone. The time of day decides nothing.
-//   - It never goes back.
-//   - A suspension is noticed within watchEvery of its end, and before the next request.
+//   - Times of this clock are compared only with times of this clock, and converted to
+//     timers only by Until. Nothing depends on the time of day.
+//   - The clock never goes backwards.
+//   - A suspension is detected within watchInterval of its end, and before the next
+//     request is served.
 package clock
