--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -14,56 +14,60 @@
 )
 
 const (
-	// affinityBound is how far above the pool's mean load the target of a
-	// prefix may be and still get its calls.
-	affinityBound = 1.25
-	// retryShare is the part of calls that may be retries; retryBurst the
-	// most that a quiet pool saves up.
+	// maxAffinityLoadFactor is the load, as a multiple of the pool's mean, up to which a
+	// target gets the calls whose prefix hashes to it. One call more is allowed, since the
+	// mean is 0 in an idle pool.
+	maxAffinityLoadFactor = 1.25
+	// retryShare is the number of retries that a call adds to the budget; retryBurst is the
+	// largest budget, in retries, that a pool accumulates.
 	retryShare = 0.05
 	retryBurst = 4
 )
 
-// Choice is how targets are chosen.
+// Choice is the method by which a pool chooses targets.
 type Choice int
 
-// The choices. Random is the baseline that experiments compare with.
+// ChoiceLoad chooses by load and expected latency. ChoiceRandom chooses at random, the
+// baseline for experiments.
 const (
 	ChoiceLoad Choice = iota
 	ChoiceRandom
 )
 
-// Pool is one pool's targets.
+// Pool holds the targets of one pool. It is safe for concurrent use.
 type Pool struct {
-	Name    string
-	choice  Choice
-	prefix  bool
-	targets atomic.Pointer[[]*Target]
-	// budget is retries saved up, in thousandths.
-	budget atomic.Int64
+	Name           string
+	policy         Choice
+	prefixAffinity bool
+	targets        atomic.Pointer[[]*Target]
+	// retryBudget is in thousandths of a retry.
+	retryBudget atomic.Int64
 }
 
-// NewPool makes an empty pool. With prefix set, engines' calls go to the
-// target of their prompt's prefix first.
-func NewPool(name string, choice Choice, prefix bool) *Pool {
-	p := &Pool{Name: name, choice: choice, prefix: prefix}
+// NewPool returns a pool without targets and with a full retry budget. With prefixAffinity
+// a call with a prefix hash goes to the target that the prefix hashes to, if that is not
+// overloaded.
+func NewPool(name string, choice Choice, prefixAffinity bool) *Pool {
+	p := &Pool{Name: name, policy: choice, prefixAffinity: prefixAffinity}
 	p.targets.Store(&[]*Target{})
-	p.budget.Store(retryBurst * 1000)
+	p.retryBudget.Store(retryBurst * 1000)
 	return p
 }
 
-// Update replaces the list of targets; those that stay keep their counters.
+// Update replaces the list of targets. Targets whose ID and address were in the previous
+// list keep their counters. Calls of Update must not overlap.
 func (p *Pool) Update(list []hookhall.Target) {
-	old := map[string]*Target{}
+	previous := map[string]*Target{} // by ID@address
 	for _, t := range *p.targets.Load() {
-		old[t.ID+"@"+t.Address] = t
+		previous[t.ID+"@"+t.Address] = t
 	}
 	next := make([]*Target, 0, len(list))
 	for _, d := range list {
-		t := old[d.ID+"@"+d.Address]
+		t := previous[d.ID+"@"+d.Address]
 		if t == nil {
 			t = &Target{Target: d}
 		} else if t.Target != d {
-			t = t.with(d)
+			t = t.withData(d)
 		}
 		next = append(next, t)
 	}
@@ -71,36 +75,38 @@
 	p.targets.Store(&next)
 }
 
-// with returns a Target for changed data. Counters are carried over; calls
-// that are in progress end on the old one, so its in-flight count is not.
-func (t *Target) with(d hookhall.Target) *Target {
+// withData returns a Target for changed data. It copies the report, the latency, the
+// ejection, the refusal and the count of calls. It does not copy inflight, because the calls
+// in progress end on the old Target.
+func (t *Target) withData(d hookhall.Target) *Target {
 	n := &Target{Target: d}
 	n.report.Store(t.report.Load())
 	n.latency.Store(t.latency.Load())
 	n.failures.Store(t.failures.Load())
-	n.ejected.Store(t.ejected.Load())
-	n.refused.Store(t.refused.Load())
+	n.ejectedUntil.Store(t.ejectedUntil.Load())
+	n.refusedUntil.Store(t.refusedUntil.Load())
 	n.calls.Store(t.calls.Load())
 	return n
 }
 
-// Targets returns the current list; it must not be changed.
+// Targets returns the current list, ordered by ID. Callers must not modify it.
 func (p *Pool) Targets() []*Target { return *p.targets.Load() }
 
-// Capacity sums what the pool's usable targets run at once.
+// Capacity returns the number of calls that the pool's usable targets can run at once.
 func (p *Pool) Capacity(now time.Time) int {
-	sum := 0
+	total := 0
 	for _, t := range p.Targets() {
 		if t.usable(now) {
-			sum += t.Capacity()
+			total += t.Capacity()
 		}
 	}
-	return sum
+	return total
 }
 
-// Pick chooses a target for a call whose input has the prefix hash, leaving
-// out those already tried unless there is no other. It returns nil when no
-// target is usable, and an ejected one only as its probe.
+// Pick chooses a target for a call whose input has the given prefix hash, 0 for none. It
+// prefers targets whose IDs are not in tried. A target whose ejection is over is chosen
+// for one call, its probe. Without a usable target it returns any target that is not
+// leaving, and nil if there is none or other calls have just claimed all probes.
 func (p *Pool) Pick(prefix uint64, tried []string, now time.Time) *Target {
 	usable := p.usable(tried, now)
 	if len(usable) == 0 && len(tried) > 0 {
@@ -119,21 +125,23 @@
 	return nil
 }
 
-// pickEjected chooses among targets that are left out for failing, when there are
-// no others: when a whole pool fails often, some of its calls still succeed.
+// pickEjected returns a random target that is not leaving, ejected or not, or nil. It is
+// used when no target is usable: in a pool that fails often as a whole, some calls still
+// succeed.
 func (p *Pool) pickEjected(now time.Time) *Target {
-	var staying []*Target
+	var candidates []*Target
 	for _, t := range p.Targets() {
 		if !t.IsLeaving(now) {
-			staying = append(staying, t)
+			candidates = append(candidates, t)
 		}
 	}
-	if len(staying) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	return staying[rand.IntN(len(staying))]
+	return candidates[rand.IntN(len(candidates))]
 }
 
+// usable returns the usable targets whose IDs are not in tried.
 func (p *Pool) usable(tried []string, now time.Time) []*Target {
 	all := p.Targets()
 	usable := make([]*Target, 0, len(all))
@@ -145,15 +153,16 @@
 	return usable
 }
 
+// choose returns the index in ts, which must not be empty, of the target for a call.
 func (p *Pool) choose(ts []*Target, prefix uint64, now time.Time) int {
 	if len(ts) == 1 {
 		return 0
 	}
-	if p.choice == ChoiceRandom {
+	if p.policy == ChoiceRandom {
 		return rand.IntN(len(ts))
 	}
-	if p.prefix && prefix != 0 {
-		if i := preferred(ts, prefix, now); i >= 0 {
+	if p.prefixAffinity && prefix != 0 {
+		if i := affinityIndex(ts, prefix, now); i >= 0 {
 			return i
 		}
 	}
@@ -167,49 +176,51 @@
 	return a
 }
 
-// preferred is the target that the prefix hashes to, -1 when it is too loaded
-// or far slower than the others.
-func preferred(ts []*Target, prefix uint64, now time.Time) int {
-	best, top := 0, uint64(0)
-	var load, pace float64
+// affinityIndex returns the index in ts of the target that the prefix hashes to (rendezvous
+// hashing). It returns -1 if that one's load exceeds the limit, or its expected latency is
+// more than twice the mean.
+func affinityIndex(ts []*Target, prefix uint64, now time.Time) int {
+	best, highest := 0, uint64(0)
+	var totalLoad, totalLatency float64
 	for i, t := range ts {
-		load += t.load()
-		pace += t.pace(now)
-		if s := xxhash.Sum64String(t.ID) ^ prefix*0x9e3779b97f4a7c15; s >= top {
-			best, top = i, s
+		totalLoad += t.load()
+		totalLatency += t.expectedLatency(now)
+		if s := xxhash.Sum64String(t.ID) ^ prefix*0x9e3779b97f4a7c15; s >= highest {
+			best, highest = i, s
 		}
 	}
 	n := float64(len(ts))
 	t := ts[best]
-	if t.load() > affinityBound*(load/n)+1/float64(t.Capacity()) {
+	if t.load() > maxAffinityLoadFactor*(totalLoad/n)+1/float64(t.Capacity()) {
 		return -1
 	}
-	if t.pace(now) > 2*pace/n {
+	if t.expectedLatency(now) > 2*totalLatency/n {
 		return -1
 	}
 	return best
 }
 
-// Earn adds a call's share to the retry budget.
+// Earn adds the share of one call to the retry budget. It is called once per call.
 func (p *Pool) Earn() {
-	if p.budget.Load() < retryBurst*1000 {
-		p.budget.Add(int64(retryShare * 1000))
+	if p.retryBudget.Load() < retryBurst*1000 {
+		p.retryBudget.Add(int64(retryShare * 1000))
 	}
 }
 
-// SpendRetry takes one retry from the budget; false when it is spent.
+// SpendRetry takes one retry from the budget, or reports false if less than one is left.
 func (p *Pool) SpendRetry() bool {
 	for {
-		b := p.budget.Load()
-		if b < 1000 {
+		budget := p.retryBudget.Load()
+		if budget < 1000 {
 			return false
 		}
-		if p.budget.CompareAndSwap(b, b-1000) {
+		if p.retryBudget.CompareAndSwap(budget, budget-1000) {
 			return true
 		}
 	}
 }
 
+// contains reports whether list contains s.
 func contains(list []string, s string) bool {
 	for _, x := range list {
 		if x == s {
--- a/internal/state/routing/routing_test.go
+++ b/internal/state/routing/routing_test.go
@@ -12,6 +12,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// targets returns n targets, ordered by ID.
 func targets(n int) []hookhall.Target {
 	var list []hookhall.Target
 	for i := range n {
@@ -20,6 +21,7 @@
 	return list
 }
 
+// poolOf returns a pool of n targets that chooses by load, without prefix affinity.
 func poolOf(n int) *Pool {
 	p := NewPool("p", ChoiceLoad, false)
 	p.Update(targets(n))
@@ -29,10 +31,10 @@
 func TestPool(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	Convey("A pool", t, func() {
-		Convey("without targets has none to give", func() {
+		Convey("without targets picks none", func() {
 			So(poolOf(0).Pick(0, nil, now), ShouldBeNil)
 		})
-		Convey("gives no new call to a target that is leaving, whoever says so", func() {
+		Convey("gives no new call to a target that is leaving by its refusal or by the list", func() {
 			p := poolOf(2)
 			p.Targets()[0].Refused(now)
 			for range 50 {
@@ -42,36 +44,36 @@
 			list[1].Leaving = true
 			p.Update(list)
 			So(p.Pick(0, nil, now), ShouldBeNil)
-			Convey("and believes a refusal for a while only", func() {
-				So(p.Pick(0, nil, now.Add(2*refusalHold)).ID, ShouldEqual, "t000")
+			Convey("and forgets a refusal after its time to live", func() {
+				So(p.Pick(0, nil, now.Add(2*refusalTTL)).ID, ShouldEqual, "t000")
 			})
 		})
-		Convey("leaves a target out that fails in a row, and tries it with one call", func() {
+		Convey("ejects a target after consecutive failures, then probes it with one call", func() {
 			p := poolOf(2)
-			bad := p.Targets()[0]
-			for range ejectAfter {
-				bad.Begin(now)
-				bad.End(time.Millisecond, true, now)
+			failing := p.Targets()[0]
+			for range ejectAfterFailures {
+				failing.Begin(now)
+				failing.End(time.Millisecond, true, now)
 			}
 			for range 50 {
 				So(p.Pick(0, nil, now).ID, ShouldEqual, "t001")
 			}
-			later := now.Add(2 * ejectFirst)
-			tries := 0
+			later := now.Add(2 * minEjection)
+			probes := 0
 			for range 200 {
-				if p.Pick(0, nil, later) == bad {
-					tries++
+				if p.Pick(0, nil, later) == failing {
+					probes++
 				}
 			}
-			So(tries, ShouldEqual, 1)
-			bad.Begin(now)
-			bad.End(time.Millisecond, false, later)
-			So(bad.usable(later), ShouldBeTrue)
+			So(probes, ShouldEqual, 1)
+			failing.Begin(now)
+			failing.End(time.Millisecond, false, later)
+			So(failing.usable(later), ShouldBeTrue)
 		})
-		Convey("gives a failing target rather than none, but never a leaving one", func() {
+		Convey("picks an ejected target if there is no other, but never a leaving one", func() {
 			p := poolOf(2)
 			for _, x := range p.Targets() {
-				for range ejectAfter {
+				for range ejectAfterFailures {
 					x.Begin(now)
 					x.End(time.Millisecond, true, now)
 				}
@@ -82,14 +84,14 @@
 				So(p.Pick(0, nil, now).ID, ShouldEqual, "t001")
 			}
 		})
-		Convey("takes a call cut off at its deadline for a slow one", func() {
+		Convey("counts a call cut off at its deadline as slow", func() {
 			p := poolOf(2)
-			p.Targets()[0].learn(10 * time.Millisecond)
+			p.Targets()[0].observeLatency(10 * time.Millisecond)
 			p.Targets()[1].Begin(now)
 			p.Targets()[1].Late(time.Second)
 			So(p.Pick(0, nil, now).ID, ShouldEqual, "t000")
 		})
-		Convey("prefers the less loaded and the faster", func() {
+		Convey("prefers the target with less load or lower latency", func() {
 			p := poolOf(2)
 			for range 5 {
 				p.Targets()[0].Begin(now)
@@ -97,15 +99,15 @@
 			for range 20 {
 				So(p.Pick(0, nil, now).ID, ShouldEqual, "t001")
 			}
-			q := poolOf(2)
-			q.Targets()[0].learn(time.Second)
-			q.Targets()[1].learn(time.Millisecond)
-			So(q.Pick(0, nil, now).ID, ShouldEqual, "t001")
+			unequal := poolOf(2)
+			unequal.Targets()[0].observeLatency(time.Second)
+			unequal.Targets()[1].observeLatency(time.Millisecond)
+			So(unequal.Pick(0, nil, now).ID, ShouldEqual, "t001")
 		})
-		Convey("sees that a target has turned slow before its calls end", func() {
+		Convey("recognizes a target that turned slow before its calls end", func() {
 			p := poolOf(2)
 			for _, x := range p.Targets() {
-				x.learn(10 * time.Millisecond)
+				x.observeLatency(10 * time.Millisecond)
 				x.Begin(now)
 			}
 			later := now.Add(100 * time.Millisecond)
@@ -113,12 +115,12 @@
 			p.Targets()[1].End(10*time.Millisecond, false, later)
 			So(p.Pick(0, nil, later.Add(time.Millisecond)).ID, ShouldEqual, "t001")
 		})
-		Convey("avoids targets already tried while there are others", func() {
+		Convey("avoids targets already tried if there are others", func() {
 			p := poolOf(2)
 			So(p.Pick(0, []string{"t000"}, now).ID, ShouldEqual, "t001")
 			So(p.Pick(0, []string{"t000", "t001"}, now), ShouldNotBeNil)
 		})
-		Convey("sends a prefix to its target until that is too loaded", func() {
+		Convey("sends calls of a prefix to one target until its load exceeds the limit", func() {
 			p := NewPool("p", ChoiceLoad, true)
 			p.Update(targets(4))
 			first := p.Pick(42, nil, now)
@@ -130,29 +132,29 @@
 			}
 			So(p.Pick(42, nil, now), ShouldNotEqual, first)
 		})
-		Convey("keeps counters of targets that stay", func() {
+		Convey("keeps the counters of targets that stay listed", func() {
 			p := poolOf(2)
 			p.Targets()[0].Begin(now)
 			p.Update(targets(3))
 			So(p.Targets()[0].inflight.Load(), ShouldEqual, 1)
 		})
-		Convey("lets retries be a small share of calls", func() {
+		Convey("limits retries to a small share of calls", func() {
 			p := poolOf(1)
 			for p.SpendRetry() {
 			}
-			spent := 0
+			retries := 0
 			for range 1000 {
 				p.Earn()
 				if p.SpendRetry() {
-					spent++
+					retries++
 				}
 			}
-			So(spent, ShouldBeBetween, 1000*retryShare-3, 1000*retryShare+3)
+			So(retries, ShouldBeBetween, 1000*retryShare-3, 1000*retryShare+3)
 		})
 	})
 }
 
-// BenchmarkPick chooses among as many targets as an entry works with.
+// BenchmarkPick measures Pick among 4 and among 32 targets, the usual numbers for an entry.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{4, 32} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/state/routing/target.go
+++ b/internal/state/routing/target.go
@@ -12,75 +12,86 @@
 )
 
 const (
-	// ejectAfter consecutive failures a target is left out.
-	ejectAfter = 4
-	ejectFirst = 500 * time.Millisecond
-	ejectMost  = 15 * time.Second
-	// refusalHold is how long a refusal as leaving is believed without news.
-	refusalHold = 15 * time.Second
-	// slowest bounds the latency average of one answer.
-	slowest = 30 * time.Second
+	// ejectAfterFailures is the number of consecutive failures that ejects a target: it is
+	// not chosen for a time that starts at minEjection and doubles with each further
+	// failure up to maxEjection.
+	ejectAfterFailures = 4
+	minEjection        = 500 * time.Millisecond
+	maxEjection        = 15 * time.Second
+	// refusalTTL is how long a target counts as leaving after it last refused a call as
+	// leaving or reported so.
+	refusalTTL = 15 * time.Second
+	// maxLatencySample bounds the duration that one call adds to the average latency.
+	maxLatencySample = 30 * time.Second
 )
 
-// Target is a back end with what this entry knows of it. All fields but the
-// embedded ones are atomics, written by many threads.
+// Target is a target with this entry's measurements of it. It is safe for concurrent use:
+// all fields but the embedded ones are atomics.
 type Target struct {
 	hookhall.Target
 	inflight atomic.Int64
-	report   atomic.Pointer[hookhall.LoadReport]
+	// report is the last load report, nil without one.
+	report atomic.Pointer[hookhall.LoadReport]
 	// latency is a moving average in nanoseconds, 0 without data.
-	latency  atomic.Int64
+	latency atomic.Int64
+	// failures counts consecutive failures.
 	failures atomic.Int64
-	// ejected is until when (clock.Stamp) the target is left out.
-	ejected atomic.Int64
-	// refused is until when (clock.Stamp) a refusal as leaving is believed.
-	refused atomic.Int64
-	calls   atomic.Int64
-	// heard is when (clock.Stamp) a report last came.
-	heard atomic.Int64
-	// moved is when (clock.Stamp) a call last ended here, or the first of those in
-	// progress began.
-	moved atomic.Int64
-}
-
-// Begin counts a call as in progress.
+	// ejectedUntil is the end (clock.Stamp) of the ejection, 0 while there is none.
+	ejectedUntil atomic.Int64
+	// refusedUntil is until when (clock.Stamp) the target counts as leaving because of a
+	// refusal or report.
+	refusedUntil atomic.Int64
+	// calls counts all calls begun.
+	calls atomic.Int64
+	// reportedAt is when (clock.Stamp) the last report was received.
+	reportedAt atomic.Int64
+	// lastProgress is when (clock.Stamp) a call last ended by End or, if later, when a call
+	// began while no other was in progress.
+	lastProgress atomic.Int64
+}
+
+// Begin counts a call as in progress. The caller must call one of End, Cancel and Late
+// when it ends.
 func (t *Target) Begin(now time.Time) {
 	if t.inflight.Add(1) == 1 {
-		t.moved.Store(clock.Stamp(now))
+		t.lastProgress.Store(clock.Stamp(now))
 	}
 	t.calls.Add(1)
 }
 
-// End counts a call's end. Failed tells failures of the target from refusals
-// and cancellations, which say nothing of its health.
+// End counts the end of a call that ran for busy. failed means a failure of the target; it
+// counts towards ejection. Refusals and cancellations say nothing of the target's health
+// and end with Cancel.
 func (t *Target) End(busy time.Duration, failed bool, now time.Time) {
 	t.inflight.Add(-1)
-	t.moved.Store(clock.Stamp(now))
+	t.lastProgress.Store(clock.Stamp(now))
 	if !failed {
 		t.failures.Store(0)
-		t.ejected.Store(0)
-		t.learn(busy)
+		t.ejectedUntil.Store(0)
+		t.observeLatency(busy)
 		return
 	}
-	n := t.failures.Add(1)
-	if n >= ejectAfter {
-		pause := min(ejectFirst<<min(n-ejectAfter, 10), ejectMost)
-		t.ejected.Store(clock.Stamp(now.Add(pause)))
+	failures := t.failures.Add(1)
+	if failures >= ejectAfterFailures {
+		ejection := min(minEjection<<min(failures-ejectAfterFailures, 10), maxEjection)
+		t.ejectedUntil.Store(clock.Stamp(now.Add(ejection)))
 	}
 }
 
-// Cancel counts a call's end that says nothing of the target.
+// Cancel counts the end of a call whose outcome says nothing of the target's health.
 func (t *Target) Cancel() { t.inflight.Add(-1) }
 
-// Late counts a call that was cut off at its deadline: it would have taken
-// longer still, and a target that is slow must not look idle.
+// Late counts the end of a call that was cut off at its deadline after took. The duration
+// goes into the average latency, although the call would have taken longer still, so that
+// a slow target does not look idle.
 func (t *Target) Late(took time.Duration) {
 	t.inflight.Add(-1)
-	t.learn(took)
+	t.observeLatency(took)
 }
 
-func (t *Target) learn(busy time.Duration) {
-	busy = min(busy, slowest)
+// observeLatency adds a duration, at most maxLatencySample, to the moving average.
+func (t *Target) observeLatency(busy time.Duration) {
+	busy = min(busy, maxLatencySample)
 	for {
 		old := t.latency.Load()
 		next := old + (int64(busy)-old)/8
@@ -93,51 +104,57 @@
 	}
 }
 
-// Report takes in the target's own report.
+// Report stores a load report by the target itself. An empty report is ignored.
 func (t *Target) Report(r hookhall.LoadReport, now time.Time) {
 	if r.Capacity == 0 && r.Running == 0 && !r.Leaving {
-		return // no report came with the answer
+		return // the answer carried no report
 	}
 	t.report.Store(&r)
-	t.heard.Store(clock.Stamp(now))
+	t.reportedAt.Store(clock.Stamp(now))
 	if r.Leaving {
 		t.Refused(now)
 	}
 }
 
-// HeardWithin tells whether a report came, with an answer or by a poll, within d.
+// HeardWithin reports whether a load report was received, with an answer or by a poll,
+// less than d before now.
 func (t *Target) HeardWithin(d time.Duration, now time.Time) bool {
-	return clock.Stamp(now)-t.heard.Load() < int64(d)
+	return clock.Stamp(now)-t.reportedAt.Load() < int64(d)
 }
 
-// Refused notes that the target refused work because it is leaving.
-func (t *Target) Refused(now time.Time) { t.refused.Store(clock.Stamp(now.Add(refusalHold))) }
+// Refused records that the target refused a call because it is leaving. This holds for
+// refusalTTL.
+func (t *Target) Refused(now time.Time) { t.refusedUntil.Store(clock.Stamp(now.Add(refusalTTL))) }
 
-// IsLeaving tells whether any source calls the target leaving.
+// IsLeaving reports whether the target is leaving, by the instance list, a refusal or the
+// target's report.
 func (t *Target) IsLeaving(now time.Time) bool {
-	return t.Target.Leaving || t.refused.Load() > clock.Stamp(now)
+	return t.Target.Leaving || t.refusedUntil.Load() > clock.Stamp(now)
 }
 
-// usable tells whether the target may get a call. A target whose pause is
-// over gets one call, which starts the next pause; its success ends it.
+// usable reports whether the target may get a call: it is not leaving, and not ejected.
+// After an ejection it gets a single call, its probe, which starts the next ejection
+// (claimProbe). The success of the probe ends that.
 func (t *Target) usable(now time.Time) bool {
 	if t.IsLeaving(now) {
 		return false
 	}
-	until := t.ejected.Load()
+	until := t.ejectedUntil.Load()
 	return until == 0 || clock.Stamp(now) > until
 }
 
-// claimProbe takes the one call of a target whose pause is over.
+// claimProbe reports whether the caller may call the target. If an ejection has ended, this
+// is true for one caller, and the target is ejected again for minEjection.
 func (t *Target) claimProbe(now time.Time) bool {
-	until := t.ejected.Load()
+	until := t.ejectedUntil.Load()
 	if until == 0 {
 		return true
 	}
-	return clock.Stamp(now) > until && t.ejected.CompareAndSwap(until, clock.Stamp(now.Add(ejectFirst)))
+	return clock.Stamp(now) > until && t.ejectedUntil.CompareAndSwap(until, clock.Stamp(now.Add(minEjection)))
 }
 
-// Capacity is what the target says it runs at once; at least 1.
+// Capacity returns the number of calls that the target reports it can run at once; 1
+// without a report.
 func (t *Target) Capacity() int {
 	if r := t.report.Load(); r != nil && r.Capacity > 0 {
 		return r.Capacity
@@ -145,31 +162,33 @@
 	return 1
 }
 
-// load is this entry's calls in progress as a share of the capacity. What
-// others have in progress is not in it: reports of it are late, and measured no
-// gain when they were little late and a loss when they were very late. The
-// latency, which is measured here, has it in.
+// load returns this entry's calls in progress divided by the capacity. It leaves out the
+// calls of other entries, because reports of them are delayed: measurements showed no gain
+// from slightly delayed reports and a loss from very delayed ones. The latency, which this
+// entry measures itself, includes their effect.
 func (t *Target) load() float64 {
 	return float64(t.inflight.Load()) / float64(t.Capacity())
 }
 
-// pace is how long a call takes here, in nanoseconds: the average, or the time
-// since anything last moved while calls are in progress, which shows that a
-// target has turned slow before its calls have ended.
-func (t *Target) pace(now time.Time) float64 {
-	pace := t.latency.Load()
+// expectedLatency returns the expected duration of a call in nanoseconds, at least 1: the
+// moving average or, while calls are in progress, the time since lastProgress if that is
+// longer. So a target that turns slow is recognized before its calls end.
+func (t *Target) expectedLatency(now time.Time) float64 {
+	latency := t.latency.Load()
 	if t.inflight.Load() > 0 {
-		pace = max(pace, clock.Stamp(now)-t.moved.Load())
+		latency = max(latency, clock.Stamp(now)-t.lastProgress.Load())
 	}
-	return float64(max(pace, 1))
+	return float64(max(latency, 1))
 }
 
-// score is lower for a better target.
+// score returns the load with one more call, multiplied by the expected latency. The
+// target with the lower score gets the call.
 func (t *Target) score(now time.Time) float64 {
-	return (t.load() + 1/float64(t.Capacity())) * t.pace(now)
+	return (t.load() + 1/float64(t.Capacity())) * t.expectedLatency(now)
 }
 
-// Status is a target's part of a state dump.
+// Status is the state of a target as the admin interface shows it. Calls counts all calls
+// begun, Load is calls in progress per capacity, and LatencyMS is in milliseconds.
 type Status struct {
 	ID        string  `json:"id"`
 	Hall      string  `json:"hall"`
@@ -182,12 +201,12 @@
 	Ejected   bool    `json:"ejected"`
 }
 
-// Status reads the target.
+// Status returns the target's state.
 func (t *Target) Status(now time.Time) Status {
 	return Status{
 		ID: t.ID, Hall: t.Hall, Address: t.Address,
 		Inflight: t.inflight.Load(), Calls: t.calls.Load(), Load: t.load(),
 		LatencyMS: float64(t.latency.Load()) / 1e6,
-		Leaving:   t.IsLeaving(now), Ejected: t.ejected.Load() > clock.Stamp(now),
+		Leaving:   t.IsLeaving(now), Ejected: t.ejectedUntil.Load() > clock.Stamp(now),
 	}
 }
