--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -43,6 +43,7 @@
 // Gate limits the calls that this entry has in progress in one pool, and queues the
 // others. It is safe for concurrent use.
 type Gate struct {
+	// inflight counts calls between Enter and Leave.
 	inflight atomic.Int64
 	// queued is queue.length, readable without mu.
 	queued atomic.Int64
@@ -62,33 +63,33 @@
 	queue queue
 	// window is the number of calls that may be in progress.
 	window float64
-	// evenShare is this entry's even share of the pool. minWindow and maxWindow bound
-	// the window; maxWindow 0 turns it off.
-	evenShare float64
-	minWindow float64
-	maxWindow float64
+	// initialWindow is where the window begins, by this entry's even share of the pool.
+	// minWindow and maxWindow bound the window; maxWindow 0 turns it off.
+	initialWindow float64
+	minWindow     float64
+	maxWindow     float64
 	// shrunkAt is when the window last shrank.
 	shrunkAt time.Time
 }
 
-// NewGate returns a gate whose window begins at evenShare and grows to at most maxWindow
-// calls. maxWindow 0 turns the window off: every call passes.
-func NewGate(order Order, evenShare, maxWindow float64) *Gate {
+// NewGate returns a gate whose window begins at initialWindow calls, its lower bound, and
+// grows to at most maxWindow calls. maxWindow 0 turns the window off: every call passes.
+func NewGate(order Order, initialWindow, maxWindow float64) *Gate {
 	g := &Gate{queue: queue{order: order}}
-	g.Resize(evenShare, maxWindow)
+	g.Resize(initialWindow, maxWindow)
 	return g
 }
 
 // Resize sets the window's bounds, in calls, after a change of the pool's capacity.
-// evenShare is this entry's even share of the pool and the lower bound. If it has grown,
-// the window grows to it immediately.
-func (g *Gate) Resize(evenShare, maxWindow float64) {
+// initialWindow follows from this entry's even share of the pool; the window never falls
+// below it, and if the share has grown, the window grows to it immediately.
+func (g *Gate) Resize(initialWindow, maxWindow float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if evenShare > g.evenShare {
-		g.window = max(g.window, evenShare)
+	if initialWindow > g.initialWindow {
+		g.window = max(g.window, initialWindow)
 	}
-	g.evenShare, g.minWindow, g.maxWindow = evenShare, evenShare, maxWindow
+	g.initialWindow, g.minWindow, g.maxWindow = initialWindow, initialWindow, maxWindow
 	g.setWindow(g.window)
 	g.dispatch()
 }
--- a/internal/state/admission/gate_test.go
+++ b/internal/state/admission/gate_test.go
@@ -196,7 +196,7 @@
 			}
 			So(g.limit.Load(), ShouldBeGreaterThan, 4)
 		})
-		Convey("shrinks when they do, at most once per run time, but not below its even share", func() {
+		Convey("shrinks when they do, at most once per run time, but not below its lower bound", func() {
 			g.Resize(8, 16)
 			g.mu.Lock()
 			g.setWindow(12)
--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -84,7 +84,7 @@
 	n.latency.Store(t.latency.Load())
 	n.failures.Store(t.failures.Load())
 	n.ejectedUntil.Store(t.ejectedUntil.Load())
-	n.refusedUntil.Store(t.refusedUntil.Load())
+	n.leavingUntil.Store(t.leavingUntil.Load())
 	n.calls.Store(t.calls.Load())
 	return n
 }
--- a/internal/state/routing/routing_test.go
+++ b/internal/state/routing/routing_test.go
@@ -45,7 +45,7 @@
 			p.Update(list)
 			So(p.Pick(0, nil, now), ShouldBeNil)
 			Convey("and forgets a refusal after its time to live", func() {
-				So(p.Pick(0, nil, now.Add(2*refusalTTL)).ID, ShouldEqual, "t000")
+				So(p.Pick(0, nil, now.Add(2*leavingTTL)).ID, ShouldEqual, "t000")
 			})
 		})
 		Convey("ejects a target after consecutive failures, then probes it with one call", func() {
--- a/internal/state/routing/target.go
+++ b/internal/state/routing/target.go
@@ -18,9 +18,9 @@
 	ejectAfterFailures = 4
 	minEjection        = 500 * time.Millisecond
 	maxEjection        = 15 * time.Second
-	// refusalTTL is how long a target counts as leaving after it last refused a call as
+	// leavingTTL is how long a target counts as leaving after it last refused a call as
 	// leaving or reported so.
-	refusalTTL = 15 * time.Second
+	leavingTTL = 15 * time.Second
 	// maxLatencySample bounds the duration that one call adds to the average latency.
 	maxLatencySample = 30 * time.Second
 )
@@ -38,9 +38,9 @@
 	failures atomic.Int64
 	// ejectedUntil is the end (clock.Stamp) of the ejection, 0 while there is none.
 	ejectedUntil atomic.Int64
-	// refusedUntil is until when (clock.Stamp) the target counts as leaving because of a
+	// leavingUntil is until when (clock.Stamp) the target counts as leaving because of a
 	// refusal or report.
-	refusedUntil atomic.Int64
+	leavingUntil atomic.Int64
 	// calls counts all calls begun.
 	calls atomic.Int64
 	// reportedAt is when (clock.Stamp) the last report was received.
@@ -123,13 +123,13 @@
 }
 
 // Refused records that the target refused a call because it is leaving. This holds for
-// refusalTTL.
-func (t *Target) Refused(now time.Time) { t.refusedUntil.Store(clock.Stamp(now.Add(refusalTTL))) }
+// leavingTTL.
+func (t *Target) Refused(now time.Time) { t.leavingUntil.Store(clock.Stamp(now.Add(leavingTTL))) }
 
 // IsLeaving reports whether the target is leaving, by the instance list, a refusal or the
 // target's report.
 func (t *Target) IsLeaving(now time.Time) bool {
-	return t.Target.Leaving || t.refusedUntil.Load() > clock.Stamp(now)
+	return t.Target.Leaving || t.leavingUntil.Load() > clock.Stamp(now)
 }
 
 // usable reports whether the target may get a call: it is not leaving, and not ejected.
