--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -104,8 +104,8 @@
 	g.limit.Store(int64(g.window))
 }
 
-// Enter blocks until the call may start. It returns ErrTooLate if it.Start passes first
-// or the call is shed, and ctx's error if ctx ends. After a nil error the caller must
+// Enter blocks until the call may start. It returns ErrTooLate if its latest start passes
+// first or the call is shed, and ctx's error if ctx ends. After a nil error the caller must
 // call Leave. An Item must not be shared between waiting calls.
 func (g *Gate) Enter(ctx context.Context, it *Item) error {
 	it.Priority = clamp(it.Priority)
@@ -259,8 +259,8 @@
 	return float64(max(n, 0))
 }
 
-// Wait estimates how long a call of a client account would wait in the queue if it came
-// now; 0 without data. weight is the account's share within its priority.
+// Wait estimates how long a call of a client account would wait in the queue if
+// it came now; 0 without data. weight is the account's share within its priority.
 func (g *Gate) Wait(account string, weight float64, priority int, now time.Time) time.Duration {
 	priority = clamp(priority)
 	n := g.backlog(priority)
@@ -333,8 +333,8 @@
 // Queued returns the number of waiting calls.
 func (g *Gate) Queued() int64 { return g.queued.Load() }
 
-// Idle reports whether the pool has spare capacity: no call waits, and fewer calls are in
-// progress than the window allows.
+// Idle reports whether the pool has spare capacity: no call waits, and fewer calls
+// are in progress than the window allows.
 func (g *Gate) Idle() bool {
 	return g.queued.Load() == 0 && g.inflight.Load() < g.limit.Load()
 }
--- a/internal/state/admission/queue.go
+++ b/internal/state/admission/queue.go
@@ -60,7 +60,7 @@
 
 	granted chan struct{} // closed when the call may start
 	shed    chan struct{} // closed when the call is refused by Shed
-	timer   *time.Timer   // fires at Start
+	timer   *time.Timer   // fires at the latest start
 	state   itemState     // guarded by the gate's mu
 	index   int           // in the account's heap, or in the arrival heap
 	arrival uint64        // sequence number of the push
--- a/internal/state/clock/clock.go
+++ b/internal/state/clock/clock.go
@@ -102,8 +102,8 @@
 // Until returns the time left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Check detects a suspension that was not yet recorded, adds it to this clock and returns
-// its duration, or 0 if there was none.
+// Check detects a suspension that is not yet recorded, adds it to this clock,
+// and returns its duration, or 0 if there was none.
 func Check() time.Duration {
 	duration := bootOffset() - state.baseOffset - time.Duration(state.suspended.Load())
 	if duration < minSuspension {
@@ -134,8 +134,9 @@
 	return duration
 }
 
-// Watch checks for suspensions every watchInterval until ctx ends, and calls suspended
-// with the duration of each that it detects. Woken works only while Watch runs.
+// Watch checks for suspensions every watchInterval until ctx ends, and calls
+// suspended with the duration of each that it detects. Suspensions end pauses only while
+// it runs.
 func Watch(ctx context.Context, suspended func(time.Duration)) {
 	resumed := make(chan struct{})
 	state.resumed.Store(&resumed)
--- a/internal/state/clock/doc.go
+++ b/internal/state/clock/doc.go
@@ -12,7 +12,7 @@
 // often, and its growth is added to the monotonic clock.
 //
 // Timers that run during a suspension fire late by its duration. WithDeadline corrects
-// this for contexts, and Woken for pauses.
+// this for contexts, and the channel that is closed after a suspension for pauses.
 //
 // # Invariants
 //
--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -200,7 +200,8 @@
 	return best
 }
 
-// Earn adds the share of one call to the retry budget. It is called once per call.
+// Earn adds the share of one call, retryShare, to the retry budget. It is called
+// once per call.
 func (p *Pool) Earn() {
 	if p.retryBudget.Load() < retryBurst*1000 {
 		p.retryBudget.Add(int64(retryShare * 1000))
--- a/internal/state/routing/target.go
+++ b/internal/state/routing/target.go
@@ -50,8 +50,8 @@
 	lastProgress atomic.Int64
 }
 
-// Begin counts a call as in progress. The caller must call one of End, Cancel and Late
-// when it ends.
+// Begin counts a call as in progress. When it ends, the caller must count that by one of
+// the methods below.
 func (t *Target) Begin(now time.Time) {
 	if t.inflight.Add(1) == 1 {
 		t.lastProgress.Store(clock.Stamp(now))
@@ -81,9 +81,9 @@
 // Cancel counts the end of a call whose outcome says nothing of the target's health.
 func (t *Target) Cancel() { t.inflight.Add(-1) }
 
-// Late counts the end of a call that was cut off at its deadline after took. The duration
-// goes into the average latency, although the call would have taken longer still, so that
-// a slow target does not look idle.
+// Late counts the end of a call that was cut off at its deadline after took. The
+// duration goes into the average latency, although the call would have taken longer
+// still, so that a slow target does not look idle.
 func (t *Target) Late(took time.Duration) {
 	t.inflight.Add(-1)
 	t.observeLatency(took)
@@ -116,14 +116,14 @@
 	}
 }
 
-// HeardWithin reports whether a load report was received, with an answer or by a poll,
-// less than d before now.
+// HeardWithin reports whether a load report was received, with an answer or by a
+// poll, less than d before now.
 func (t *Target) HeardWithin(d time.Duration, now time.Time) bool {
 	return clock.Stamp(now)-t.reportedAt.Load() < int64(d)
 }
 
-// Refused records that the target refused a call because it is leaving. This holds for
-// leavingTTL.
+// Refused records that the target refused a call because it is leaving, or reported
+// so. This holds for leavingTTL.
 func (t *Target) Refused(now time.Time) { t.leavingUntil.Store(clock.Stamp(now.Add(leavingTTL))) }
 
 // IsLeaving reports whether the target is leaving, by the instance list, a refusal or the
