--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -94,13 +94,13 @@
 	g.dispatch()
 }
 
-// setWindow sets the window to w calls within its bounds, at least 1. g.mu must be held.
-func (g *Gate) setWindow(w float64) {
+// setWindow sets the window to size calls within its bounds, at least 1. g.mu must be held.
+func (g *Gate) setWindow(size float64) {
 	if g.maxWindow <= 0 {
 		g.limit.Store(math.MaxInt64)
 		return
 	}
-	g.window = min(max(w, g.minWindow, 1), g.maxWindow)
+	g.window = min(max(size, g.minWindow, 1), g.maxWindow)
 	g.limit.Store(int64(g.window))
 }
 
@@ -284,11 +284,11 @@
 // RetryAfter returns the delay after which a refused call should be retried: the
 // estimated wait, from minRetryDelay to maxRetryDelay.
 func (g *Gate) RetryAfter(account string, weight float64, priority int, now time.Time) time.Duration {
-	w := g.Wait(account, weight, priority, now)
-	if w == 0 {
-		w = defaultRetryDelay
+	delay := g.Wait(account, weight, priority, now)
+	if delay == 0 {
+		delay = defaultRetryDelay
 	}
-	return min(max(w, minRetryDelay), maxRetryDelay)
+	return min(max(delay, minRetryDelay), maxRetryDelay)
 }
 
 // Shed refuses the waiting calls that are estimated to start too late, and returns their
@@ -351,9 +351,9 @@
 // Status returns the gate's state.
 func (g *Gate) Status(now time.Time) Status {
 	g.mu.Lock()
-	w := g.window
+	window := g.window
 	g.mu.Unlock()
-	return Status{g.inflight.Load(), g.queued.Load(), w, g.startRate(0, now)}
+	return Status{g.inflight.Load(), g.queued.Load(), window, g.startRate(0, now)}
 }
 
 // rateCounter estimates the rate of events from the counts of the current and the
--- a/internal/state/admission/gate_test.go
+++ b/internal/state/admission/gate_test.go
@@ -53,6 +53,8 @@
 // Tests that run in a synctest bubble don't use Convey, which keeps its contexts by
 // goroutine.
 
+// TestGateOrder guards against calls that overtake one of a higher priority or, within an
+// account, one with an earlier latest start.
 func TestGateOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderFair), make(chan string, 16)
@@ -64,6 +66,7 @@
 	})
 }
 
+// TestGateArrivalOrder guards against a baseline that heeds priorities or latest starts.
 func TestGateArrivalOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderArrival), make(chan string, 16)
@@ -73,6 +76,7 @@
 	})
 }
 
+// TestGateWeights guards against accounts of one priority that are not served by weight.
 func TestGateWeights(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderFair), make(chan string, 256)
@@ -88,6 +92,8 @@
 	})
 }
 
+// TestGateLowClassNotStarved guards against a lower priority that gets nothing, or more
+// than its share, while calls of a higher one wait.
 func TestGateLowClassNotStarved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderFair), make(chan string, 512)
@@ -106,6 +112,8 @@
 	})
 }
 
+// TestGateRefusesAtLatestStart guards against calls that stay in the queue after their
+// latest start, until they come to the head.
 func TestGateRefusesAtLatestStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderFair), make(chan string, 8)
@@ -119,6 +127,8 @@
 	})
 }
 
+// TestGateSheds guards against calls that wait in vain: those that cannot start in time at
+// the measured service time are refused early, and no others.
 func TestGateSheds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderFair), make(chan string, 64)
@@ -139,6 +149,7 @@
 	})
 }
 
+// TestGateCancel guards against a canceled call that is granted later and never left.
 func TestGateCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := fullGate(OrderFair)
@@ -182,6 +193,8 @@
 	})
 }
 
+// TestGateWindow guards against a window that does not follow the waits at targets, leaves
+// its bounds, or shrinks repeatedly for one congestion.
 func TestGateWindow(t *testing.T) {
 	Convey("A window", t, func() {
 		now := time.Unix(1e9, 0)
--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -62,12 +62,12 @@
 		previous[t.ID+"@"+t.Address] = t
 	}
 	next := make([]*Target, 0, len(list))
-	for _, d := range list {
-		t := previous[d.ID+"@"+d.Address]
+	for _, data := range list {
+		t := previous[data.ID+"@"+data.Address]
 		if t == nil {
-			t = &Target{Target: d}
-		} else if t.Target != d {
-			t = t.withData(d)
+			t = &Target{Target: data}
+		} else if t.Target != data {
+			t = t.withData(data)
 		}
 		next = append(next, t)
 	}
@@ -78,15 +78,15 @@
 // withData returns a Target for changed data. It copies the report, the latency, the
 // ejection, the refusal and the count of calls. It does not copy inflight, because the calls
 // in progress end on the old Target.
-func (t *Target) withData(d hookhall.Target) *Target {
-	n := &Target{Target: d}
-	n.report.Store(t.report.Load())
-	n.latency.Store(t.latency.Load())
-	n.failures.Store(t.failures.Load())
-	n.ejectedUntil.Store(t.ejectedUntil.Load())
-	n.leavingUntil.Store(t.leavingUntil.Load())
-	n.calls.Store(t.calls.Load())
-	return n
+func (t *Target) withData(data hookhall.Target) *Target {
+	next := &Target{Target: data}
+	next.report.Store(t.report.Load())
+	next.latency.Store(t.latency.Load())
+	next.failures.Store(t.failures.Load())
+	next.ejectedUntil.Store(t.ejectedUntil.Load())
+	next.leavingUntil.Store(t.leavingUntil.Load())
+	next.calls.Store(t.calls.Load())
+	return next
 }
 
 // Targets returns the current list, ordered by ID. Callers must not modify it.
@@ -189,12 +189,12 @@
 			best, highest = i, s
 		}
 	}
-	n := float64(len(ts))
+	count := float64(len(ts))
 	t := ts[best]
-	if t.load() > maxAffinityLoadFactor*(totalLoad/n)+1/float64(t.Capacity()) {
+	if t.load() > maxAffinityLoadFactor*(totalLoad/count)+1/float64(t.Capacity()) {
 		return -1
 	}
-	if t.expectedLatency(now) > 2*totalLatency/n {
+	if t.expectedLatency(now) > 2*totalLatency/count {
 		return -1
 	}
 	return best
--- a/internal/state/routing/routing_test.go
+++ b/internal/state/routing/routing_test.go
@@ -28,6 +28,8 @@
 	return p
 }
 
+// TestPool guards against calls to leaving, failing, slow or overloaded targets while there
+// are better ones, and against retries beyond their budget.
 func TestPool(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	Convey("A pool", t, func() {
