--- a/internal/state/claim/doc.go
+++ b/internal/state/claim/doc.go
@@ -1,40 +1,43 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package claim is the state machine behind "at most once": who may run the
-// request with a key, held in memory by an owner and a standby.
+// Package claim implements at-most-once execution of keyed requests: it records,
+// in the memory of an owner and of a standby, which process may run the request
+// with a key. It does no I/O; its callers carry records between processes.
 //
 // # Model
 //
-// Keys fall into slots; each epoch's view gives a slot an owner and a standby
-// (package view). A claim is granted at epoch e only by the owner of e, with
-// the word of the standby of e, both being at e for that slot. Hence a member
-// of the pair that has moved on from e holds every grant of e, and no further
-// grant of e can come: its having moved on is the fence.
+// Keys hash to slots; the view of each epoch assigns a slot an owner and a
+// standby, the slot's pair (package view). Only the owner of epoch e grants a
+// claim at e, after the standby of e has stored the record, and both must be at e
+// for that slot. Hence a member of the pair that has advanced past e holds every
+// grant of e, and no further grant of e can follow: its advance is the fence.
 //
-// A process may grant at e only when it is whole, that is when it holds all
-// grants of all epochs before e. It keeps, for each slot,
+// A process may grant at e only when its records of the slot are complete, that
+// is, when it holds all grants of all epochs before e. For each slot it tracks
 //
-//	through   it holds every grant of epochs up to and including through
-//	layers    single later epochs of which it holds every grant
+//	completeThrough  it holds every grant of epochs up to and including this one
+//	completeEpochs   single later epochs of which it holds every grant
 //
-// and is whole when through reaches e-1. Layers come from its own service
-// (when it moves on from e, and for every epoch that it skipped while being of
-// the pair: without its word nothing was granted), from a Fetch of a member of
-// that epoch's pair, and, when both of a pair are known to be gone, from
-// waiting until every claim that they may have granted has expired.
+// and is complete when completeThrough reaches e-1. An epoch becomes complete in
+// one of three ways: the process served it (it was a member of the pair and
+// advanced, or skipped the epoch, in which case nothing was granted without it); it
+// fetched the records of a member of that epoch's pair (Merge); or, when both of
+// the pair are known to have ended, it waited until every claim that they may have
+// granted has expired (Lost).
 //
-// This is primary-backup under an outside master, as in vertical Paxos and
-// chain replication; it keeps no log and elects nobody, and its records are
-// soft state that dies with the processes.
+// This is primary-backup replication under an external configuration master, as in
+// Vertical Paxos and chain replication. There is no log and no election; the
+// records are soft state and end with the processes.
 //
 // # Invariants
 //
-//   - A record's Sequence only grows, and only a whole owner adds to it: one that
-//     has yet to fetch what was granted without it opens and settles nothing.
-//   - What is written at an epoch has a higher Sequence than all of earlier epochs.
-//     An owner may have written more for grants that it refused than the next one
-//     has for one that it gave.
-//   - A granted record is never replaced before it is released or expired.
-//   - Time is used for the retention alone, and only by the local clock.
+//   - A record's Sequence only grows, and only a complete owner writes records: an
+//     owner that has yet to fetch what was granted without it opens and settles
+//     nothing.
+//   - A record written at an epoch has a higher Sequence than those of all earlier
+//     epochs. Without this rule, an owner that refused several grants could hold a
+//     higher Sequence than the grant that the next owner gave.
+//   - A granted record is never replaced before it is released or expires.
+//   - Time is used only for the retention, and only from the local clock.
 package claim
--- a/internal/state/claim/owner.go
+++ b/internal/state/claim/owner.go
@@ -10,16 +10,18 @@
 	"github.com/hookhall/hookhall/internal/state/view"
 )
 
-// Grant is a claim that waits for the standby's word.
+// Grant is a record that the owner has written and that the standby has yet to
+// store. Epoch is the epoch of the write; Standby is the member to copy Record to.
 type Grant struct {
 	Record  hookhall.Record
 	Epoch   uint64
 	Standby hookhall.Member
 }
 
-// Begin is the owner's first step. With a Grant, the caller copies its record
-// to the standby and then calls Complete; without, the reply is final. A
-// request with token 0 only looks.
+// Begin handles a claim request at the owner. When it returns a Grant, the reply is
+// empty, and the caller copies the Grant's record to the standby and then calls
+// Complete. Without a Grant the reply is final. A request with token 0 reads the
+// record and never opens a claim.
 func (s *Store) Begin(q hookhall.ClaimRequest, now time.Time) (hookhall.ClaimReply, *Grant) {
 	l := &s.slots[view.SlotOf(q.Key)]
 	l.mu.Lock()
@@ -32,25 +34,27 @@
 	if old != nil && !old.replaceable() {
 		return hookhall.ClaimReply{Outcome: hookhall.ClaimHeld, Epoch: l.epoch, Record: old.Record}, nil
 	}
-	if !l.whole() {
-		return s.notWhole(l, now), nil
+	if !l.isComplete() {
+		return s.incompleteReply(l, now), nil
 	}
 	if q.Token == 0 {
 		return hookhall.ClaimReply{Outcome: hookhall.ClaimRefused, Epoch: l.epoch}, nil
 	}
-	return s.open(l, q, old, now)
+	return s.openClaim(l, q, old, now)
 }
 
-// replaceable tells whether nobody holds the right to run the request.
+// replaceable reports whether a new claim may replace the record: it was released,
+// or it is pending and no reply of the standby is awaited.
 func (r *record) replaceable() bool {
-	return r.State == hookhall.StateReleased || r.State == hookhall.StatePending && !r.copying
+	return r.State == hookhall.StateReleased || r.State == hookhall.StatePending && !r.awaitingStandby
 }
 
-// notWhole says when to come back: soon while fetching, or when what a lost
-// pair may have granted has expired.
-func (s *Store) notWhole(l *slot, now time.Time) hookhall.ClaimReply {
-	reply := hookhall.ClaimReply{Outcome: hookhall.ClaimLost, Epoch: l.epoch, RetryAfter: fetchSoon}
-	for _, since := range l.lost {
+// incompleteReply returns ClaimLost with the delay to the next try: fetchRetryDelay
+// while records are being fetched, or the time until every claim that a lost pair may
+// have granted has expired. l.mu must be held.
+func (s *Store) incompleteReply(l *slot, now time.Time) hookhall.ClaimReply {
+	reply := hookhall.ClaimReply{Outcome: hookhall.ClaimLost, Epoch: l.epoch, RetryAfter: fetchRetryDelay}
+	for _, since := range l.lostSince {
 		if d := s.retention - now.Sub(since); d > reply.RetryAfter {
 			reply.RetryAfter = d
 		}
@@ -58,29 +62,35 @@
 	return reply
 }
 
-func (s *Store) open(l *slot, q hookhall.ClaimRequest, old *record, now time.Time) (hookhall.ClaimReply, *Grant) {
-	n := hookhall.Record{
+// openClaim writes the record of a new claim, which replaces old, nil for none. It
+// grants at once when the slot has no standby, and returns a Grant otherwise. l.mu
+// must be held.
+func (s *Store) openClaim(l *slot, q hookhall.ClaimRequest, old *record, now time.Time) (hookhall.ClaimReply, *Grant) {
+	pending := hookhall.Record{
 		Key: q.Key, Digest: q.Digest, Origin: q.Origin, Token: q.Token,
 		Sequence: l.nextSequence(old), State: hookhall.StatePending, Expires: now.Add(s.retention),
 	}
 	if l.pair.Standby == nil {
-		n.State = hookhall.StateGranted
-		l.put(n)
-		return hookhall.ClaimReply{Outcome: hookhall.ClaimGranted, Epoch: l.epoch, Record: n}, nil
+		pending.State = hookhall.StateGranted
+		l.put(pending)
+		return hookhall.ClaimReply{Outcome: hookhall.ClaimGranted, Epoch: l.epoch, Record: pending}, nil
 	}
-	r := l.put(n)
-	r.copying = true
-	sent := n
-	// The standby must take it for granted: the owner may grant and die.
-	sent.State = hookhall.StateGranted
-	return hookhall.ClaimReply{}, &Grant{Record: sent, Epoch: l.epoch, Standby: *l.pair.Standby}
+	r := l.put(pending)
+	r.awaitingStandby = true
+	granted := pending
+	// The standby stores the claim as granted, because the owner may grant it and
+	// crash before another message reaches the standby.
+	granted.State = hookhall.StateGranted
+	return hookhall.ClaimReply{}, &Grant{Record: granted, Epoch: l.epoch, Standby: *l.pair.Standby}
 }
 
-// sequenceBits is how many bits of a sequence count the writes within one epoch.
+// sequenceBits is the number of low bits of a record's Sequence that count the writes
+// within one epoch; the higher bits are the epoch.
 const sequenceBits = 24
 
-// nextSequence orders what this owner writes after all of earlier epochs, whether it has
-// seen that or not, and after the record that it replaces, nil for none.
+// nextSequence returns a Sequence above that of every write of earlier epochs, including
+// those that this process doesn't hold, and above that of old, the record to replace (nil
+// for none). l.mu must be held.
 func (l *slot) nextSequence(old *record) uint64 {
 	first := l.epoch<<sequenceBits + 1
 	if old == nil {
@@ -89,26 +99,29 @@
 	return max(old.Sequence+1, first)
 }
 
-// Complete is the owner's second step, with the standby's word.
+// Complete finishes a claim that Begin opened; stored is whether the standby stored the
+// record. It grants the claim only if the standby did and the slot is still at the
+// Grant's epoch; otherwise it refuses, and another claim may replace the record.
 func (s *Store) Complete(g *Grant, stored bool) hookhall.ClaimReply {
 	l := &s.slots[view.SlotOf(g.Record.Key)]
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r := l.records[g.Record.Key]
 	if r == nil || r.Token != g.Record.Token || r.Sequence != g.Record.Sequence {
-		return hookhall.ClaimReply{Outcome: hookhall.ClaimRefused, Epoch: l.epoch, RetryAfter: fetchSoon}
+		return hookhall.ClaimReply{Outcome: hookhall.ClaimRefused, Epoch: l.epoch, RetryAfter: fetchRetryDelay}
 	}
-	r.copying = false
+	r.awaitingStandby = false
 	if !stored || l.epoch != g.Epoch || r.State != hookhall.StatePending {
-		return hookhall.ClaimReply{Outcome: hookhall.ClaimRefused, Epoch: l.epoch, RetryAfter: fetchSoon}
+		return hookhall.ClaimReply{Outcome: hookhall.ClaimRefused, Epoch: l.epoch, RetryAfter: fetchRetryDelay}
 	}
 	r.State = hookhall.StateGranted
 	return hookhall.ClaimReply{Outcome: hookhall.ClaimGranted, Epoch: l.epoch, Record: r.Record}
 }
 
-// Settle ends the claim with a token. The returned Grant, if any, is the
-// changed record to copy to the standby. An owner that is not whole takes none:
-// a later grant of the key may have the sequence that it would write.
+// Settle records the end of the claim that has the settlement's token. It returns
+// whether the settlement was accepted, the slot's epoch, and, if there is a standby, a
+// Grant with the changed record to copy to it. An owner whose records are incomplete
+// accepts none: a later grant of the key may have the Sequence that it would write.
 func (s *Store) Settle(t hookhall.Settlement, now time.Time) (bool, uint64, *Grant) {
 	l := &s.slots[view.SlotOf(t.Key)]
 	l.mu.Lock()
@@ -117,7 +130,7 @@
 		return false, l.epoch, nil
 	}
 	r := l.records[t.Key]
-	if r == nil || r.Token != t.Token || r.copying || !l.whole() {
+	if r == nil || r.Token != t.Token || r.awaitingStandby || !l.isComplete() {
 		return false, l.epoch, nil
 	}
 	if r.State != t.State {
--- a/internal/state/claim/schedule_test.go
+++ b/internal/state/claim/schedule_test.go
@@ -14,24 +14,26 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// world drives real stores through a random schedule of messages, kills,
-// freezes, cuts and views. It replaces the network, the master and nothing
-// else. A key that runs twice is a double.
-type world struct {
-	r       *rand.Rand
-	now     time.Time
-	master  *hookhall.View
-	nodes   map[string]*node
-	names   []string
-	pending []*flight
-	runs    map[string]int
-	tokens  uint64
-	born    int
-	mutant  mutant
-	grants  int
-	used    map[uint32]bool
+// simulation drives real stores through a random schedule of messages, crashes,
+// frozen and cut-off nodes, and view changes. It replaces only the network and the
+// key-value service that holds the view. A schedule fails when a key runs twice.
+type simulation struct {
+	rand       *rand.Rand
+	now        time.Time
+	masterView *hookhall.View
+	nodes      map[string]*node
+	nodeIDs    []string
+	pending    []*pendingClaim
+	runsByKey  map[string]int
+	lastToken  uint64
+	spawned    int
+	mutant     mutant
+	grants     int
+	usedSlots  map[uint32]bool
 }
 
+// node is one simulated process. A dead node never returns, a frozen one executes
+// nothing, and a cut one exchanges no messages with others.
 type node struct {
 	member hookhall.Member
 	store  *Store
@@ -40,65 +42,65 @@
 	cut    bool
 }
 
-// flight is a claim on its way: copied and completed in later steps.
-type flight struct {
+// pendingClaim is a claim that has a Grant and is copied and completed in later steps.
+type pendingClaim struct {
 	owner  *node
 	grant  *Grant
 	copied bool
 	stored bool
 }
 
-// mutant weakens the protocol, to show that the schedules find it.
+// mutant selects a weakened protocol; the schedules must find its faults.
 type mutant int
 
 const (
-	whole mutant = iota
+	unmodified mutant = iota
 	noStandby
 	noWait
 )
 
 const (
 	retention = time.Hour
-	// keys are few, so that each is asked for many times.
-	keys = 24
+	// keyCount is small, so that each key is claimed many times.
+	keyCount = 24
 )
 
-func newWorld(seed uint64, m mutant) *world {
-	w := &world{r: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1e9, 0), master: &hookhall.View{},
-		nodes: map[string]*node{}, runs: map[string]int{}, used: map[uint32]bool{}, mutant: m}
+func newSimulation(seed uint64, m mutant) *simulation {
+	w := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1e9, 0), masterView: &hookhall.View{},
+		nodes: map[string]*node{}, runsByKey: map[string]int{}, usedSlots: map[uint32]bool{}, mutant: m}
 	for i := 0; i < 5; i++ {
 		w.spawn()
 	}
 	for _, n := range w.nodes {
-		n.store.Advance(w.master)
+		n.store.Advance(w.masterView)
 	}
 	return w
 }
 
-func (w *world) spawn() {
-	w.born++
-	m := hookhall.Member{ID: fmt.Sprintf("n%d#1", w.born), Instance: fmt.Sprintf("n%d", w.born), Hall: fmt.Sprintf("h%d", w.born%3)}
-	keep := retention
+func (w *simulation) spawn() {
+	w.spawned++
+	m := hookhall.Member{ID: fmt.Sprintf("n%d#1", w.spawned), Instance: fmt.Sprintf("n%d", w.spawned), Hall: fmt.Sprintf("h%d", w.spawned%3)}
+	nodeRetention := retention
 	if w.mutant == noWait {
-		keep = 0
+		nodeRetention = 0
 	}
-	w.nodes[m.ID] = &node{member: m, store: New(m.ID, keep)}
-	w.names = append(w.names, m.ID)
-	w.master = view.Join(w.master, m)
+	w.nodes[m.ID] = &node{member: m, store: New(m.ID, nodeRetention)}
+	w.nodeIDs = append(w.nodeIDs, m.ID)
+	w.masterView = view.Join(w.masterView, m)
 }
 
-// any is a live node; dead ones take no part.
-func (w *world) any() *node {
+// randomLiveNode returns a random node that is not dead.
+func (w *simulation) randomLiveNode() *node {
 	for {
-		if n := w.nodes[w.names[w.r.IntN(len(w.names))]]; !n.dead {
+		if n := w.nodes[w.nodeIDs[w.rand.IntN(len(w.nodeIDs))]]; !n.dead {
 			return n
 		}
 	}
 }
 
-// dead is a member of the view that has died, if there is one.
-func (w *world) dead() *node {
-	for _, m := range w.master.Members {
+// deadMember returns a dead node that is still in the view, nil for none.
+func (w *simulation) deadMember() *node {
+	for _, m := range w.masterView.Members {
 		if n := w.nodes[m.ID]; n.dead {
 			return n
 		}
@@ -106,53 +108,56 @@
 	return nil
 }
 
-func reach(a, b *node) bool {
+// canReach reports whether a and b can exchange messages; a node reaches itself unless
+// it is dead or frozen.
+func canReach(a, b *node) bool {
 	return a == b && !a.dead && !a.frozen || !a.dead && !b.dead && !a.frozen && !b.frozen && !a.cut && !b.cut
 }
 
-func (w *world) step() {
-	switch x := w.r.IntN(1000); {
-	case x < 300:
+// randomStep makes one random event happen.
+func (w *simulation) randomStep() {
+	switch choice := w.rand.IntN(1000); {
+	case choice < 300:
 		w.submit()
-	case x < 600:
+	case choice < 600:
 		w.progress()
-	case x < 700:
-		if n := w.any(); !n.frozen {
-			n.store.Advance(w.master)
+	case choice < 700:
+		if n := w.randomLiveNode(); !n.frozen {
+			n.store.Advance(w.masterView)
 		}
-	case x < 900:
-		w.repair(w.any())
-	case x < 915:
-		w.any().frozen = true
-	case x < 930:
-		w.any().cut = true
-	case x < 975:
-		n := w.any()
+	case choice < 900:
+		w.repair(w.randomLiveNode())
+	case choice < 915:
+		w.randomLiveNode().frozen = true
+	case choice < 930:
+		w.randomLiveNode().cut = true
+	case choice < 975:
+		n := w.randomLiveNode()
 		n.frozen, n.cut = false, false
-	case x < 982:
+	case choice < 982:
 		w.kill()
 	default:
-		w.change()
+		w.changeView()
 	}
 }
 
-// kill ends a node for good; another takes its place, and three
-// always live.
-func (w *world) kill() {
-	alive := 0
+// kill ends a random node, or both members of a pair, and starts a new node for each. It
+// does nothing while three nodes or fewer are alive.
+func (w *simulation) kill() {
+	aliveCount := 0
 	for _, n := range w.nodes {
 		if !n.dead {
-			alive++
+			aliveCount++
 		}
 	}
-	if alive <= 3 {
+	if aliveCount <= 3 {
 		return
 	}
-	// Half of the time a whole pair goes at once, as with a rack.
-	victims := []hookhall.Member{w.any().member}
-	if w.r.IntN(2) == 0 {
-		slot := view.SlotOf(fmt.Sprintf("k%d", w.r.IntN(keys)))
-		victims = view.PairOf(w.master.Members, slot).Members()
+	// Half of the time both members of a pair end at once, as when a rack fails.
+	victims := []hookhall.Member{w.randomLiveNode().member}
+	if w.rand.IntN(2) == 0 {
+		slot := view.SlotOf(fmt.Sprintf("k%d", w.rand.IntN(keyCount)))
+		victims = view.PairOf(w.masterView.Members, slot).Members()
 	}
 	for _, m := range victims {
 		if n := w.nodes[m.ID]; !n.dead {
@@ -162,194 +167,203 @@
 	}
 }
 
-// change takes a member out on evidence, right or wrong, or lets one back in.
-func (w *world) change() {
-	n := w.dead()
+// changeView removes a dead, frozen or cut member from the view, or adds a live node
+// that is not in the view. A removed node that is frozen or cut may still be running.
+func (w *simulation) changeView() {
+	n := w.deadMember()
 	if n == nil {
-		n = w.any()
+		n = w.randomLiveNode()
 	}
-	if _, in := view.Find(w.master, n.member.ID); !in {
+	if _, found := view.Find(w.masterView, n.member.ID); !found {
 		if !n.dead {
-			w.master = view.Join(w.master, n.member)
+			w.masterView = view.Join(w.masterView, n.member)
 		}
 		return
 	}
-	if len(w.master.Members) > 2 && (n.dead || n.frozen || n.cut) {
-		w.master = view.Leave(w.master, n.member.ID, n.dead)
+	if len(w.masterView.Members) > 2 && (n.dead || n.frozen || n.cut) {
+		w.masterView = view.Leave(w.masterView, n.member.ID, n.dead)
 	}
 }
 
-// submit asks for one of few keys, as a caller that retries would.
-func (w *world) submit() {
-	origin := w.any()
+// submit claims a random key through a random node, as a caller that retries does.
+func (w *simulation) submit() {
+	origin := w.randomLiveNode()
 	if origin.dead || origin.frozen {
 		return
 	}
-	key := fmt.Sprintf("k%d", w.r.IntN(keys))
-	w.used[view.SlotOf(key)] = true
+	key := fmt.Sprintf("k%d", w.rand.IntN(keyCount))
+	w.usedSlots[view.SlotOf(key)] = true
 	p := origin.store.Placement()
 	pair := p.Pairs[view.SlotOf(key)]
-	if pair.Owner == nil || !reach(origin, w.nodes[pair.Owner.ID]) {
+	if pair.Owner == nil || !canReach(origin, w.nodes[pair.Owner.ID]) {
 		return
 	}
 	owner := w.nodes[pair.Owner.ID]
-	w.tokens++
-	q := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: w.tokens}
+	w.lastToken++
+	q := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: w.lastToken}
 	reply, grant := owner.store.Begin(q, w.now)
 	switch {
 	case grant != nil:
-		w.pending = append(w.pending, &flight{owner: owner, grant: grant})
+		w.pending = append(w.pending, &pendingClaim{owner: owner, grant: grant})
 	case reply.Outcome == hookhall.ClaimGranted:
 		w.run(key)
-	case reply.Outcome == hookhall.ClaimBehind && w.r.IntN(2) == 0:
-		meet(origin, owner)
+	case reply.Outcome == hookhall.ClaimBehind && w.rand.IntN(2) == 0:
+		exchangeViews(origin, owner)
 	}
 }
 
-func (w *world) run(key string) {
+// run counts an execution of the request with the key.
+func (w *simulation) run(key string) {
 	w.grants++
-	w.runs[key]++
+	w.runsByKey[key]++
 }
 
-// progress moves one claim on its way by one step, in any order.
-func (w *world) progress() {
+// progress copies or completes one pending claim, chosen at random.
+func (w *simulation) progress() {
 	if len(w.pending) == 0 {
 		return
 	}
-	i := w.r.IntN(len(w.pending))
-	f := w.pending[i]
-	if f.owner.frozen {
+	i := w.rand.IntN(len(w.pending))
+	claim := w.pending[i]
+	if claim.owner.frozen {
 		return
 	}
-	if f.owner.dead {
-		w.drop(i)
+	if claim.owner.dead {
+		w.dropPending(i)
 		return
 	}
-	if !f.copied {
-		f.copied = true
-		standby := w.nodes[f.grant.Standby.ID]
+	if !claim.copied {
+		claim.copied = true
+		standby := w.nodes[claim.grant.Standby.ID]
 		if w.mutant == noStandby {
-			f.stored = true
-		} else if reach(f.owner, standby) {
-			f.stored = standby.store.Copy(f.grant.Epoch, f.grant.Record, w.now).Stored && w.r.IntN(10) > 0
-			if !f.stored && w.r.IntN(2) == 0 {
-				meet(f.owner, standby)
+			claim.stored = true
+		} else if canReach(claim.owner, standby) {
+			claim.stored = standby.store.Copy(claim.grant.Epoch, claim.grant.Record, w.now).Stored && w.rand.IntN(10) > 0
+			if !claim.stored && w.rand.IntN(2) == 0 {
+				exchangeViews(claim.owner, standby)
 			}
 		}
 		return
 	}
-	reply := f.owner.store.Complete(f.grant, f.stored)
-	if reply.Outcome == hookhall.ClaimGranted && w.r.IntN(10) > 0 {
-		w.run(f.grant.Record.Key)
+	reply := claim.owner.store.Complete(claim.grant, claim.stored)
+	if reply.Outcome == hookhall.ClaimGranted && w.rand.IntN(10) > 0 {
+		w.run(claim.grant.Record.Key)
 	}
-	w.drop(i)
+	w.dropPending(i)
 }
 
-func (w *world) drop(i int) { w.pending = append(w.pending[:i], w.pending[i+1:]...) }
+func (w *simulation) dropPending(i int) { w.pending = append(w.pending[:i], w.pending[i+1:]...) }
 
-// meet brings two nodes that can reach each other to the newer of their views.
-func meet(a, b *node) {
-	if !reach(a, b) {
+// exchangeViews advances two nodes that can reach each other to the newer of their views.
+func exchangeViews(a, b *node) {
+	if !canReach(a, b) {
 		return
 	}
 	a.store.Advance(b.store.Placement().View)
 	b.store.Advance(a.store.Placement().View)
 }
 
-// repair is what package fleet does: rounds of fetching while they help.
-func (w *world) repair(n *node) {
+// repair fetches missing records in rounds, as package fleet does, until a round changes
+// nothing.
+func (w *simulation) repair(n *node) {
 	if n.dead || n.frozen {
 		return
 	}
 	for before := -1; ; {
-		sum := 0
+		checksum := 0
 		for _, need := range n.store.Missing() {
-			if w.used[need.Slot] {
-				sum += int(need.Epoch) + 1000
+			if w.usedSlots[need.Slot] {
+				checksum += int(need.Epoch) + 1000
 			}
 		}
-		if sum == 0 || sum == before {
+		if checksum == 0 || checksum == before {
 			return
 		}
-		before = sum
+		before = checksum
 		w.fetch(n)
 	}
 }
 
-// fetch asks, for each missing layer, who served it.
-func (w *world) fetch(n *node) {
+// fetch requests the records of each missing epoch from the pair that served it, and
+// reports epochs whose pair has ended to Lost.
+func (w *simulation) fetch(n *node) {
 	v := n.store.Placement().View
 	for _, need := range n.store.Missing() {
-		if !w.used[need.Slot] {
-			continue // no key of the test falls into it
+		if !w.usedSlots[need.Slot] {
+			continue // no key of the test is in this slot
 		}
 		members, ok := view.At(v, need.Epoch)
 		if !ok {
 			continue
 		}
 		pair := view.PairOf(members, need.Slot).Members()
-		gone := true
+		pairGone := true
 		for _, m := range pair {
 			source := w.nodes[m.ID]
-			_, member := view.Find(v, m.ID)
+			_, inView := view.Find(v, m.ID)
 			for _, u := range v.Unfenced {
-				member = member || u.ID == m.ID
+				inView = inView || u.ID == m.ID
 			}
-			gone = gone && !member
-			if source == n || !reach(n, source) {
+			pairGone = pairGone && !inView
+			if source == n || !canReach(n, source) {
 				continue
 			}
 			source.store.Advance(v)
-			for _, s := range source.store.Records(v.Epoch, []uint32{need.Slot}).Slots {
-				n.store.Merge(s)
+			for _, records := range source.store.Records(v.Epoch, []uint32{need.Slot}).Slots {
+				n.store.Merge(records)
 			}
 		}
-		if gone {
+		if pairGone {
 			n.store.Lost(need, w.now)
 		}
 	}
 }
 
-func (w *world) doubles() int {
-	d := 0
-	for _, n := range w.runs {
+// duplicateRuns returns the number of keys that ran more than once.
+func (w *simulation) duplicateRuns() int {
+	duplicates := 0
+	for _, n := range w.runsByKey {
 		if n > 1 {
-			d++
+			duplicates++
 		}
 	}
-	return d
+	return duplicates
 }
 
-// play runs schedules until one has doubles; it returns how many it played and
-// the grants in all.
-func play(m mutant, schedules, steps int) (played, grants int, doubled bool) {
+// runSchedules runs schedules, one per seed, until a key runs twice in one. It returns
+// how many it ran, the total of grants, and whether a key ran twice.
+func runSchedules(m mutant, schedules, steps int) (schedulesRun, grants int, duplicated bool) {
 	for seed := 0; seed < schedules; seed++ {
-		w := newWorld(uint64(seed), m)
+		w := newSimulation(uint64(seed), m)
 		for i := 0; i < steps; i++ {
-			w.step()
+			w.randomStep()
 		}
 		grants += w.grants
-		if w.doubles() > 0 {
+		if w.duplicateRuns() > 0 {
 			return seed + 1, grants, true
 		}
 	}
 	return schedules, grants, false
 }
 
+// TestSchedules guards against a key that runs twice after crashes, partitions, late
+// messages and view changes in any order. Its schedules must also find a double run when
+// the reply of the standby or the wait after a lost pair is left out, which shows that
+// they reach these cases.
 func TestSchedules(t *testing.T) {
 	const schedules, steps = 60, 600
-	Convey("Over random schedules of kills, freezes, cuts and views", t, func() {
-		Convey("no key is granted twice", func() {
-			played, grants, doubled := play(whole, schedules, steps)
-			t.Logf("whole protocol: %d schedules, %d grants, doubled: %t", played, grants, doubled)
-			So(doubled, ShouldBeFalse)
+	Convey("Over random schedules of crashes, frozen and cut-off nodes and view changes", t, func() {
+		Convey("no key runs twice", func() {
+			schedulesRun, grants, duplicated := runSchedules(unmodified, schedules, steps)
+			t.Logf("unmodified protocol: %d schedules, %d grants, duplicate run: %t", schedulesRun, grants, duplicated)
+			So(duplicated, ShouldBeFalse)
 			So(grants, ShouldBeGreaterThan, schedules)
 		})
-		for name, m := range map[string]mutant{"the standby's word": noStandby, "the wait after a lost pair": noWait} {
-			Convey("without "+name+" one is", func() {
-				played, grants, doubled := play(m, schedules, steps)
-				t.Logf("without %s: %d schedules, %d grants, doubled: %t", name, played, grants, doubled)
-				So(doubled, ShouldBeTrue)
+		for name, m := range map[string]mutant{"the standby's reply": noStandby, "the wait after a lost pair": noWait} {
+			Convey("without "+name+" a key runs twice", func() {
+				schedulesRun, grants, duplicated := runSchedules(m, schedules, steps)
+				t.Logf("without %s: %d schedules, %d grants, duplicate run: %t", name, schedulesRun, grants, duplicated)
+				So(duplicated, ShouldBeTrue)
 			})
 		}
 	})
--- a/internal/state/claim/standby.go
+++ b/internal/state/claim/standby.go
@@ -10,9 +10,10 @@
 	"github.com/hookhall/hookhall/internal/state/view"
 )
 
-// Copy stores an owner's record at its standby, unless the epochs differ. A
-// record that another grant's newer or unexpired one stands against is not
-// stored: it came late, or the owner dropped its own copy a moment earlier.
+// Copy stores an owner's record at the standby of the slot. It refuses when the epochs
+// differ or this process is not the standby. It also refuses a record whose key has an
+// unexpired record of another grant with the same or a higher Sequence: the copy arrived
+// late, or the owner's clock dropped its own record a moment earlier.
 func (s *Store) Copy(epoch uint64, n hookhall.Record, now time.Time) hookhall.CopyReply {
 	l := &s.slots[view.SlotOf(n.Key)]
 	l.mu.Lock()
@@ -31,32 +32,35 @@
 	return hookhall.CopyReply{Stored: true, Epoch: l.epoch}
 }
 
-// Records returns what this process holds of slots, for a Fetch. It must have
-// moved on to the asker's epoch, or what it holds may still grow.
+// Records returns the records that this process holds of the slots, in reply to a Fetch
+// from a member at epoch. Before this process has reached that epoch the reply has no
+// slots, because grants of earlier epochs may still be added.
 func (s *Store) Records(epoch uint64, slots []uint32) hookhall.FetchReply {
 	reply := hookhall.FetchReply{Epoch: s.Placement().View.Epoch}
 	if reply.Epoch < epoch {
 		return reply
 	}
-	for _, n := range slots {
-		if n < view.SlotCount {
-			reply.Slots = append(reply.Slots, s.slots[n].read(n))
+	for _, number := range slots {
+		if number < view.SlotCount {
+			reply.Slots = append(reply.Slots, s.slots[number].snapshot(number))
 		}
 	}
 	return reply
 }
 
-func (l *slot) read(number uint32) hookhall.SlotRecords {
+// snapshot returns a copy of the slot's records for Merge at another member. It locks
+// l.mu.
+func (l *slot) snapshot(number uint32) hookhall.SlotRecords {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := hookhall.SlotRecords{Slot: number, Through: l.through}
-	for k := range l.layers {
-		r.Layers = append(r.Layers, k)
-	}
-	for _, x := range l.records {
-		n := x.Record
-		if x.copying {
-			// It may be granted after this read, at the epoch that still runs.
+	r := hookhall.SlotRecords{Slot: number, Through: l.completeThrough}
+	for epoch := range l.completeEpochs {
+		r.Layers = append(r.Layers, epoch)
+	}
+	for _, held := range l.records {
+		n := held.Record
+		if held.awaitingStandby {
+			// The claim may be granted after this copy is made, at the current epoch.
 			n.State = hookhall.StateGranted
 		}
 		r.Records = append(r.Records, n)
@@ -64,7 +68,8 @@
 	return r
 }
 
-// Merge takes in what another member holds of a slot.
+// Merge adds the records of a slot that another member returned from Records, and the
+// epochs of which these are complete. Slot numbers out of range are ignored.
 func (s *Store) Merge(r hookhall.SlotRecords) {
 	if r.Slot >= view.SlotCount {
 		return
@@ -78,96 +83,102 @@
 			l.put(n)
 		}
 	}
-	if r.Through > l.through {
-		l.through = r.Through
+	if r.Through > l.completeThrough {
+		l.completeThrough = r.Through
 	}
-	for _, k := range r.Layers {
-		l.layers[k] = true
+	for _, epoch := range r.Layers {
+		l.completeEpochs[epoch] = true
 	}
-	l.normalize()
+	l.compact()
 }
 
-// supersedes decides between two records of one sequence: the standby's
-// "granted" goes before the owner's "pending", as it may have been granted.
+// supersedes reports whether n replaces old, a record of the same Sequence: any other
+// state replaces "pending", because the owner may have granted the claim after it copied
+// it to the standby.
 func supersedes(n, old hookhall.Record) bool {
 	return n.State != old.State && old.State == hookhall.StatePending
 }
 
-// Need is a layer of a slot that this process has yet to hold.
+// Need is an epoch of a slot of which this process doesn't hold every grant.
 type Need struct {
 	Slot  uint32
 	Epoch uint64
 }
 
-// Missing lists the newest missing layer of each slot that this process is of
-// the pair of. Newest first: whoever served it usually holds all before it.
+// Missing returns, for each slot whose pair includes this process and whose records are
+// incomplete, the newest epoch that is missing. The newest comes first because the
+// members that served it usually hold all earlier ones too.
 func (s *Store) Missing() []Need {
 	var needs []Need
 	for i := range s.slots {
 		l := &s.slots[i]
 		l.mu.Lock()
-		if l.pair.Has(s.self) && !l.whole() {
-			needs = append(needs, Need{Slot: uint32(i), Epoch: l.newestMissing()})
+		if l.pair.Has(s.self) && !l.isComplete() {
+			needs = append(needs, Need{Slot: uint32(i), Epoch: l.newestMissingEpoch()})
 		}
 		l.mu.Unlock()
 	}
 	return needs
 }
 
-// newestMissing: since the slot is not whole, there is one above through.
-func (l *slot) newestMissing() uint64 {
-	for k := l.epoch - 1; k > l.through; k-- {
-		if !l.layers[k] {
-			return k
+// newestMissingEpoch returns the newest epoch of which grants may be missing. The slot
+// must be incomplete, so that there is one above completeThrough. l.mu must be held.
+func (l *slot) newestMissingEpoch() uint64 {
+	for epoch := l.epoch - 1; epoch > l.completeThrough; epoch-- {
+		if !l.completeEpochs[epoch] {
+			return epoch
 		}
 	}
-	return l.through
+	return l.completeThrough
 }
 
-// lostMargin is the part of the retention that is waited on top of it: a member
-// that leaves may grant for a moment after it was seen gone.
-const lostMargin = 10
+// lostMarginDivisor sets the wait for a lost pair to the retention and a tenth of it: a
+// member that leaves may still grant for a moment after it was seen to be gone.
+const lostMarginDivisor = 10
 
-// Lost notes that both of the pair that served a layer are gone for certain.
-// Once the retention has passed since, the layer has nothing left to hold, and
-// Lost returns true.
+// Lost records that both members of the pair that served the epoch n are known to have
+// ended. Repeated calls return true once the retention and its margin have passed since
+// the first call: every claim of that epoch has expired, and the epoch counts as
+// complete.
 func (s *Store) Lost(n Need, now time.Time) bool {
 	l := &s.slots[n.Slot]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	since, seen := l.lost[n.Epoch]
-	if !seen {
-		l.lost[n.Epoch] = now
+	since, found := l.lostSince[n.Epoch]
+	if !found {
+		l.lostSince[n.Epoch] = now
 		return false
 	}
-	if now.Sub(since) < s.retention+s.retention/lostMargin {
+	if now.Sub(since) < s.retention+s.retention/lostMarginDivisor {
 		return false
 	}
-	l.layers[n.Epoch] = true
-	l.normalize()
+	l.completeEpochs[n.Epoch] = true
+	l.compact()
 	return true
 }
 
-// Forget declares every epoch before the view's history settled, for a slot.
-// It may be called only after the retention has passed with no unfenced
-// member in the view.
+// Forget marks all epochs of a slot that are lower than before as complete, for epochs
+// that the view's history no longer covers. It may be called only after the retention
+// has passed without an unfenced member in the view, so that all their claims have
+// expired.
 func (s *Store) Forget(slotNumber uint32, before uint64) {
 	l := &s.slots[slotNumber]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if before > 0 && l.through < before-1 {
-		l.through = before - 1
-		l.normalize()
+	if before > 0 && l.completeThrough < before-1 {
+		l.completeThrough = before - 1
+		l.compact()
 	}
 }
 
-// Whole tells whether the process, at epoch or later, is whole in all slots
-// that it is of the pair of.
+// Whole reports whether the process has reached epoch and holds complete records of all
+// slots whose pair includes it.
 func (s *Store) Whole(epoch uint64) bool {
 	return s.Placement().View.Epoch >= epoch && len(s.Missing()) == 0
 }
 
-// Summary is the store's part of a state dump.
+// Summary is the store's part of a state dump: the epoch of the view in force, and
+// counts of slots, records and lost epochs of this process.
 type Summary struct {
 	Epoch   uint64 `json:"epoch"`
 	Owned   int    `json:"owned_slots"`
@@ -177,7 +188,8 @@
 	Lost    int    `json:"lost_layers"`
 }
 
-// Summary counts slots and records.
+// Summary returns the current counts; it locks one slot at a time, so they are not of
+// one instant.
 func (s *Store) Summary() Summary {
 	sum := Summary{Epoch: s.Placement().View.Epoch, Missing: len(s.Missing())}
 	for i := range s.slots {
@@ -190,7 +202,7 @@
 			sum.Standby++
 		}
 		sum.Records += len(l.records)
-		sum.Lost += len(l.lost)
+		sum.Lost += len(l.lostSince)
 		l.mu.Unlock()
 	}
 	return sum
--- a/internal/state/claim/store.go
+++ b/internal/state/claim/store.go
@@ -12,68 +12,80 @@
 	"github.com/hookhall/hookhall/internal/state/view"
 )
 
-// fetchSoon is when to come back while records are being fetched.
-const fetchSoon = 200 * time.Millisecond
+// fetchRetryDelay is the delay that a refused caller is given before its next try, while
+// the owner fetches records or after a copy to the standby has failed.
+const fetchRetryDelay = 200 * time.Millisecond
 
-// sweepEvery is how often a slot drops its expired records.
-const sweepEvery = time.Second
+// sweepInterval is the shortest time between two removals of expired records of a slot,
+// so that a busy slot doesn't scan its records for each request.
+const sweepInterval = time.Second
 
-// Store holds the records of all slots of one process.
+// Store holds the claim records of all slots of one process. Its methods may be called
+// concurrently.
 type Store struct {
 	self      string
 	retention time.Duration
-	// placed is the view in force with its pairs, for readers without locks.
-	placed atomic.Pointer[Placement]
-	// advance serializes Advance; the request path never takes it.
-	advance sync.Mutex
-	slots   [view.SlotCount]slot
+	// placement is the view in force with its pairs; it is read without a lock.
+	placement atomic.Pointer[Placement]
+	// advanceMu serializes Advance; the request path never locks it.
+	advanceMu sync.Mutex
+	slots     [view.SlotCount]slot
 }
 
-// Placement is a view with the pairs of all slots.
+// Placement is a view with the pairs of all slots, computed once for each view. It is
+// immutable.
 type Placement struct {
-	View  *hookhall.View
-	Pairs [view.SlotCount]view.Pair
-	alive map[string]bool
+	View      *hookhall.View
+	Pairs     [view.SlotCount]view.Pair
+	memberIDs map[string]bool
 }
 
-// Alive tells whether the member is in the view.
-func (p *Placement) Alive(id string) bool { return p.alive[id] }
+// Alive reports whether the member with this ID is in the view.
+func (p *Placement) Alive(id string) bool { return p.memberIDs[id] }
 
+// slot holds the records of the keys that hash to one slot.
 type slot struct {
 	mu sync.Mutex
 	// epoch is this process's epoch for the slot; it only grows.
-	epoch   uint64
-	pair    view.Pair
-	through uint64
-	layers  map[uint64]bool
-	// lost has, for layers whose pair is gone, when that was first seen.
-	lost    map[uint64]time.Time
-	records map[string]*record
-	swept   time.Time
+	epoch uint64
+	pair  view.Pair
+	// completeThrough is the last epoch up to which, included, the process holds every
+	// grant of the slot.
+	completeThrough uint64
+	// completeEpochs has the later epochs of which it holds every grant.
+	completeEpochs map[uint64]bool
+	// lostSince has, for epochs whose pair has ended, when that was first seen.
+	lostSince map[uint64]time.Time
+	// records is keyed by claim key.
+	records   map[string]*record
+	lastSweep time.Time
 }
 
+// record is a claim record in the store.
 type record struct {
 	hookhall.Record
-	// copying is set while the standby's word is awaited.
-	copying bool
+	// awaitingStandby is set until the standby has replied to the copy.
+	awaitingStandby bool
 }
 
-// New makes an empty store for the member self.
+// New returns an empty store for the member with the ID self. Records are kept for
+// retention after their last change.
 func New(self string, retention time.Duration) *Store {
 	s := &Store{self: self, retention: retention}
 	for i := range s.slots {
 		s.slots[i].records = map[string]*record{}
-		s.slots[i].layers = map[uint64]bool{}
-		s.slots[i].lost = map[uint64]time.Time{}
+		s.slots[i].completeEpochs = map[uint64]bool{}
+		s.slots[i].lostSince = map[uint64]time.Time{}
 	}
-	s.placed.Store(place(&hookhall.View{}))
+	s.placement.Store(newPlacement(&hookhall.View{}))
 	return s
 }
 
-func place(v *hookhall.View) *Placement {
-	p := &Placement{View: v, alive: make(map[string]bool, len(v.Members))}
+// newPlacement computes the pairs of all slots for a view.
+func newPlacement(v *hookhall.View) *Placement {
+	p := &Placement{View: v, memberIDs: make(map[string]bool, len(v.Members))}
 	for _, m := range v.Members {
-		p.alive[m.ID] = true
+		p.memberIDs[m.ID] = true
 	}
 	for i := range p.Pairs {
 		p.Pairs[i] = view.PairOf(v.Members, uint32(i))
@@ -81,110 +93,118 @@
 	return p
 }
 
-// Placement returns the view in force with its pairs.
-func (s *Store) Placement() *Placement { return s.placed.Load() }
+// Placement returns the view in force with its pairs, without a lock.
+func (s *Store) Placement() *Placement { return s.placement.Load() }
 
-// Retention is how long a record is kept.
+// Retention returns how long a record is kept after its last change.
 func (s *Store) Retention() time.Duration { return s.retention }
 
-// Advance moves on to a newer view; an older or equal one is ignored.
+// Advance puts a view in force and reports whether its epoch is newer. A view of the same
+// epoch with a newer revision replaces the one in force, and false is returned. Older
+// views are ignored.
 func (s *Store) Advance(v *hookhall.View) bool {
-	s.advance.Lock()
-	defer s.advance.Unlock()
-	before := s.placed.Load()
-	old := before.View
+	s.advanceMu.Lock()
+	defer s.advanceMu.Unlock()
+	current := s.placement.Load()
+	old := current.View
 	if v.Epoch <= old.Epoch {
 		if v.Epoch == old.Epoch && v.Revision > old.Revision {
-			s.placed.Store(place(v))
+			s.placement.Store(newPlacement(v))
 		}
 		return false
 	}
-	next := place(v)
+	next := newPlacement(v)
 	served := s.servedEpochs(old, v)
 	for i := range s.slots {
-		s.slots[i].moveOn(s.self, uint32(i), before, next, served)
+		s.slots[i].advance(s.self, uint32(i), current, next, served)
 	}
-	s.placed.Store(next)
+	s.placement.Store(next)
 	return true
 }
 
-// servedEpochs returns the members of the epochs between old's and v's that this
-// process was a member of.
+// servedEpochs returns the members of each epoch between old's and v's, both excluded, in
+// which this process was a member.
 func (s *Store) servedEpochs(old, v *hookhall.View) map[uint64][]hookhall.Member {
 	served := map[uint64][]hookhall.Member{}
-	for k := v.Epoch - 1; k > old.Epoch; k-- {
-		members, ok := view.At(v, k)
+	for epoch := v.Epoch - 1; epoch > old.Epoch; epoch-- {
+		members, ok := view.At(v, epoch)
 		if !ok {
 			continue
 		}
 		for _, m := range members {
 			if m.ID == s.self {
-				served[k] = members
+				served[epoch] = members
 			}
 		}
 	}
 	return served
 }
 
-// moveOn takes a slot from one placement to a later one. It holds every grant
-// of the epoch that it leaves, if it was of the pair, and of those it skipped.
-func (l *slot) moveOn(self string, number uint32, from, to *Placement, served map[uint64][]hookhall.Member) {
+// advance moves the slot from one placement to a later one; served is from servedEpochs.
+// The process holds every grant of the epoch that it leaves and of those that it skipped,
+// if it was of their pair: an owner grants nothing while its standby is at another epoch.
+// It locks l.mu.
+func (l *slot) advance(self string, number uint32, from, to *Placement, served map[uint64][]hookhall.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := from.View.Epoch; k > l.through && from.Pairs[number].Has(self) {
-		l.layers[k] = true
+	if epoch := from.View.Epoch; epoch > l.completeThrough && from.Pairs[number].Has(self) {
+		l.completeEpochs[epoch] = true
 	}
-	for k, members := range served {
-		if k > l.through && view.PairOf(members, number).Has(self) {
-			l.layers[k] = true
+	for epoch, members := range served {
+		if epoch > l.completeThrough && view.PairOf(members, number).Has(self) {
+			l.completeEpochs[epoch] = true
 		}
 	}
 	l.epoch, l.pair = to.View.Epoch, to.Pairs[number]
-	l.normalize()
+	l.compact()
 }
 
-// normalize folds layers into through.
-func (l *slot) normalize() {
-	for l.layers[l.through+1] {
-		l.through++
-		delete(l.layers, l.through)
+// compact moves completeThrough past the complete epochs that follow it, and drops the
+// entries of completeEpochs and lostSince that are no longer needed. l.mu must be held.
+func (l *slot) compact() {
+	for l.completeEpochs[l.completeThrough+1] {
+		l.completeThrough++
+		delete(l.completeEpochs, l.completeThrough)
 	}
-	for k := range l.layers {
-		if k <= l.through {
-			delete(l.layers, k)
+	for epoch := range l.completeEpochs {
+		if epoch <= l.completeThrough {
+			delete(l.completeEpochs, epoch)
 		}
 	}
-	for k := range l.lost {
-		if k <= l.through || l.layers[k] {
-			delete(l.lost, k)
+	for epoch := range l.lostSince {
+		if epoch <= l.completeThrough || l.completeEpochs[epoch] {
+			delete(l.lostSince, epoch)
 		}
 	}
 }
 
-func (l *slot) whole() bool { return l.epoch > 0 && l.through+1 >= l.epoch }
+// isComplete reports whether the process holds all grants of the epochs before its own.
+// l.mu must be held.
+func (l *slot) isComplete() bool { return l.epoch > 0 && l.completeThrough+1 >= l.epoch }
 
-// put replaces the record of a key. A copy of the old one that is still under
-// way no longer concerns it.
+// put replaces the record of a key. A pending copy of the replaced record doesn't affect
+// the new one, whose awaitingStandby is unset. l.mu must be held.
 func (l *slot) put(n hookhall.Record) *record {
 	r := &record{Record: n}
 	l.records[n.Key] = r
 	return r
 }
 
-// sweep drops expired records, at most once in sweepEvery.
+// sweep drops expired records, at most once per sweepInterval. l.mu must be held.
 func (l *slot) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
-	for k, r := range l.records {
-		if now.After(r.Expires) && !r.copying {
-			delete(l.records, k)
+	l.lastSweep = now
+	for key, r := range l.records {
+		if now.After(r.Expires) && !r.awaitingStandby {
+			delete(l.records, key)
 		}
 	}
 }
 
-// Sweep drops expired records of all slots.
+// Sweep drops expired records of all slots; each slot is scanned at most once per
+// sweepInterval.
 func (s *Store) Sweep(now time.Time) {
 	for i := range s.slots {
 		l := &s.slots[i]
--- a/internal/state/claim/store_test.go
+++ b/internal/state/claim/store_test.go
@@ -12,95 +12,96 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// pairOf makes two stores that are owner and standby of a key at one epoch.
-func pairOf(key string) (owner, standby *Store, v *hookhall.View) {
+// newStorePair returns two stores that are the complete owner and standby of a key at
+// epoch 2.
+func newStorePair(key string) (owner, standby *Store, v *hookhall.View) {
 	v = view.Join(view.Join(&hookhall.View{}, hookhall.Member{ID: "a#1", Instance: "a", Hall: "h1"}),
 		hookhall.Member{ID: "b#1", Instance: "b", Hall: "h2"})
 	stores := map[string]*Store{"a#1": New("a#1", time.Minute), "b#1": New("b#1", time.Minute)}
-	// Epoch 1 had one member alone: both adopt both epochs.
+	// Epoch 1 had a single member; both stores go through both epochs.
 	first, _ := view.At(v, 1)
-	alone := &hookhall.View{Epoch: 1, Revision: 1, Members: first}
+	firstView := &hookhall.View{Epoch: 1, Revision: 1, Members: first}
 	for _, s := range stores {
-		s.Advance(alone)
+		s.Advance(firstView)
 		s.Advance(v)
 	}
 	p := view.PairOf(v.Members, view.SlotOf(key))
 	owner, standby = stores[p.Owner.ID], stores[p.Standby.ID]
-	if !owner.slots[view.SlotOf(key)].whole() {
+	if !owner.slots[view.SlotOf(key)].isComplete() {
 		owner.Merge(standby.Records(2, []uint32{view.SlotOf(key)}).Slots[0])
 	}
 	return owner, standby, v
 }
 
-func ask(key string, token uint64) hookhall.ClaimRequest {
+func newClaimRequest(key string, token uint64) hookhall.ClaimRequest {
 	return hookhall.ClaimRequest{Epoch: 2, Key: key, Origin: "a#1", Token: token}
 }
 
 func TestStore(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	Convey("An owner and its standby", t, func() {
-		owner, standby, _ := pairOf("k")
+		owner, standby, _ := newStorePair("k")
 		Convey("grant a key once", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			So(g, ShouldNotBeNil)
 			So(standby.Copy(g.Epoch, g.Record, now).Stored, ShouldBeTrue)
 			So(owner.Complete(g, true).Outcome, ShouldEqual, hookhall.ClaimGranted)
-			reply, again := owner.Begin(ask("k", 2), now)
+			reply, again := owner.Begin(newClaimRequest("k", 2), now)
 			So(again, ShouldBeNil)
 			So(reply.Outcome, ShouldEqual, hookhall.ClaimHeld)
 			So(reply.Record.Token, ShouldEqual, 1)
 		})
-		Convey("do not grant without the standby's word, and let another try", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+		Convey("do not grant when the standby has not stored the record, and accept another claim", func() {
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			So(owner.Complete(g, false).Outcome, ShouldEqual, hookhall.ClaimRefused)
 			first := g.Record.Sequence
-			_, g = owner.Begin(ask("k", 2), now)
+			_, g = owner.Begin(newClaimRequest("k", 2), now)
 			So(g, ShouldNotBeNil)
 			So(g.Record.Sequence, ShouldEqual, first+1)
 		})
-		Convey("hold a claim that was fetched while it was copied (found by the schedules)", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+		Convey("grant a claim whose record was fetched while it was copied (found by TestSchedules)", func() {
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			standby.Merge(owner.Records(2, []uint32{view.SlotOf("k")}).Slots[0])
 			So(standby.Copy(g.Epoch, g.Record, now).Stored, ShouldBeTrue)
 			So(owner.Complete(g, true).Outcome, ShouldEqual, hookhall.ClaimGranted)
 			So(standby.slots[view.SlotOf("k")].records["k"].State, ShouldEqual, hookhall.StateGranted)
 		})
 		Convey("refuse a late copy of an older grant", func() {
-			_, first := owner.Begin(ask("k", 1), now)
+			_, first := owner.Begin(newClaimRequest("k", 1), now)
 			owner.Complete(first, false)
-			_, second := owner.Begin(ask("k", 2), now)
+			_, second := owner.Begin(newClaimRequest("k", 2), now)
 			So(standby.Copy(second.Epoch, second.Record, now).Stored, ShouldBeTrue)
 			So(standby.Copy(first.Epoch, first.Record, now).Stored, ShouldBeFalse)
 		})
-		Convey("refuse other epochs, and grant nothing that was copied before a view", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+		Convey("refuse other epochs, and grant nothing that was copied at an earlier epoch", func() {
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			So(standby.Copy(g.Epoch+1, g.Record, now).Stored, ShouldBeFalse)
 			So(standby.Copy(g.Epoch, g.Record, now).Stored, ShouldBeTrue)
 			owner.Advance(&hookhall.View{Epoch: 3, Revision: 3, Members: owner.Placement().View.Members})
 			So(owner.Complete(g, true).Outcome, ShouldEqual, hookhall.ClaimRefused)
 		})
-		Convey("keep a finished answer, and forget it after the retention", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+		Convey("keep the answer of a finished request, and drop it after the retention", func() {
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			standby.Copy(g.Epoch, g.Record, now)
 			owner.Complete(g, true)
 			done, _, copied := owner.Settle(hookhall.Settlement{Key: "k", Token: 1, State: hookhall.StateFinished, Answer: []byte("x")}, now)
 			So(done, ShouldBeTrue)
 			So(standby.Copy(copied.Epoch, copied.Record, now).Stored, ShouldBeTrue)
-			reply, _ := owner.Begin(ask("k", 2), now)
+			reply, _ := owner.Begin(newClaimRequest("k", 2), now)
 			So(string(reply.Record.Answer), ShouldEqual, "x")
-			_, g = owner.Begin(ask("k", 3), now.Add(2*time.Minute))
+			_, g = owner.Begin(newClaimRequest("k", 3), now.Add(2*time.Minute))
 			So(g, ShouldNotBeNil)
 		})
-		Convey("tell nothing of a slot to who is ahead, until they have moved on", func() {
+		Convey("return no records to a member at a later epoch before they have advanced to it", func() {
 			ahead := &hookhall.View{Epoch: 3, Revision: 3, Members: owner.Placement().View.Members}
 			So(owner.Records(3, []uint32{view.SlotOf("k")}).Slots, ShouldBeEmpty)
 			owner.Advance(ahead)
 			So(owner.Records(3, []uint32{view.SlotOf("k")}).Slots, ShouldHaveLength, 1)
-			_, g := owner.Begin(ask("k", 1), now)
-			So(g, ShouldBeNil) // and grant nothing more at the epoch they left
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
+			So(g, ShouldBeNil) // nor grant at the epoch that they left
 		})
-		Convey("settle nothing for another token", func() {
-			_, g := owner.Begin(ask("k", 1), now)
+		Convey("refuse a settlement with another token", func() {
+			_, g := owner.Begin(newClaimRequest("k", 1), now)
 			owner.Complete(g, true)
 			done, _, _ := owner.Settle(hookhall.Settlement{Key: "k", Token: 9, State: hookhall.StateReleased}, now)
 			So(done, ShouldBeFalse)
@@ -108,18 +109,18 @@
 	})
 }
 
-// TestReplacedRecordIsSettled: a record that took the place of one whose copy was
-// under way is not held up by that copy.
-func TestReplacedRecordIsSettled(t *testing.T) {
+// TestReplacingRecordCanBeSettled guards against a record that can be neither settled nor
+// expired, because the record that it replaced was still being copied to the standby.
+func TestReplacingRecordCanBeSettled(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	Convey("A grant that was fetched over one that was being copied", t, func() {
-		owner, _, _ := pairOf("k")
-		_, first := owner.Begin(ask("k", 1), now)
+	Convey("A fetched grant that replaced a record whose copy was pending", t, func() {
+		owner, _, _ := newStorePair("k")
+		_, first := owner.Begin(newClaimRequest("k", 1), now)
 		other := first.Record
 		other.Token, other.Sequence = 2, first.Record.Sequence+1
 		owner.Merge(hookhall.SlotRecords{Slot: view.SlotOf("k"), Records: []hookhall.Record{other}})
 		So(owner.Complete(first, false).Outcome, ShouldEqual, hookhall.ClaimRefused)
-		Convey("is settled", func() {
+		Convey("can be settled", func() {
 			done, _, _ := owner.Settle(hookhall.Settlement{Key: "k", Token: 2, State: hookhall.StateFinished}, now)
 			So(done, ShouldBeTrue)
 		})
@@ -130,19 +131,20 @@
 	})
 }
 
-// TestStaleRecordIsNotReleased: an owner that has yet to fetch what was granted without it
-// takes no settlement, whose sequence could stand against that of a later grant.
-func TestStaleRecordIsNotReleased(t *testing.T) {
+// TestIncompleteOwnerRefusesSettlement guards against an owner that settles a claim while
+// it lacks grants of later epochs: the settlement could have the Sequence of a later grant
+// of the key and hide it.
+func TestIncompleteOwnerRefusesSettlement(t *testing.T) {
 	now := time.Unix(1e9, 0)
-	Convey("An owner that refused a grant, left the view and is back", t, func() {
-		owner, _, v := pairOf("k")
-		_, refused := owner.Begin(ask("k", 1), now)
+	Convey("An owner that refused a grant, left the view and joined again", t, func() {
+		owner, _, v := newStorePair("k")
+		_, refused := owner.Begin(newClaimRequest("k", 1), now)
 		self, _ := view.Find(v, owner.self)
 		without := view.Leave(v, owner.self, false)
 		owner.Advance(without)
 		So(owner.Complete(refused, false).Outcome, ShouldEqual, hookhall.ClaimRefused)
 		owner.Advance(view.Join(without, self))
-		Convey("releases that grant only when it knows the later ones", func() {
+		Convey("does not release that grant, and keeps a later one that it fetches", func() {
 			release := hookhall.Settlement{Key: "k", Token: 1, State: hookhall.StateReleased}
 			done, _, _ := owner.Settle(release, now)
 			So(done, ShouldBeFalse)
@@ -151,7 +153,7 @@
 			owner.Merge(hookhall.SlotRecords{Slot: view.SlotOf("k"), Through: without.Epoch, Records: []hookhall.Record{later}})
 			done, _, _ = owner.Settle(release, now)
 			So(done, ShouldBeFalse)
-			q := ask("k", 3)
+			q := newClaimRequest("k", 3)
 			q.Epoch = owner.Placement().View.Epoch
 			reply, grant := owner.Begin(q, now)
 			So(grant, ShouldBeNil)
@@ -161,28 +163,29 @@
 	})
 }
 
-// TestRefusedGrantsDoNotHideALaterOne: what an owner wrote for grants that it refused is
-// older than a grant of a later view, however often it refused.
-func TestRefusedGrantsDoNotHideALaterOne(t *testing.T) {
+// TestRefusedGrantsKeepLowerSequence guards against a key that is granted twice: an owner
+// that refused the key several times must not end with a higher Sequence than the grant of
+// a later epoch, or its record would replace that grant.
+func TestRefusedGrantsKeepLowerSequence(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	Convey("An owner that refused a key four times and left the view", t, func() {
-		owner, standby, v := pairOf("k")
+		owner, standby, v := newStorePair("k")
 		standby.Merge(owner.Records(v.Epoch, []uint32{view.SlotOf("k")}).Slots[0])
 		for token := range uint64(4) {
-			_, refused := owner.Begin(ask("k", token+1), now)
+			_, refused := owner.Begin(newClaimRequest("k", token+1), now)
 			So(owner.Complete(refused, false).Outcome, ShouldEqual, hookhall.ClaimRefused)
 		}
 		self, _ := view.Find(v, owner.self)
 		without := view.Leave(v, owner.self, false)
 		owner.Advance(without)
 		standby.Advance(without)
-		q := ask("k", 9)
+		q := newClaimRequest("k", 9)
 		q.Epoch = without.Epoch
 		reply, _ := standby.Begin(q, now)
 		So(reply.Outcome, ShouldEqual, hookhall.ClaimGranted)
 		done, _, _ := standby.Settle(hookhall.Settlement{Key: "k", Token: 9, State: hookhall.StateFinished}, now)
 		So(done, ShouldBeTrue)
-		Convey("holds what was granted without it when it is back", func() {
+		Convey("fetches the grant of the later epoch when it joins again", func() {
 			with := view.Join(without, self)
 			owner.Advance(with)
 			standby.Advance(with)
@@ -193,7 +196,7 @@
 			So(reply.Outcome, ShouldEqual, hookhall.ClaimHeld)
 			So(reply.Record.Token, ShouldEqual, 9)
 		})
-		Convey("takes nothing from who holds it", func() {
+		Convey("does not replace that grant at the member that holds it", func() {
 			standby.Merge(owner.Records(without.Epoch, []uint32{view.SlotOf("k")}).Slots[0])
 			q.Token = 10
 			reply, _ := standby.Begin(q, now)
