--- a/internal/state/routetable/routetable_test.go
+++ b/internal/state/routetable/routetable_test.go
@@ -10,6 +10,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestTable guards against requests that get the route of a shorter prefix, the account of
+// another credential, or access without a credential.
 func TestTable(t *testing.T) {
 	Convey("Given a table with nested prefixes and accounts", t, func() {
 		table := Compile(&hookhall.Routing{
@@ -40,11 +42,11 @@
 				So(r.Name, ShouldEqual, c.want)
 			})
 		}
-		Convey("a credential finds its first account only", func() {
+		Convey("a credential belongs to the first account that lists it", func() {
 			So(table.Account("k2").Name, ShouldEqual, "one")
 			So(table.Account("k3"), ShouldBeNil)
 		})
-		Convey("only public routes need no key", func() {
+		Convey("public routes need no credential, other routes do", func() {
 			So(table.NeedsKey(table.Route("a.example", "/x/")), ShouldBeTrue)
 			So(table.NeedsKey(table.Route("b.example", "/")), ShouldBeFalse)
 		})
