--- a/internal/state/table/column.go
+++ b/internal/state/table/column.go
@@ -16,13 +16,14 @@
 // Column describes one column of a sheet.
 type Column struct {
 	Name string
-	// Accepts says in words what a cell may hold.
+	// Accepts describes the accepted values, as the end of the phrase "it must be".
 	Accepts string
 	check   func(string) bool
 }
 
-// columns has all sheets' columns; docs/OPERATING.md is tested against it.
-var columns = map[hookhall.Sheet][]Column{
+// columnsBySheet has the columns of all sheets. A test compares it with
+// docs/OPERATING.md.
+var columnsBySheet = map[hookhall.Sheet][]Column{
 	hookhall.SheetAccounts: {
 		{"key_sha256", "64 hex digits, the SHA-256 of the account's key", isHash},
 		{"weight", "a number from 0.01 to 1000", isNumber(0.01, 1000)},
@@ -47,10 +48,10 @@
 	},
 }
 
-// Sheets returns the sheets' names, sorted.
+// Sheets returns the names of all sheets, sorted.
 func Sheets() []hookhall.Sheet {
-	names := make([]hookhall.Sheet, 0, len(columns))
-	for s := range columns {
+	names := make([]hookhall.Sheet, 0, len(columnsBySheet))
+	for s := range columnsBySheet {
 		names = append(names, s)
 	}
 	sort.Slice(names, func(i, j int) bool { return names[i] < names[j] })
@@ -58,19 +59,20 @@
 }
 
 // Columns returns the columns of a sheet, nil for an unknown one.
-func Columns(s hookhall.Sheet) []Column { return columns[s] }
+func Columns(s hookhall.Sheet) []Column { return columnsBySheet[s] }
 
-// CheckCell tells whether a column may hold value; the empty value, which
-// stands for the default, is always accepted.
+// CheckCell returns a *CellError when the sheet or column is unknown, the row's name is
+// invalid, or the column doesn't accept value. The empty value, which stands for the
+// default, is always accepted.
 func CheckCell(s hookhall.Sheet, row, column, value string) error {
-	cols, ok := columns[s]
+	columns, ok := columnsBySheet[s]
 	if !ok {
 		return &CellError{Sheet: s, Row: row, Message: fmt.Sprintf("unknown sheet; there are %v", Sheets())}
 	}
-	if err := checkName(s, row); err != nil {
+	if err := checkRowName(s, row); err != nil {
 		return err
 	}
-	for _, c := range cols {
+	for _, c := range columns {
 		if c.Name != column {
 			continue
 		}
@@ -79,40 +81,46 @@
 		}
 		return nil
 	}
-	return &CellError{s, row, column, "unknown column; there are " + columnNames(cols)}
+	return &CellError{s, row, column, "unknown column; there are " + columnNames(columns)}
 }
 
-func columnNames(cols []Column) string {
-	names := make([]string, len(cols))
-	for i, c := range cols {
+// columnNames returns the names of columns, separated by commas.
+func columnNames(columns []Column) string {
+	names := make([]string, len(columns))
+	for i, c := range columns {
 		names[i] = c.Name
 	}
 	return strings.Join(names, ", ")
 }
 
-// maxName bounds row names, so that a chunk's size is bounded by its rows.
-const maxName = 128
+// maxRowNameBytes limits the length of row names, so that the number of its rows bounds
+// the size of a chunk.
+const maxRowNameBytes = 128
 
-func checkName(s hookhall.Sheet, row string) error {
-	if !isWord(strings.ReplaceAll(row, "/", "-")) || len(row) > maxName {
+// checkRowName returns a *CellError when a row of the sheet can't have this name.
+func checkRowName(s hookhall.Sheet, row string) error {
+	if !isWord(strings.ReplaceAll(row, "/", "-")) || len(row) > maxRowNameBytes {
 		return &CellError{Sheet: s, Row: row, Message: "a row's name has 1 to 128 letters, digits and . _ - /"}
 	}
 	if s == hookhall.SheetStages {
-		if _, _, _, ok := splitStage(row); !ok {
+		if _, _, _, ok := parseStageRow(row); !ok {
 			return &CellError{Sheet: s, Row: row, Message: "a stage's row is named PIPELINE/ORDER-STAGE, as in recap/1-encode"}
 		}
 	}
 	return nil
 }
 
-// splitStage takes recap/1-encode apart.
-func splitStage(row string) (pipeline string, order int, stage string, ok bool) {
+// parseStageRow parses the name of a row of the stages sheet: recap/1-encode gives
+// pipeline recap, order 1 and stage encode.
+func parseStageRow(row string) (pipeline string, order int, stage string, ok bool) {
 	pipeline, rest, ok1 := strings.Cut(row, "/")
 	number, stage, ok2 := strings.Cut(rest, "-")
 	order, err := strconv.Atoi(number)
 	return pipeline, order, stage, ok1 && ok2 && err == nil && pipeline != "" && stage != ""
 }
 
+// isWord reports whether s has one or more ASCII letters, digits, dots, underscores and
+// hyphens, and nothing else.
 func isWord(s string) bool {
 	for _, r := range s {
 		switch {
@@ -126,11 +134,13 @@
 
 func isBool(s string) bool { return s == "true" || s == "false" }
 
+// isHash reports whether s is a SHA-256 in hex.
 func isHash(s string) bool {
 	b, err := hex.DecodeString(s)
 	return err == nil && len(b) == 32
 }
 
+// isNumber returns a check for numbers from low to high, both included.
 func isNumber(low, high float64) func(string) bool {
 	return func(s string) bool {
 		f, err := strconv.ParseFloat(s, 64)
@@ -138,6 +148,7 @@
 	}
 }
 
+// isInteger returns a check for whole numbers from low to high, both included.
 func isInteger(low, high int) func(string) bool {
 	return func(s string) bool {
 		n, err := strconv.Atoi(s)
--- a/internal/state/table/document.go
+++ b/internal/state/table/document.go
@@ -16,52 +16,56 @@
 	"github.com/pkg/errors"
 )
 
-// ChunkCount is the number of chunks: 8,200 accounts make chunks of some
-// 20 KB, far below the service's one megabyte, and an edit writes one of them.
+// ChunkCount is the number of chunks that rows are spread over. With 8,200 accounts a
+// chunk has some 20 KB, far below the key-value service's limit of one megabyte, and an
+// edit writes one of them.
 const ChunkCount = 64
 
-// keptEdits is how many edit ids a root remembers, to settle lost answers.
-const keptEdits = 128
+// maxEditMarks is the number of edit requests that a root lists. A writer that lost the
+// reply to its swap can look its ID up until that many others have taken effect.
+const maxEditMarks = 128
 
-// retiredFor is how many versions a replaced chunk is kept, for readers that
-// hold an older root.
-const retiredFor = 32
+// retiredVersions is the number of versions for which a replaced chunk is kept, so that a
+// reader of an older root still finds its chunks.
+const retiredVersions = 32
 
-// EditMark remembers that an edit took effect, and at which version.
+// EditMark records the ID of an edit request that took effect, and the version that it
+// made.
 type EditMark struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
 
-// Root is the one value that is swapped.
+// Root is the stored value that a compare-and-swap replaces to put an edit into effect.
 type Root struct {
 	Version uint64 `json:"version"`
-	// Chunks are the chunks' names, "" for an empty chunk.
+	// Chunks has the names of the chunks, "" for an empty chunk.
 	Chunks [ChunkCount]string `json:"chunks"`
-	// Retired are names that newer versions replaced, to be deleted later.
+	// Retired has the chunks that newer versions replaced, to be deleted later.
 	Retired []Retired `json:"retired,omitempty"`
-	// Edits are the newest edits' ids, oldest first.
+	// Edits has the newest edit requests that took effect, oldest first.
 	Edits []EditMark `json:"edits,omitempty"`
 }
 
-// Retired is a chunk that Version replaced.
+// Retired is the name of a chunk and the version whose root no longer lists it.
 type Retired struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Document is a root with all its rows. It is never changed once made.
+// Document is a root with all its rows. It is immutable.
 type Document struct {
 	Root Root
 	// chunks holds the encoded chunks, nil for empty ones.
 	chunks [ChunkCount][]byte
-	rows   map[string]hookhall.Row
+	// rowsByKey is keyed by rowKey.
+	rowsByKey map[string]hookhall.Row
 }
 
-// Empty is the table before the first edit.
-func Empty() *Document { return &Document{rows: map[string]hookhall.Row{}} }
+// Empty returns the table before the first edit, at version 0.
+func Empty() *Document { return &Document{rowsByKey: map[string]hookhall.Row{}} }
 
-// EncodeRoot returns the root's bytes.
+// EncodeRoot returns the stored form of the root, JSON.
 func (d *Document) EncodeRoot() []byte {
 	b, err := json.Marshal(d.Root)
 	if err != nil {
@@ -70,44 +74,45 @@
 	return b
 }
 
-// DecodeRoot is the inverse of EncodeRoot; no bytes are the empty root.
+// DecodeRoot is the inverse of EncodeRoot; an empty b gives the empty root.
 func DecodeRoot(b []byte) (Root, error) {
 	var r Root
 	if len(b) == 0 {
 		return r, nil
 	}
-	return r, errors.Wrap(json.Unmarshal(b, &r), "table root")
+	return r, errors.Wrap(json.Unmarshal(b, &r), "decode table root")
 }
 
-// Chunk returns the encoded chunk i, nil when empty.
+// Chunk returns the encoded chunk i, from 0 to ChunkCount-1; nil when it is empty.
 func (d *Document) Chunk(i int) []byte { return d.chunks[i] }
 
-// ChunkNamed returns the chunk with a name, nil if d has none such.
+// ChunkNamed returns the encoded chunk with a name, nil when d's root doesn't list it.
 func (d *Document) ChunkNamed(name string) []byte {
-	for i, h := range d.Root.Chunks {
-		if h == name && h != "" {
+	for i, listed := range d.Root.Chunks {
+		if listed == name && listed != "" {
 			return d.chunks[i]
 		}
 	}
 	return nil
 }
 
-// nameOf is a chunk's name: the hash of its content and the version that made
-// it. A name never comes back, so a retired chunk can be deleted safely.
-func nameOf(chunk []byte, version uint64) string {
+// chunkName returns the name of a chunk, "" for an empty one: the hash of its content, a
+// dot, and the version that wrote it. Because of the version a name is never used again,
+// so a retired chunk can be deleted safely.
+func chunkName(chunk []byte, version uint64) string {
 	if len(chunk) == 0 {
 		return ""
 	}
 	return HashOf(chunk) + "." + strconv.FormatUint(version, 10)
 }
 
-// HashIn returns the content hash in a chunk's name.
+// HashIn returns the content hash that a chunk's name contains.
 func HashIn(name string) string {
 	hash, _, _ := strings.Cut(name, ".")
 	return hash
 }
 
-// VersionIn returns the version in a chunk's name.
+// VersionIn returns the version that a chunk's name contains, 0 when it has none.
 func VersionIn(name string) uint64 {
 	_, version, _ := strings.Cut(name, ".")
 	n, err := strconv.ParseUint(version, 10, 64)
@@ -117,31 +122,32 @@
 	return n
 }
 
-// HashOf is the hash of a chunk's content.
+// HashOf returns the hash of a chunk's content: the first 16 bytes of its SHA-256, in hex.
 func HashOf(chunk []byte) string {
 	sum := sha256.Sum256(chunk)
 	return hex.EncodeToString(sum[:16])
 }
 
-// Assemble builds a document from a root and its chunks by name. A chunk that
-// is missing or whose content does not match its name is an error.
+// Assemble builds a document from a root and its encoded chunks, which it gets by name
+// from chunk. It returns an error when a chunk is missing (nil) or its content doesn't
+// match the hash in its name.
 func Assemble(r Root, chunk func(name string) []byte) (*Document, error) {
-	d := &Document{Root: r, rows: map[string]hookhall.Row{}}
-	for i, h := range r.Chunks {
-		if h == "" {
+	d := &Document{Root: r, rowsByKey: map[string]hookhall.Row{}}
+	for i, name := range r.Chunks {
+		if name == "" {
 			continue
 		}
-		b := chunk(h)
-		if HashOf(b) != HashIn(h) {
-			return nil, errors.Errorf("table version %d: chunk %d is missing or damaged", r.Version, i)
+		b := chunk(name)
+		if HashOf(b) != HashIn(name) {
+			return nil, errors.Errorf("table version %d: chunk %d is missing or does not match its hash", r.Version, i)
 		}
 		var rows []hookhall.Row
 		if err := json.Unmarshal(b, &rows); err != nil {
-			return nil, errors.Wrapf(err, "table chunk %d", i)
+			return nil, errors.Wrapf(err, "decode table chunk %d", i)
 		}
 		d.chunks[i] = b
-		for _, w := range rows {
-			d.rows[rowKey(w.Sheet, w.Name)] = w
+		for _, row := range rows {
+			d.rowsByKey[rowKey(row.Sheet, row.Name)] = row
 		}
 	}
 	return d, nil
@@ -149,21 +155,22 @@
 
 // Rows returns all rows, sorted by sheet and name.
 func (d *Document) Rows() []hookhall.Row {
-	rows := make([]hookhall.Row, 0, len(d.rows))
-	for _, w := range d.rows {
-		rows = append(rows, w)
+	rows := make([]hookhall.Row, 0, len(d.rowsByKey))
+	for _, row := range d.rowsByKey {
+		rows = append(rows, row)
 	}
 	sortRows(rows)
 	return rows
 }
 
-// Row finds one row.
+// Row returns the row of a sheet with a name, and whether it exists.
 func (d *Document) Row(s hookhall.Sheet, name string) (hookhall.Row, bool) {
-	w, ok := d.rows[rowKey(s, name)]
-	return w, ok
+	row, ok := d.rowsByKey[rowKey(s, name)]
+	return row, ok
 }
 
-// Applied tells the version at which the edit took effect, 0 if it is not known.
+// Applied returns the version that the edit request with this ID made, 0 when the root
+// doesn't list it.
 func (r Root) Applied(id string) uint64 {
 	for _, e := range r.Edits {
 		if e.ID == id {
@@ -173,8 +180,9 @@
 	return 0
 }
 
-// Apply returns the document after edits, which all apply or none. Wrong cells
-// give Errors, edits on a changed base give Conflicts.
+// Apply returns the document of the next version, with all edits of the request id
+// applied; on an error none is. The error is Errors when cells are invalid, and
+// Conflicts when cells no longer hold the base of their edit.
 func (d *Document) Apply(id string, edits []hookhall.Edit) (*Document, error) {
 	if err := checkEdits(edits); err != nil {
 		return nil, err
@@ -183,7 +191,7 @@
 	touched := map[int]bool{}
 	var conflicts Conflicts
 	for _, e := range edits {
-		if c, ok := next.applyOne(e); !ok {
+		if c, ok := next.applyEdit(e); !ok {
 			conflicts = append(conflicts, c)
 			continue
 		}
@@ -193,7 +201,7 @@
 		return nil, conflicts
 	}
 	next.Root.Version++
-	next.Root.Retired = keepRecent(d.Root.Retired, next.Root.Version)
+	next.Root.Retired = recentlyRetired(d.Root.Retired, next.Root.Version)
 	next.Root.Edits = appendEdit(d.Root.Edits, EditMark{ID: id, Version: next.Root.Version})
 	next.encodeChunks(touched)
 	if _, err := Compile(next); err != nil {
@@ -202,8 +210,9 @@
 	return next, nil
 }
 
+// checkEdits returns the invalid cells of edits as Errors, nil when there are none.
 func checkEdits(edits []hookhall.Edit) error {
-	var list Errors
+	var invalid Errors
 	for _, e := range edits {
 		if e.Delete && e.Column == "" {
 			continue
@@ -211,30 +220,32 @@
 		if err := CheckCell(e.Sheet, e.Row, e.Column, e.Value); err != nil {
 			var c *CellError
 			errors.As(err, &c)
-			list = append(list, c)
+			invalid = append(invalid, c)
 		}
 	}
-	if len(list) > 0 {
-		return list
+	if len(invalid) > 0 {
+		return invalid
 	}
 	return nil
 }
 
+// copyRows returns a copy of d with its own map of rows; the rows' cells are shared.
 func (d *Document) copyRows() *Document {
-	next := &Document{Root: d.Root, chunks: d.chunks, rows: make(map[string]hookhall.Row, len(d.rows)+1)}
-	for k, w := range d.rows {
-		next.rows[k] = w
+	next := &Document{Root: d.Root, chunks: d.chunks, rowsByKey: make(map[string]hookhall.Row, len(d.rowsByKey)+1)}
+	for k, row := range d.rowsByKey {
+		next.rowsByKey[k] = row
 	}
 	return next
 }
 
-// applyOne changes one cell. The row's cells are copied first, since the
-// older document shares them.
-func (d *Document) applyOne(e hookhall.Edit) (Conflict, bool) {
+// applyEdit changes one cell or deletes one row; on a conflict it returns false and
+// changes nothing. It copies the row's cells before a change, because older documents
+// share them.
+func (d *Document) applyEdit(e hookhall.Edit) (Conflict, bool) {
 	key := rowKey(e.Sheet, e.Row)
-	old, exists := d.rows[key]
+	old, exists := d.rowsByKey[key]
 	if e.Delete {
-		delete(d.rows, key)
+		delete(d.rowsByKey, key)
 		return Conflict{}, true
 	}
 	if current := old.Cells[e.Column]; !e.Force && current != e.Base {
@@ -251,15 +262,17 @@
 	} else {
 		row.Cells[e.Column] = e.Value
 	}
-	d.rows[key] = row
+	d.rowsByKey[key] = row
 	return Conflict{}, true
 }
 
+// encodeChunks encodes the touched chunks, by their index, and adds the names that they
+// replace to Root.Retired.
 func (d *Document) encodeChunks(touched map[int]bool) {
 	byChunk := make(map[int][]hookhall.Row, len(touched))
-	for k, w := range d.rows {
+	for k, row := range d.rowsByKey {
 		if i := chunkOf(k); touched[i] {
-			byChunk[i] = append(byChunk[i], w)
+			byChunk[i] = append(byChunk[i], row)
 		}
 	}
 	for i := range touched {
@@ -267,7 +280,7 @@
 			d.Root.Retired = append(d.Root.Retired, Retired{old, d.Root.Version})
 		}
 		d.chunks[i] = encodeRows(byChunk[i])
-		d.Root.Chunks[i] = nameOf(d.chunks[i], d.Root.Version)
+		d.Root.Chunks[i] = chunkName(d.chunks[i], d.Root.Version)
 	}
 }
 
@@ -283,19 +296,20 @@
 	return b
 }
 
-// keepRecent copies the retired names that are not yet Obsolete.
-func keepRecent(old []Retired, version uint64) []Retired {
+// recentlyRetired returns a copy of the retired chunks that a root of this version still
+// keeps.
+func recentlyRetired(old []Retired, version uint64) []Retired {
 	var kept []Retired
 	for _, r := range old {
-		if r.Version+retiredFor > version {
+		if r.Version+retiredVersions > version {
 			kept = append(kept, r)
 		}
 	}
 	return kept
 }
 
-// Obsolete lists the retired chunks of d that its successor next no longer
-// remembers; nobody has any use for them.
+// Obsolete returns the names of the retired chunks of d that its successor next no longer
+// lists. They can be deleted.
 func (d *Document) Obsolete(next *Document) []string {
 	kept := map[string]bool{}
 	for _, r := range next.Root.Retired {
@@ -310,15 +324,19 @@
 	return names
 }
 
+// appendEdit returns a copy of old with m appended, without the oldest entries above
+// maxEditMarks.
 func appendEdit(old []EditMark, m EditMark) []EditMark {
-	if len(old) >= keptEdits {
-		old = old[len(old)-keptEdits+1:]
+	if len(old) >= maxEditMarks {
+		old = old[len(old)-maxEditMarks+1:]
 	}
 	return append(append([]EditMark(nil), old...), m)
 }
 
+// rowKey returns the key of a row in Document.rowsByKey, as in accounts/acme.
 func rowKey(s hookhall.Sheet, name string) string { return string(s) + "/" + name }
 
+// chunkOf returns the index of the chunk that holds the row with this rowKey.
 func chunkOf(key string) int { return int(xxhash.Sum64String(key) % ChunkCount) }
 
 func sortRows(rows []hookhall.Row) {
--- a/internal/state/table/errors.go
+++ b/internal/state/table/errors.go
@@ -10,7 +10,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-// CellError says what is wrong with one cell.
+// CellError is the error of one invalid cell, or of its row when Column is empty.
 type CellError struct {
 	Sheet   hookhall.Sheet `json:"sheet"`
 	Row     string         `json:"row"`
@@ -18,25 +18,25 @@
 	Message string         `json:"message"`
 }
 
-// Error gives the position first, as in accounts/acme:rate: ...
+// Error returns the position and the message, as in accounts/acme:rate: ...
 func (e *CellError) Error() string {
-	pos := fmt.Sprintf("%s/%s", e.Sheet, e.Row)
+	position := fmt.Sprintf("%s/%s", e.Sheet, e.Row)
 	if e.Column != "" {
-		pos += ":" + e.Column
+		position += ":" + e.Column
 	}
-	return pos + ": " + e.Message
+	return position + ": " + e.Message
 }
 
-// Conflict is an edit whose base is no longer what the cell holds.
+// Conflict is an edit whose Base differs from the cell's value, Current.
 type Conflict struct {
 	Edit    hookhall.Edit `json:"edit"`
 	Current string        `json:"current"`
 }
 
-// Conflicts is the list of an edit request's conflicts.
+// Conflicts is the error of an edit request that has at least one conflict.
 type Conflicts []Conflict
 
-// Error has one line a conflict.
+// Error returns one line for each conflict.
 func (c Conflicts) Error() string {
 	lines := make([]string, len(c))
 	for i, x := range c {
@@ -46,10 +46,10 @@
 	return strings.Join(lines, "\n")
 }
 
-// Errors is a list of cell errors.
+// Errors is the error of a table or an edit request with at least one invalid cell.
 type Errors []*CellError
 
-// Error has one line a cell.
+// Error returns one line for each cell.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, x := range e {
--- a/internal/state/table/table_test.go
+++ b/internal/state/table/table_test.go
@@ -13,58 +13,61 @@
 	"pgregory.net/rapid"
 )
 
-func cell(row, column, value, base string) hookhall.Edit {
+// newEdit returns an edit of a cell of the accounts sheet.
+func newEdit(row, column, value, base string) hookhall.Edit {
 	return hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: row, Column: column, Value: value, Base: base}
 }
 
+// TestApply guards against lost updates, edits that apply in part, invalid cells that are
+// stored, and chunks that are deleted while a recent root may still list them.
 func TestApply(t *testing.T) {
 	Convey("A table", t, func() {
-		d, err := Empty().Apply("one", []hookhall.Edit{cell("acme", "rate", "5", ""), cell("acme", "weight", "2", "")})
+		d, err := Empty().Apply("one", []hookhall.Edit{newEdit("acme", "rate", "5", ""), newEdit("acme", "weight", "2", "")})
 		So(err, ShouldBeNil)
 		So(d.Root.Version, ShouldEqual, 1)
-		Convey("takes an edit on what it holds", func() {
-			n, err := d.Apply("two", []hookhall.Edit{cell("acme", "rate", "6", "5")})
+		Convey("applies an edit whose base matches the cell", func() {
+			n, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "rate", "6", "5")})
 			So(err, ShouldBeNil)
 			So(n.Root.Applied("two"), ShouldEqual, 2)
-			w, _ := d.Row(hookhall.SheetAccounts, "acme")
-			So(w.Cells["rate"], ShouldEqual, "5") // the older document is as it was
+			account, _ := d.Row(hookhall.SheetAccounts, "acme")
+			So(account.Cells["rate"], ShouldEqual, "5") // the older document is unchanged
 		})
-		Convey("refuses an edit on what it held, with what it holds now", func() {
-			_, err := d.Apply("two", []hookhall.Edit{cell("acme", "rate", "6", "4"), cell("acme", "weight", "3", "2")})
+		Convey("refuses an edit on an outdated base, and returns the current value", func() {
+			_, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "rate", "6", "4"), newEdit("acme", "weight", "3", "2")})
 			var c Conflicts
 			So(errors.As(err, &c), ShouldBeTrue)
 			So(c, ShouldHaveLength, 1)
 			So(c[0].Current, ShouldEqual, "5")
 		})
-		Convey("refuses wrong cells, all of them named", func() {
-			_, err := d.Apply("two", []hookhall.Edit{cell("acme", "rate", "fast", "5"), cell("acme", "tint", "x", ""), cell("a b", "rate", "1", "")})
-			var list Errors
-			So(errors.As(err, &list), ShouldBeTrue)
-			So(list, ShouldHaveLength, 3)
-			So(list[0].Error(), ShouldEqual, `accounts/acme:rate: "fast" is not accepted; it must be requests a second, from 0 (no limit) to 1000000`)
+		Convey("refuses invalid cells, and lists all of them", func() {
+			_, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "rate", "fast", "5"), newEdit("acme", "tint", "x", ""), newEdit("a b", "rate", "1", "")})
+			var invalid Errors
+			So(errors.As(err, &invalid), ShouldBeTrue)
+			So(invalid, ShouldHaveLength, 3)
+			So(invalid[0].Error(), ShouldEqual, `accounts/acme:rate: "fast" is not accepted; it must be requests a second, from 0 (no limit) to 1000000`)
 		})
 		Convey("refuses two accounts with one key", func() {
 			key := strings.Repeat("ab", 32)
-			_, err := d.Apply("two", []hookhall.Edit{cell("acme", "key_sha256", key, ""), cell("other", "key_sha256", key, "")})
+			_, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "key_sha256", key, ""), newEdit("other", "key_sha256", key, "")})
 			So(err, ShouldNotBeNil)
 		})
-		Convey("deletes a row, and remembers chunks to be deleted for a while", func() {
+		Convey("deletes a row, and keeps its replaced chunk listed for retiredVersions versions", func() {
 			old := d.Root.Chunks
 			n, err := d.Apply("two", []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "acme", Delete: true}})
 			So(err, ShouldBeNil)
 			So(n.Rows(), ShouldBeEmpty)
 			So(n.Root.Retired, ShouldHaveLength, 1)
 			So(old, ShouldContain, n.Root.Retired[0].Name)
-			for i := 0; i < retiredFor; i++ {
-				next, err := n.Apply("more", []hookhall.Edit{cell("acme", "rate", string(rune('1'+i%9)), n.value("acme", "rate"))})
+			for i := 0; i < retiredVersions; i++ {
+				next, err := n.Apply("more", []hookhall.Edit{newEdit("acme", "rate", string(rune('1'+i%9)), n.cellValue("acme", "rate"))})
 				So(err, ShouldBeNil)
-				if gone := n.Obsolete(next); len(gone) > 0 {
-					So(i, ShouldBeGreaterThanOrEqualTo, retiredFor-2)
+				if obsolete := n.Obsolete(next); len(obsolete) > 0 {
+					So(i, ShouldBeGreaterThanOrEqualTo, retiredVersions-2)
 				}
 				n = next
 			}
 		})
-		Convey("is refused when a chunk is missing or damaged", func() {
+		Convey("is not assembled when a chunk is missing or damaged", func() {
 			_, err := Assemble(d.Root, func(string) []byte { return nil })
 			So(err, ShouldNotBeNil)
 			_, err = Assemble(d.Root, func(name string) []byte { return append([]byte(" "), d.ChunkNamed(name)...) })
@@ -80,27 +83,28 @@
 			s, err := Compile(n)
 			So(err, ShouldBeNil)
 			var names []string
-			for _, x := range s.Pipelines["p"].Stages {
-				names = append(names, x.Name)
+			for _, stage := range s.Pipelines["p"].Stages {
+				names = append(names, stage.Name)
 			}
 			So(names, ShouldResemble, []string{"first", "second", "last"})
 		})
 	})
 }
 
-func (d *Document) value(row, column string) string {
-	w, _ := d.Row(hookhall.SheetAccounts, row)
-	return w.Cells[column]
+// cellValue returns a cell of the accounts sheet.
+func (d *Document) cellValue(row, column string) string {
+	account, _ := d.Row(hookhall.SheetAccounts, row)
+	return account.Cells[column]
 }
 
-// TestRoundTrip: whatever is edited, a document read back from its root and
-// chunks has the same rows.
+// TestRoundTrip guards against rows that are lost or changed in storage: after random
+// edits, a document assembled from its encoded root and chunks has the same rows.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Empty()
 		rows := rapid.SliceOfN(rapid.StringMatching(`[a-z]{1,6}`), 1, 30).Draw(t, "rows")
 		for i, row := range rows {
-			e := cell(row, "weight", rapid.SampledFrom([]string{"1", "2", "3", ""}).Draw(t, "value"), "")
+			e := newEdit(row, "weight", rapid.SampledFrom([]string{"1", "2", "3", ""}).Draw(t, "value"), "")
 			e.Force, e.Delete = true, i%7 == 6
 			n, err := d.Apply("x", []hookhall.Edit{e})
 			if err != nil {
@@ -112,11 +116,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := Assemble(root, d.ChunkNamed)
+		assembled, err := Assemble(root, d.ChunkNamed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if a, b := encodeRows(d.Rows()), encodeRows(back.Rows()); string(a) != string(b) {
+		if a, b := encodeRows(d.Rows()), encodeRows(assembled.Rows()); string(a) != string(b) {
 			t.Fatalf("%s\n%s", a, b)
 		}
 	})
