--- a/internal/state/view/view.go
+++ b/internal/state/view/view.go
@@ -1,21 +1,22 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package view computes on membership views: who owns a slot, and how a view
-// is changed.
+// Package view computes which members of a membership view own a slot, and the view that
+// follows from a change of membership.
 //
 // # Model
 //
-// Every view of an epoch gives each of the SlotCount slots a pair of members:
-// the owner is the member with the highest rendezvous score, the standby the
-// next one in another hall, or simply the next one when all are in one hall.
-// Accounts' limits are owned by rendezvous over the account's name.
+// A view assigns each of the SlotCount slots a pair of members by rendezvous hashing: the
+// owner is the member with the highest score, the standby the member of another hall with
+// the highest score, or the one with the second-highest score when all are in one hall.
+// The owner of an account's limits is found by rendezvous hashing of the account's name.
 //
 // # Invariants
 //
-//   - Functions here are pure: the same view gives the same pairs everywhere.
+//   - The functions are pure: the same view gives the same pairs in every process. They
+//     never change a view that they are given.
 //   - The epoch grows by one with each change of members, never otherwise.
-//   - At(k) of a view is the membership that epoch k had.
+//   - At(v, k) has the members of epoch k, whichever later view v is.
 package view
 
 import (
@@ -27,29 +28,30 @@
 	"github.com/pkg/errors"
 )
 
-// SlotCount is the number of slots that claim keys fall into. With 330
-// members each holds some 8 slots as owner or standby.
+// SlotCount is the number of slots that claim keys are hashed to. With 330 members each
+// holds some 8 slots as owner or standby; it is the same in all processes.
 const SlotCount = 1024
 
-// keptChanges is how many changes a view carries: at 560 epochs on an ordinary
-// day, about three hours.
-const keptChanges = 64
+// maxChanges is the number of membership changes that a view lists: about three hours
+// of them at the 560 epochs of an ordinary day. Members of older epochs can't be computed.
+const maxChanges = 64
 
 // SlotOf returns the slot of a claim key.
 func SlotOf(key string) uint32 { return uint32(xxhash.Sum64String(key) % SlotCount) }
 
-// Pair is the owner and the standby of a slot; nil where there is none.
+// Pair is the owner and the standby of a slot; either is nil when there are too few
+// members.
 type Pair struct {
 	Owner   *hookhall.Member
 	Standby *hookhall.Member
 }
 
-// Has tells whether the member is one of the pair.
+// Has reports whether the member with this ID is the owner or the standby.
 func (p Pair) Has(id string) bool {
 	return p.Owner != nil && p.Owner.ID == id || p.Standby != nil && p.Standby.ID == id
 }
 
-// Members returns the pair's members, none, one or two.
+// Members returns the members of the pair, at most two, the owner first.
 func (p Pair) Members() []hookhall.Member {
 	var ms []hookhall.Member
 	for _, m := range []*hookhall.Member{p.Owner, p.Standby} {
@@ -60,62 +62,65 @@
 	return ms
 }
 
-// PairOf computes the pair of a slot among members.
+// PairOf returns the pair of a slot among members. It points into members, and its time
+// is linear in their number.
 func PairOf(members []hookhall.Member, slot uint32) Pair {
-	var first, second, other int = -1, -1, -1
+	var owner, runnerUp, otherHall int = -1, -1, -1
 	scores := make([]uint64, len(members))
 	for i, m := range members {
-		scores[i] = score(m.Instance, uint64(slot))
-		if first < 0 || scores[i] > scores[first] {
-			first = i
+		scores[i] = rendezvousScore(m.Instance, uint64(slot))
+		if owner < 0 || scores[i] > scores[owner] {
+			owner = i
 		}
 	}
-	if first < 0 {
+	if owner < 0 {
 		return Pair{}
 	}
 	for i, m := range members {
-		if i == first {
+		if i == owner {
 			continue
 		}
-		if second < 0 || scores[i] > scores[second] {
-			second = i
+		if runnerUp < 0 || scores[i] > scores[runnerUp] {
+			runnerUp = i
 		}
-		if m.Hall != members[first].Hall && (other < 0 || scores[i] > scores[other]) {
-			other = i
+		if m.Hall != members[owner].Hall && (otherHall < 0 || scores[i] > scores[otherHall]) {
+			otherHall = i
 		}
 	}
-	p := Pair{Owner: &members[first]}
+	p := Pair{Owner: &members[owner]}
 	switch {
-	case other >= 0:
-		p.Standby = &members[other]
-	case second >= 0:
-		p.Standby = &members[second]
+	case otherHall >= 0:
+		p.Standby = &members[otherHall]
+	case runnerUp >= 0:
+		p.Standby = &members[runnerUp]
 	}
 	return p
 }
 
-// Owner returns the member that owns a name, nil without members.
+// Owner returns the member that owns a name, such as an account's, nil when there are no
+// members. It points into members.
 func Owner(members []hookhall.Member, name string) *hookhall.Member {
-	h := xxhash.Sum64String(name)
+	hash := xxhash.Sum64String(name)
 	var best *hookhall.Member
-	var top uint64
+	var topScore uint64
 	for i := range members {
-		if s := score(members[i].Instance, h); best == nil || s > top {
-			best, top = &members[i], s
+		if s := rendezvousScore(members[i].Instance, hash); best == nil || s > topScore {
+			best, topScore = &members[i], s
 		}
 	}
 	return best
 }
 
-// score mixes a member's name and a number; a splitmix step spreads it.
-func score(name string, n uint64) uint64 {
+// rendezvousScore returns the score of an instance for a slot number or a hash; a
+// splitmix64 step spreads scores evenly.
+func rendezvousScore(name string, n uint64) uint64 {
 	x := xxhash.Sum64String(name) ^ (n+1)*0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
 }
 
-// Find returns the member with an id.
+// Find returns the member of v with this ID, and whether there is one.
 func Find(v *hookhall.View, id string) (hookhall.Member, bool) {
 	for _, m := range v.Members {
 		if m.ID == id {
@@ -125,7 +130,7 @@
 	return hookhall.Member{}, false
 }
 
-// Encode returns the view's document.
+// Encode returns the stored form of a view, JSON.
 func Encode(v *hookhall.View) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -134,7 +139,8 @@
 	return b
 }
 
-// Decode reads a view and refuses one that contradicts itself.
+// Decode is the inverse of Encode; an empty b gives the empty view. It returns an error
+// when the members are not sorted by ID or not unique.
 func Decode(b []byte) (*hookhall.View, error) {
 	v := &hookhall.View{}
 	if len(b) == 0 {
@@ -145,46 +151,48 @@
 	}
 	for i := 1; i < len(v.Members); i++ {
 		if v.Members[i-1].ID >= v.Members[i].ID {
-			return nil, errors.Errorf("view: member %q is named twice or out of order", v.Members[i].ID)
+			return nil, errors.Errorf("view: member %q is listed twice or not sorted by ID", v.Members[i].ID)
 		}
 	}
 	return v, nil
 }
 
-// Join returns v with m added. Older incarnations of m's instance leave: m
-// could not have bound its address while they ran, so they are gone.
+// Join returns v with m added, or v itself when m is in it. Older incarnations of m's
+// instance are removed, from the unfenced members too: m could not have bound its address
+// while they ran, so they have ended.
 func Join(v *hookhall.View, m hookhall.Member) *hookhall.View {
 	if _, ok := Find(v, m.ID); ok {
 		return v
 	}
 	n := clone(v)
 	var left []hookhall.Member
-	n.Members, left = split(n.Members, func(x hookhall.Member) bool { return x.Instance != m.Instance })
+	n.Members, left = partition(n.Members, func(x hookhall.Member) bool { return x.Instance != m.Instance })
 	n.Members = append(n.Members, m)
-	n.Unfenced, _ = split(n.Unfenced, func(x hookhall.Member) bool { return x.Instance != m.Instance })
-	return commit(n, []hookhall.Member{m}, left)
+	n.Unfenced, _ = partition(n.Unfenced, func(x hookhall.Member) bool { return x.Instance != m.Instance })
+	return commitChange(n, []hookhall.Member{m}, left)
 }
 
-// Leave returns v without the member. With gone unset the member is kept among
-// the unfenced ones, since it may still run.
+// Leave returns v without the member, or v itself when it is not in it. Unless gone is
+// set, the member is added to the unfenced ones, since it may still be running.
 func Leave(v *hookhall.View, id string, gone bool) *hookhall.View {
 	m, ok := Find(v, id)
 	if !ok {
 		return v
 	}
 	n := clone(v)
-	n.Members, _ = split(n.Members, func(x hookhall.Member) bool { return x.ID != id })
+	n.Members, _ = partition(n.Members, func(x hookhall.Member) bool { return x.ID != id })
 	if !gone {
 		n.Unfenced = append(n.Unfenced, m)
 	}
-	return commit(n, nil, []hookhall.Member{m})
+	return commitChange(n, nil, []hookhall.Member{m})
 }
 
-// Fence returns v with the member no longer among the unfenced ones, because
-// the platform says that it is gone. The epoch stays.
+// Fence returns v without the member among the unfenced ones, for use once the platform
+// reports that the member has ended. The epoch stays; the revision grows by one. It
+// returns v itself when the member is not unfenced.
 func Fence(v *hookhall.View, id string) *hookhall.View {
 	n := clone(v)
-	n.Unfenced, _ = split(n.Unfenced, func(x hookhall.Member) bool { return x.ID != id })
+	n.Unfenced, _ = partition(n.Unfenced, func(x hookhall.Member) bool { return x.ID != id })
 	if len(n.Unfenced) == len(v.Unfenced) {
 		return v
 	}
@@ -192,15 +200,15 @@
 	return n
 }
 
-// At returns the members of an earlier epoch; ok is false when v's history
-// does not reach back to it.
+// At returns the members of v's epoch or an earlier one, sorted by ID. It returns false
+// for later epochs and for those that v's list of changes doesn't reach back to.
 func At(v *hookhall.View, epoch uint64) ([]hookhall.Member, bool) {
 	if epoch > v.Epoch {
 		return nil, false
 	}
 	members := append([]hookhall.Member(nil), v.Members...)
 	for i := len(v.Changes) - 1; i >= 0 && v.Changes[i].Epoch > epoch; i-- {
-		members = undo(members, v.Changes[i])
+		members = revertChange(members, v.Changes[i])
 	}
 	oldest := v.Epoch + 1
 	if len(v.Changes) > 0 {
@@ -213,13 +221,15 @@
 	return members, true
 }
 
-func undo(members []hookhall.Member, c hookhall.Change) []hookhall.Member {
+// revertChange returns the members before the change c.
+func revertChange(members []hookhall.Member, c hookhall.Change) []hookhall.Member {
 	for _, j := range c.Joined {
-		members, _ = split(members, func(x hookhall.Member) bool { return x.ID != j.ID })
+		members, _ = partition(members, func(x hookhall.Member) bool { return x.ID != j.ID })
 	}
 	return append(members, c.Left...)
 }
 
+// clone returns a copy of v that shares no slice of members or changes with it.
 func clone(v *hookhall.View) *hookhall.View {
 	n := *v
 	n.Members = append([]hookhall.Member(nil), v.Members...)
@@ -228,26 +238,29 @@
 	return &n
 }
 
-func commit(n *hookhall.View, joined, left []hookhall.Member) *hookhall.View {
+// commitChange completes n, a clone whose members were changed: it sorts them, counts
+// epoch and revision up, and adds the change to the list.
+func commitChange(n *hookhall.View, joined, left []hookhall.Member) *hookhall.View {
 	sortMembers(n.Members)
 	n.Epoch++
 	n.Revision++
 	n.Changes = append(n.Changes, hookhall.Change{Epoch: n.Epoch, Joined: joined, Left: left})
-	if len(n.Changes) > keptChanges {
-		n.Changes = n.Changes[len(n.Changes)-keptChanges:]
+	if len(n.Changes) > maxChanges {
+		n.Changes = n.Changes[len(n.Changes)-maxChanges:]
 	}
 	return n
 }
 
-func split(ms []hookhall.Member, keep func(hookhall.Member) bool) (kept, left []hookhall.Member) {
-	for _, m := range ms {
+// partition returns the members for which keep returns true, and the others.
+func partition(members []hookhall.Member, keep func(hookhall.Member) bool) (kept, removed []hookhall.Member) {
+	for _, m := range members {
 		if keep(m) {
 			kept = append(kept, m)
 		} else {
-			left = append(left, m)
+			removed = append(removed, m)
 		}
 	}
-	return kept, left
+	return kept, removed
 }
 
 func sortMembers(ms []hookhall.Member) {
