--- a/internal/state/claim/owner.go
+++ b/internal/state/claim/owner.go
@@ -50,8 +50,8 @@
 }
 
 // incompleteReply returns ClaimLost with the delay to the next try: fetchRetryDelay
-// while records are being fetched, or the time until every claim that a lost pair may
-// have granted has expired. l.mu must be held.
+// while records are being fetched, or the rest of the retention when it must pass before
+// every claim that a lost pair may have granted has expired. l.mu must be held.
 func (s *Store) incompleteReply(l *slot, now time.Time) hookhall.ClaimReply {
 	reply := hookhall.ClaimReply{Outcome: hookhall.ClaimLost, Epoch: l.epoch, RetryAfter: fetchRetryDelay}
 	for _, since := range l.lostSince {
@@ -66,22 +66,22 @@
 // grants at once when the slot has no standby, and returns a Grant otherwise. l.mu
 // must be held.
 func (s *Store) openClaim(l *slot, q hookhall.ClaimRequest, old *record, now time.Time) (hookhall.ClaimReply, *Grant) {
-	pending := hookhall.Record{
+	opened := hookhall.Record{
 		Key: q.Key, Digest: q.Digest, Origin: q.Origin, Token: q.Token,
 		Sequence: l.nextSequence(old), State: hookhall.StatePending, Expires: now.Add(s.retention),
 	}
 	if l.pair.Standby == nil {
-		pending.State = hookhall.StateGranted
-		l.put(pending)
-		return hookhall.ClaimReply{Outcome: hookhall.ClaimGranted, Epoch: l.epoch, Record: pending}, nil
+		opened.State = hookhall.StateGranted
+		l.put(opened)
+		return hookhall.ClaimReply{Outcome: hookhall.ClaimGranted, Epoch: l.epoch, Record: opened}, nil
 	}
-	r := l.put(pending)
+	r := l.put(opened)
 	r.awaitingStandby = true
-	granted := pending
+	standbyCopy := opened
 	// The standby stores the claim as granted, because the owner may grant it and
 	// crash before another message reaches the standby.
-	granted.State = hookhall.StateGranted
-	return hookhall.ClaimReply{}, &Grant{Record: granted, Epoch: l.epoch, Standby: *l.pair.Standby}
+	standbyCopy.State = hookhall.StateGranted
+	return hookhall.ClaimReply{}, &Grant{Record: standbyCopy, Epoch: l.epoch, Standby: *l.pair.Standby}
 }
 
 // sequenceBits is the number of low bits of a record's Sequence that count the writes
--- a/internal/state/claim/schedule_test.go
+++ b/internal/state/claim/schedule_test.go
@@ -55,7 +55,9 @@
 
 const (
 	unmodified mutant = iota
+	// noStandby grants without a copy at the standby.
 	noStandby
+	// noWait sets the retention to 0, so that nothing is waited for after a pair is lost.
 	noWait
 )
 
@@ -65,43 +67,45 @@
 	keyCount = 24
 )
 
+// newSimulation returns a simulation of five nodes that are all in the view.
 func newSimulation(seed uint64, m mutant) *simulation {
-	w := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1e9, 0), masterView: &hookhall.View{},
+	s := &simulation{rand: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1e9, 0), masterView: &hookhall.View{},
 		nodes: map[string]*node{}, runsByKey: map[string]int{}, usedSlots: map[uint32]bool{}, mutant: m}
 	for i := 0; i < 5; i++ {
-		w.spawn()
+		s.spawn()
 	}
-	for _, n := range w.nodes {
-		n.store.Advance(w.masterView)
+	for _, n := range s.nodes {
+		n.store.Advance(s.masterView)
 	}
-	return w
+	return s
 }
 
-func (w *simulation) spawn() {
-	w.spawned++
-	m := hookhall.Member{ID: fmt.Sprintf("n%d#1", w.spawned), Instance: fmt.Sprintf("n%d", w.spawned), Hall: fmt.Sprintf("h%d", w.spawned%3)}
+// spawn starts a node and adds it to the view.
+func (s *simulation) spawn() {
+	s.spawned++
+	m := hookhall.Member{ID: fmt.Sprintf("n%d#1", s.spawned), Instance: fmt.Sprintf("n%d", s.spawned), Hall: fmt.Sprintf("h%d", s.spawned%3)}
 	nodeRetention := retention
-	if w.mutant == noWait {
+	if s.mutant == noWait {
 		nodeRetention = 0
 	}
-	w.nodes[m.ID] = &node{member: m, store: New(m.ID, nodeRetention)}
-	w.nodeIDs = append(w.nodeIDs, m.ID)
-	w.masterView = view.Join(w.masterView, m)
+	s.nodes[m.ID] = &node{member: m, store: New(m.ID, nodeRetention)}
+	s.nodeIDs = append(s.nodeIDs, m.ID)
+	s.masterView = view.Join(s.masterView, m)
 }
 
 // randomLiveNode returns a random node that is not dead.
-func (w *simulation) randomLiveNode() *node {
+func (s *simulation) randomLiveNode() *node {
 	for {
-		if n := w.nodes[w.nodeIDs[w.rand.IntN(len(w.nodeIDs))]]; !n.dead {
+		if n := s.nodes[s.nodeIDs[s.rand.IntN(len(s.nodeIDs))]]; !n.dead {
 			return n
 		}
 	}
 }
 
 // deadMember returns a dead node that is still in the view, nil for none.
-func (w *simulation) deadMember() *node {
-	for _, m := range w.masterView.Members {
-		if n := w.nodes[m.ID]; n.dead {
+func (s *simulation) deadMember() *node {
+	for _, m := range s.masterView.Members {
+		if n := s.nodes[m.ID]; n.dead {
 			return n
 		}
 	}
@@ -115,37 +119,37 @@
 }
 
 // randomStep makes one random event happen.
-func (w *simulation) randomStep() {
-	switch choice := w.rand.IntN(1000); {
+func (s *simulation) randomStep() {
+	switch choice := s.rand.IntN(1000); {
 	case choice < 300:
-		w.submit()
+		s.submit()
 	case choice < 600:
-		w.progress()
+		s.progress()
 	case choice < 700:
-		if n := w.randomLiveNode(); !n.frozen {
-			n.store.Advance(w.masterView)
+		if n := s.randomLiveNode(); !n.frozen {
+			n.store.Advance(s.masterView)
 		}
 	case choice < 900:
-		w.repair(w.randomLiveNode())
+		s.repair(s.randomLiveNode())
 	case choice < 915:
-		w.randomLiveNode().frozen = true
+		s.randomLiveNode().frozen = true
 	case choice < 930:
-		w.randomLiveNode().cut = true
+		s.randomLiveNode().cut = true
 	case choice < 975:
-		n := w.randomLiveNode()
+		n := s.randomLiveNode()
 		n.frozen, n.cut = false, false
 	case choice < 982:
-		w.kill()
+		s.kill()
 	default:
-		w.changeView()
+		s.changeView()
 	}
 }
 
 // kill ends a random node, or both members of a pair, and starts a new node for each. It
 // does nothing while three nodes or fewer are alive.
-func (w *simulation) kill() {
+func (s *simulation) kill() {
 	aliveCount := 0
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		if !n.dead {
 			aliveCount++
 		}
@@ -154,105 +158,105 @@
 		return
 	}
 	// Half of the time both members of a pair end at once, as when a rack fails.
-	victims := []hookhall.Member{w.randomLiveNode().member}
-	if w.rand.IntN(2) == 0 {
-		slot := view.SlotOf(fmt.Sprintf("k%d", w.rand.IntN(keyCount)))
-		victims = view.PairOf(w.masterView.Members, slot).Members()
+	victims := []hookhall.Member{s.randomLiveNode().member}
+	if s.rand.IntN(2) == 0 {
+		slot := view.SlotOf(fmt.Sprintf("k%d", s.rand.IntN(keyCount)))
+		victims = view.PairOf(s.masterView.Members, slot).Members()
 	}
 	for _, m := range victims {
-		if n := w.nodes[m.ID]; !n.dead {
+		if n := s.nodes[m.ID]; !n.dead {
 			n.dead = true
-			w.spawn()
+			s.spawn()
 		}
 	}
 }
 
 // changeView removes a dead, frozen or cut member from the view, or adds a live node
 // that is not in the view. A removed node that is frozen or cut may still be running.
-func (w *simulation) changeView() {
-	n := w.deadMember()
+func (s *simulation) changeView() {
+	n := s.deadMember()
 	if n == nil {
-		n = w.randomLiveNode()
+		n = s.randomLiveNode()
 	}
-	if _, found := view.Find(w.masterView, n.member.ID); !found {
+	if _, found := view.Find(s.masterView, n.member.ID); !found {
 		if !n.dead {
-			w.masterView = view.Join(w.masterView, n.member)
+			s.masterView = view.Join(s.masterView, n.member)
 		}
 		return
 	}
-	if len(w.masterView.Members) > 2 && (n.dead || n.frozen || n.cut) {
-		w.masterView = view.Leave(w.masterView, n.member.ID, n.dead)
+	if len(s.masterView.Members) > 2 && (n.dead || n.frozen || n.cut) {
+		s.masterView = view.Leave(s.masterView, n.member.ID, n.dead)
 	}
 }
 
 // submit claims a random key through a random node, as a caller that retries does.
-func (w *simulation) submit() {
-	origin := w.randomLiveNode()
+func (s *simulation) submit() {
+	origin := s.randomLiveNode()
 	if origin.dead || origin.frozen {
 		return
 	}
-	key := fmt.Sprintf("k%d", w.rand.IntN(keyCount))
-	w.usedSlots[view.SlotOf(key)] = true
+	key := fmt.Sprintf("k%d", s.rand.IntN(keyCount))
+	s.usedSlots[view.SlotOf(key)] = true
 	p := origin.store.Placement()
 	pair := p.Pairs[view.SlotOf(key)]
-	if pair.Owner == nil || !canReach(origin, w.nodes[pair.Owner.ID]) {
+	if pair.Owner == nil || !canReach(origin, s.nodes[pair.Owner.ID]) {
 		return
 	}
-	owner := w.nodes[pair.Owner.ID]
-	w.lastToken++
-	q := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: w.lastToken}
-	reply, grant := owner.store.Begin(q, w.now)
+	owner := s.nodes[pair.Owner.ID]
+	s.lastToken++
+	q := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: s.lastToken}
+	reply, grant := owner.store.Begin(q, s.now)
 	switch {
 	case grant != nil:
-		w.pending = append(w.pending, &pendingClaim{owner: owner, grant: grant})
+		s.pending = append(s.pending, &pendingClaim{owner: owner, grant: grant})
 	case reply.Outcome == hookhall.ClaimGranted:
-		w.run(key)
-	case reply.Outcome == hookhall.ClaimBehind && w.rand.IntN(2) == 0:
+		s.run(key)
+	case reply.Outcome == hookhall.ClaimBehind && s.rand.IntN(2) == 0:
 		exchangeViews(origin, owner)
 	}
 }
 
 // run counts an execution of the request with the key.
-func (w *simulation) run(key string) {
-	w.grants++
-	w.runsByKey[key]++
+func (s *simulation) run(key string) {
+	s.grants++
+	s.runsByKey[key]++
 }
 
 // progress copies or completes one pending claim, chosen at random.
-func (w *simulation) progress() {
-	if len(w.pending) == 0 {
+func (s *simulation) progress() {
+	if len(s.pending) == 0 {
 		return
 	}
-	i := w.rand.IntN(len(w.pending))
-	claim := w.pending[i]
+	i := s.rand.IntN(len(s.pending))
+	claim := s.pending[i]
 	if claim.owner.frozen {
 		return
 	}
 	if claim.owner.dead {
-		w.dropPending(i)
+		s.dropPending(i)
 		return
 	}
 	if !claim.copied {
 		claim.copied = true
-		standby := w.nodes[claim.grant.Standby.ID]
-		if w.mutant == noStandby {
+		standby := s.nodes[claim.grant.Standby.ID]
+		if s.mutant == noStandby {
 			claim.stored = true
 		} else if canReach(claim.owner, standby) {
-			claim.stored = standby.store.Copy(claim.grant.Epoch, claim.grant.Record, w.now).Stored && w.rand.IntN(10) > 0
-			if !claim.stored && w.rand.IntN(2) == 0 {
+			claim.stored = standby.store.Copy(claim.grant.Epoch, claim.grant.Record, s.now).Stored && s.rand.IntN(10) > 0
+			if !claim.stored && s.rand.IntN(2) == 0 {
 				exchangeViews(claim.owner, standby)
 			}
 		}
 		return
 	}
 	reply := claim.owner.store.Complete(claim.grant, claim.stored)
-	if reply.Outcome == hookhall.ClaimGranted && w.rand.IntN(10) > 0 {
-		w.run(claim.grant.Record.Key)
+	if reply.Outcome == hookhall.ClaimGranted && s.rand.IntN(10) > 0 {
+		s.run(claim.grant.Record.Key)
 	}
-	w.dropPending(i)
+	s.dropPending(i)
 }
 
-func (w *simulation) dropPending(i int) { w.pending = append(w.pending[:i], w.pending[i+1:]...) }
+func (s *simulation) dropPending(i int) { s.pending = append(s.pending[:i], s.pending[i+1:]...) }
 
 // exchangeViews advances two nodes that can reach each other to the newer of their views.
 func exchangeViews(a, b *node) {
@@ -265,14 +269,14 @@
 
 // repair fetches missing records in rounds, as package fleet does, until a round changes
 // nothing.
-func (w *simulation) repair(n *node) {
+func (s *simulation) repair(n *node) {
 	if n.dead || n.frozen {
 		return
 	}
 	for before := -1; ; {
 		checksum := 0
 		for _, need := range n.store.Missing() {
-			if w.usedSlots[need.Slot] {
+			if s.usedSlots[need.Slot] {
 				checksum += int(need.Epoch) + 1000
 			}
 		}
@@ -280,16 +284,16 @@
 			return
 		}
 		before = checksum
-		w.fetch(n)
+		s.fetch(n)
 	}
 }
 
 // fetch requests the records of each missing epoch from the pair that served it, and
 // reports epochs whose pair has ended to Lost.
-func (w *simulation) fetch(n *node) {
+func (s *simulation) fetch(n *node) {
 	v := n.store.Placement().View
 	for _, need := range n.store.Missing() {
-		if !w.usedSlots[need.Slot] {
+		if !s.usedSlots[need.Slot] {
 			continue // no key of the test is in this slot
 		}
 		members, ok := view.At(v, need.Epoch)
@@ -299,7 +303,7 @@
 		pair := view.PairOf(members, need.Slot).Members()
 		pairGone := true
 		for _, m := range pair {
-			source := w.nodes[m.ID]
+			source := s.nodes[m.ID]
 			_, inView := view.Find(v, m.ID)
 			for _, u := range v.Unfenced {
 				inView = inView || u.ID == m.ID
@@ -314,15 +318,15 @@
 			}
 		}
 		if pairGone {
-			n.store.Lost(need, w.now)
+			n.store.Lost(need, s.now)
 		}
 	}
 }
 
 // duplicateRuns returns the number of keys that ran more than once.
-func (w *simulation) duplicateRuns() int {
+func (s *simulation) duplicateRuns() int {
 	duplicates := 0
-	for _, n := range w.runsByKey {
+	for _, n := range s.runsByKey {
 		if n > 1 {
 			duplicates++
 		}
@@ -334,12 +338,12 @@
 // how many it ran, the total of grants, and whether a key ran twice.
 func runSchedules(m mutant, schedules, steps int) (schedulesRun, grants int, duplicated bool) {
 	for seed := 0; seed < schedules; seed++ {
-		w := newSimulation(uint64(seed), m)
+		s := newSimulation(uint64(seed), m)
 		for i := 0; i < steps; i++ {
-			w.randomStep()
+			s.randomStep()
 		}
-		grants += w.grants
-		if w.duplicateRuns() > 0 {
+		grants += s.grants
+		if s.duplicateRuns() > 0 {
 			return seed + 1, grants, true
 		}
 	}
