--- a/internal/state/claim/schedule_test.go
+++ b/internal/state/claim/schedule_test.go
@@ -289,7 +289,7 @@
 }
 
 // fetch requests the records of each missing epoch from the pair that served it, and
-// reports epochs whose pair has ended to Lost.
+// reports the epochs whose pair has ended to the store.
 func (s *simulation) fetch(n *node) {
 	v := n.store.Placement().View
 	for _, need := range n.store.Missing() {
--- a/internal/state/table/document.go
+++ b/internal/state/table/document.go
@@ -21,9 +21,9 @@
 // edit writes one of them.
 const ChunkCount = 64
 
-// maxEditMarks is the number of edit requests that a root lists. A writer that lost the
+// maxAppliedEdits is the number of edit requests that a root lists. A writer that lost the
 // reply to its swap can look its ID up until that many others have taken effect.
-const maxEditMarks = 128
+const maxAppliedEdits = 128
 
 // retiredVersions is the number of versions for which a replaced chunk is kept, so that a
 // reader of an older root still finds its chunks.
@@ -181,8 +181,8 @@
 }
 
 // Apply returns the document of the next version, with all edits of the request id
-// applied; on an error none is. The error is Errors when cells are invalid, and
-// Conflicts when cells no longer hold the base of their edit.
+// applied; on an error none is. The error is a list of *CellError when cells are invalid,
+// and Conflicts when cells no longer hold the base of their edit.
 func (d *Document) Apply(id string, edits []hookhall.Edit) (*Document, error) {
 	if err := checkEdits(edits); err != nil {
 		return nil, err
@@ -210,7 +210,8 @@
 	return next, nil
 }
 
-// checkEdits returns the invalid cells of edits as Errors, nil when there are none.
+// checkEdits returns a list of *CellError, one for each invalid edit, nil when there are
+// none.
 func checkEdits(edits []hookhall.Edit) error {
 	var invalid Errors
 	for _, e := range edits {
@@ -325,10 +326,10 @@
 }
 
 // appendEdit returns a copy of old with m appended, without the oldest entries above
-// maxEditMarks.
+// maxAppliedEdits.
 func appendEdit(old []EditMark, m EditMark) []EditMark {
-	if len(old) >= maxEditMarks {
-		old = old[len(old)-maxEditMarks+1:]
+	if len(old) >= maxAppliedEdits {
+		old = old[len(old)-maxAppliedEdits+1:]
 	}
 	return append(append([]EditMark(nil), old...), m)
 }
--- a/internal/state/view/view.go
+++ b/internal/state/view/view.go
@@ -16,7 +16,7 @@
 //   - The functions are pure: the same view gives the same pairs in every process. They
 //     never change a view that they are given.
 //   - The epoch grows by one with each change of members, never otherwise.
-//   - At(v, k) has the members of epoch k, whichever later view v is.
+//   - The members of an epoch are the same, whichever later view they are computed from.
 package view
 
 import (
