--- a/internal/state/claim/standby.go
+++ b/internal/state/claim/standby.go
@@ -13,7 +13,7 @@
 // Copy stores an owner's record at the standby of the slot. It refuses when the epochs
 // differ or this process is not the standby. It also refuses a record whose key has an
 // unexpired record of another grant with the same or a higher Sequence: the copy arrived
-// late, or the owner's clock dropped its own record a moment earlier.
+// late, or that record expired at the owner a moment earlier than here.
 func (s *Store) Copy(epoch uint64, n hookhall.Record, now time.Time) hookhall.CopyReply {
 	l := &s.slots[view.SlotOf(n.Key)]
 	l.mu.Lock()
@@ -136,8 +136,8 @@
 // member that leaves may still grant for a moment after it was seen to be gone.
 const lostMarginDivisor = 10
 
-// Lost records that both members of the pair that served the epoch n are known to have
-// ended. Repeated calls return true once the retention and its margin have passed since
+// Lost records that both members of the pair that served the slot at n.Epoch are known
+// to have ended. Repeated calls return true once the retention and its margin have passed since
 // the first call: every claim of that epoch has expired, and the epoch counts as
 // complete.
 func (s *Store) Lost(n Need, now time.Time) bool {
