--- a/internal/state/advisory/book.go
+++ b/internal/state/advisory/book.go
@@ -12,40 +12,43 @@
 	"github.com/hookhall/hookhall"
 )
 
-// notifyThreshold is the relative change of a rate from which peers are notified.
+// notifyThreshold is the relative change of a rate above which peers are notified, so that
+// small corrections in each response cause no broadcasts.
 const notifyThreshold = 0.1
 
-// Limit is a target's rate limit as it was last heard of.
+// Limit is a target's rate limit as last received.
 type Limit struct {
-	// Named is set while the target names a limit.
+	// Named is set while the target announces a limit.
 	Named bool
-	// Rate is in requests a second, from all instances together.
+	// Rate is in requests per second, from all instances together.
 	Rate float64
-	// Heard is when the answer came that the limit was read from.
+	// Heard is when the response was received that announced the limit or its end.
 	Heard time.Time
 }
 
-// differs reports whether peers that know o should be notified of l.
-func (l Limit) differs(o Limit) bool {
-	return l.Named != o.Named || math.Abs(l.Rate-o.Rate) > notifyThreshold*o.Rate
+// differs reports whether peers that know old should be notified of l.
+func (l Limit) differs(old Limit) bool {
+	return l.Named != old.Named || math.Abs(l.Rate-old.Rate) > notifyThreshold*old.Rate
 }
 
-// Status is what a target has announced about further requests.
+// Status is what a target has announced about further requests. Its fields are written out
+// under their Go names in the state that operators read.
 type Status struct {
 	Leaving bool
 	Limit   Limit
-	// PausedUntil is when the pause ends that the target asked this instance for, and
-	// PauseHeard when it asked last.
+	// PausedUntil is when the pause ends that the target requested from this instance, and
+	// PauseHeard is when the last such request was received.
 	PausedUntil time.Time
 	PauseHeard  time.Time
 }
 
-// rationed reports whether there is a limit, one that ended a short while ago, or a pause.
+// rationed reports whether there is a limit, a limit that ended less than limitEndReportTime
+// ago, or a pause.
 func (s *Status) rationed(now time.Time) bool {
-	return s.Limit.Named || now.Sub(s.Limit.Heard) < reportTime || s.PausedUntil.After(now)
+	return s.Limit.Named || now.Sub(s.Limit.Heard) < limitEndReportTime || s.PausedUntil.After(now)
 }
 
-// Change is what an advisory changed.
+// Change is the effect of an advisory.
 type Change struct {
 	Before Status
 	After  Status
@@ -53,47 +56,47 @@
 	Notify bool
 }
 
-// Book keeps the advisories of targets by life. It is safe for concurrent use.
+// Book stores the advisories of targets by incarnation. It is safe for concurrent use.
 type Book struct {
 	entries sync.Map // hookhall.Life to *entry
-	// rationed is the number of entries with a limit or a pause, so that looking for these
-	// costs one load while there are none.
+	// rationed is the number of entries with a limit or a pause. While it is 0, a lookup
+	// costs a single atomic load.
 	rationed atomic.Int64
 }
 
-// entry is the state of one life of a target.
+// entry is the state of one incarnation of a target.
 type entry struct {
 	mu     sync.Mutex
 	status Status
 	// shared is the limit that peers know.
 	shared Limit
 	bucket bucket
-	// rationed is set while the book counts the entry as rationed.
+	// rationed is set while Book.rationed counts the entry.
 	rationed bool
 }
 
-// find returns the entry of a life, or nil.
-func (b *Book) find(l hookhall.Life) *entry {
-	if e, ok := b.entries.Load(l); ok {
+// find returns the entry of an incarnation, or nil.
+func (b *Book) find(incarnation hookhall.Life) *entry {
+	if e, ok := b.entries.Load(incarnation); ok {
 		return e.(*entry)
 	}
 	return nil
 }
 
-// findRationed returns the entry of a life that may have a limit or a pause, or nil.
-func (b *Book) findRationed(l hookhall.Life) *entry {
+// findRationed returns the entry of an incarnation if it may have a limit or a pause, or nil.
+func (b *Book) findRationed(incarnation hookhall.Life) *entry {
 	if b.Idle() {
 		return nil
 	}
-	return b.find(l)
+	return b.find(incarnation)
 }
 
-func (b *Book) findOrAdd(l hookhall.Life) *entry {
-	e, _ := b.entries.LoadOrStore(l, &entry{})
+func (b *Book) findOrAdd(incarnation hookhall.Life) *entry {
+	e, _ := b.entries.LoadOrStore(incarnation, &entry{})
 	return e.(*entry)
 }
 
-// count keeps the number of rationed entries. e.mu must be held.
+// count updates the number of rationed entries. e.mu must be held.
 func (b *Book) count(e *entry, rationed bool) {
 	if e.rationed == rationed {
 		return
@@ -106,16 +109,16 @@
 	}
 }
 
-// Record applies the advisory of an answer that was received at now to a call sent at
+// Record applies the advisory of a response that was received at now to a call sent at
 // sent.
-func (b *Book) Record(l hookhall.Life, a hookhall.Advisory, sent, now time.Time) Change {
-	if a == (hookhall.Advisory{}) && b.find(l) == nil {
+func (b *Book) Record(incarnation hookhall.Life, a hookhall.Advisory, sent, now time.Time) Change {
+	if a == (hookhall.Advisory{}) && b.find(incarnation) == nil {
 		return Change{}
 	}
-	e := b.findOrAdd(l)
+	e := b.findOrAdd(incarnation)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := Change{Before: e.status}
+	change := Change{Before: e.status}
 	s := &e.status
 	s.Leaving = s.Leaving || a.Leaving
 	if a.Pause > 0 {
@@ -126,49 +129,50 @@
 	} else if s.Limit.Named && !sent.Before(s.Limit.Heard) {
 		s.Limit = Limit{Heard: now}
 	}
-	c.Notify = s.Leaving != c.Before.Leaving
+	change.Notify = s.Leaving != change.Before.Leaving
 	if s.Limit.differs(e.shared) {
 		e.shared = s.Limit
-		c.Notify = true
+		change.Notify = true
 	}
 	b.count(e, s.rationed(now))
-	c.After = e.status
-	return c
+	change.After = e.status
+	return change
 }
 
-// Merge applies a peer's report. Of two limits the later one wins.
+// Merge applies a peer's report. Of two limits, the one that was received last wins.
 func (b *Book) Merge(r Report, now time.Time) Change {
-	l := r.Target.Life()
-	if !r.Limit.Named && !r.Leaving && b.find(l) == nil {
+	incarnation := r.Target.Life()
+	if !r.Limit.Named && !r.Leaving && b.find(incarnation) == nil {
 		return Change{}
 	}
-	e := b.findOrAdd(l)
+	e := b.findOrAdd(incarnation)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := Change{Before: e.status, Notify: r.Leaving && !e.status.Leaving}
+	change := Change{Before: e.status, Notify: r.Leaving && !e.status.Leaving}
 	e.status.Leaving = e.status.Leaving || r.Leaving
 	if r.Limit.Heard.After(e.status.Limit.Heard) {
-		c.Notify = c.Notify || r.Limit.differs(e.shared)
+		change.Notify = change.Notify || r.Limit.differs(e.shared)
 		e.status.Limit, e.shared = r.Limit, r.Limit
 	}
 	b.count(e, e.status.rationed(now))
-	c.After = e.status
-	return c
+	change.After = e.status
+	return change
 }
 
-// rebirthTime is how long after its start a new life of a target may be taken for the old
-// one: until its key is known here.
-const rebirthTime = 3 * time.Second
+// maxRestartDetectionDelay is how long after its start a new incarnation of a target may be
+// taken for the previous one, until this instance learns the key of the new one.
+const maxRestartDetectionDelay = 3 * time.Second
 
-// Reborn takes in that a target is in another life. A pause that was asked for a short while
-// ago may be the new life's, and holds for it too. Limits and leaving are announced in every
-// answer and need not be kept.
-func (b *Book) Reborn(before, after hookhall.Life, now time.Time) {
-	old := b.Status(before)
-	if !old.PausedUntil.After(now) || now.Sub(old.PauseHeard) > rebirthTime {
+// Reborn copies the pause of a target's previous incarnation to its new one if the pause was
+// requested at most maxRestartDetectionDelay ago, since the new incarnation may have
+// requested it before it was known here. Limits and leaving are not copied, since each
+// response announces them again.
+func (b *Book) Reborn(previous, current hookhall.Life, now time.Time) {
+	old := b.Status(previous)
+	if !old.PausedUntil.After(now) || now.Sub(old.PauseHeard) > maxRestartDetectionDelay {
 		return
 	}
-	e := b.findOrAdd(after)
+	e := b.findOrAdd(current)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.PausedUntil = later(e.status.PausedUntil, old.PausedUntil)
@@ -176,9 +180,9 @@
 	b.count(e, e.status.rationed(now))
 }
 
-// Status returns what a life of a target has announced.
-func (b *Book) Status(l hookhall.Life) Status {
-	e := b.find(l)
+// Status returns what an incarnation of a target has announced, or the zero Status.
+func (b *Book) Status(incarnation hookhall.Life) Status {
+	e := b.find(incarnation)
 	if e == nil {
 		return Status{}
 	}
@@ -187,13 +191,14 @@
 	return e.status
 }
 
-// Keep removes the entries of lives that are over, and those without a status.
-func (b *Book) Keep(current func(l hookhall.Life) bool, now time.Time) {
+// Keep removes the entries of incarnations for which isCurrent returns false, and entries
+// that neither restrict requests nor say that the target is leaving.
+func (b *Book) Keep(isCurrent func(incarnation hookhall.Life) bool, now time.Time) {
 	b.entries.Range(func(k, v any) bool {
 		e := v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		live := current(k.(hookhall.Life))
+		live := isCurrent(k.(hookhall.Life))
 		b.count(e, live && e.status.rationed(now))
 		if !live || !(e.rationed || e.status.Leaving) {
 			b.entries.Delete(k)
@@ -202,9 +207,11 @@
 	})
 }
 
-// Idle reports whether no target has a limit or a pause.
+// Idle reports whether no target has a limit or a pause, or had a limit until a short while
+// ago.
 func (b *Book) Idle() bool { return b.rationed.Load() == 0 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/state/advisory/book_test.go
+++ b/internal/state/advisory/book_test.go
@@ -12,8 +12,8 @@
 )
 
 var (
-	start = time.Unix(1000, 0)
-	life  = hookhall.Life{ID: "target", Born: 1}
+	start              = time.Unix(1000, 0)
+	currentIncarnation = hookhall.Life{ID: "target", Born: 1}
 )
 
 func at(d time.Duration) time.Time { return start.Add(d) }
@@ -22,118 +22,122 @@
 	return hookhall.Advisory{Limited: true, Limit: rate}
 }
 
-// holdLimit fails unless the book has a limit, or none if rate is negative.
-func holdLimit(t *testing.T, b *advisory.Book, l hookhall.Life, rate float64) {
+// checkLimit fails unless the limit of an incarnation has the rate, or there is no limit if
+// rate is negative.
+func checkLimit(t *testing.T, b *advisory.Book, incarnation hookhall.Life, rate float64) {
 	t.Helper()
-	got := b.Status(l).Limit
+	got := b.Status(incarnation).Limit
 	if got.Named != (rate >= 0) || (got.Named && got.Rate != rate) {
-		t.Errorf("the limit is %+v, want %g", got, rate)
+		t.Errorf("limit is %+v, want rate %g", got, rate)
 	}
 }
 
-// TestLimitEnds: only an answer to a later call ends a limit.
+// TestLimitEnds guards against a limit that is dropped because of the response to a call that
+// was sent before the limit was announced. Such a response can arrive last.
 func TestLimitEnds(t *testing.T) {
-	t.Run("by an answer to a later call", func(t *testing.T) {
+	t.Run("response to a later call ends it", func(t *testing.T) {
 		b := &advisory.Book{}
-		b.Record(life, limited(2), at(0), at(time.Second))
-		holdLimit(t, b, life, 2)
-		b.Record(life, hookhall.Advisory{}, at(time.Second), at(2*time.Second))
-		holdLimit(t, b, life, -1)
+		b.Record(currentIncarnation, limited(2), at(0), at(time.Second))
+		checkLimit(t, b, currentIncarnation, 2)
+		b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(2*time.Second))
+		checkLimit(t, b, currentIncarnation, -1)
 	})
-	t.Run("not by an answer to an earlier call", func(t *testing.T) {
+	t.Run("response to an earlier call does not", func(t *testing.T) {
 		b := &advisory.Book{}
-		b.Record(life, limited(2), at(0), at(time.Second))
-		b.Record(life, hookhall.Advisory{}, at(time.Millisecond), at(2*time.Second))
-		holdLimit(t, b, life, 2)
+		b.Record(currentIncarnation, limited(2), at(0), at(time.Second))
+		b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Millisecond), at(2*time.Second))
+		checkLimit(t, b, currentIncarnation, 2)
 	})
-	t.Run("with the life that named it", func(t *testing.T) {
+	t.Run("ends with the incarnation that announced it", func(t *testing.T) {
 		b := &advisory.Book{}
-		b.Record(life, limited(2), at(0), at(0))
-		holdLimit(t, b, hookhall.Life{ID: "target", Born: 2}, -1)
+		b.Record(currentIncarnation, limited(2), at(0), at(0))
+		checkLimit(t, b, hookhall.Life{ID: "target", Born: 2}, -1)
 		b.Keep(func(hookhall.Life) bool { return false }, at(0))
-		holdLimit(t, b, life, -1)
+		checkLimit(t, b, currentIncarnation, -1)
 	})
 }
 
-// TestPauseIsNotShortened: a shorter pause does not replace a longer one.
+// TestPauseIsNotShortened guards against a shorter pause that replaces a longer one.
 func TestPauseIsNotShortened(t *testing.T) {
 	b := &advisory.Book{}
-	b.Record(life, hookhall.Advisory{Pause: 3 * time.Second}, at(0), at(0))
-	b.Record(life, hookhall.Advisory{Pause: time.Second}, at(0), at(time.Second))
-	b.Record(life, hookhall.Advisory{}, at(time.Second), at(time.Second))
-	if got := b.Status(life).PausedUntil; !got.Equal(at(3 * time.Second)) {
-		t.Errorf("paused until %v after the start", got.Sub(start))
+	b.Record(currentIncarnation, hookhall.Advisory{Pause: 3 * time.Second}, at(0), at(0))
+	b.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(time.Second))
+	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
+	if got := b.Status(currentIncarnation).PausedUntil; !got.Equal(at(3 * time.Second)) {
+		t.Errorf("pause ends %v after the start, want 3s", got.Sub(start))
 	}
 }
 
-// TestLeavingIsFinal: a target that was leaving stays so for its life.
+// TestLeavingIsFinal guards against a target that is used again although it was leaving: it
+// stays so for the rest of its incarnation, but not in the next one.
 func TestLeavingIsFinal(t *testing.T) {
 	b := &advisory.Book{}
-	b.Record(life, hookhall.Advisory{Leaving: true}, at(0), at(0))
-	b.Record(life, hookhall.Advisory{}, at(time.Second), at(time.Second))
-	if !b.Status(life).Leaving {
-		t.Error("it is not leaving any more")
+	b.Record(currentIncarnation, hookhall.Advisory{Leaving: true}, at(0), at(0))
+	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
+	if !b.Status(currentIncarnation).Leaving {
+		t.Error("target is no longer leaving")
 	}
-	if c := b.Merge(advisory.Report{Target: hookhall.Target{ID: life.ID, Born: life.Born}, Leaving: true}, at(time.Second)); c.Notify {
-		t.Error("peers are notified again")
+	if c := b.Merge(advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Born: currentIncarnation.Born}, Leaving: true}, at(time.Second)); c.Notify {
+		t.Error("peers are notified twice of the same status")
 	}
-	if b.Status(hookhall.Life{ID: life.ID, Born: 2}).Leaving {
-		t.Error("its next life is leaving")
+	if b.Status(hookhall.Life{ID: currentIncarnation.ID, Born: 2}).Leaving {
+		t.Error("next incarnation is leaving")
 	}
 }
 
-// TestKeep: what says nothing any more is forgotten, and a book without limits and pauses is
-// idle.
+// TestKeep guards against entries that are never removed, and against a count of limits and
+// pauses that disagrees with the entries.
 func TestKeep(t *testing.T) {
 	live := func(hookhall.Life) bool { return true }
 	other := hookhall.Life{ID: "other"}
 	b := &advisory.Book{}
-	hold := func(what string, idle bool) {
+	check := func(situation string, idle bool) {
 		t.Helper()
 		if b.Idle() != idle {
-			t.Errorf("%s: idle is %v", what, !idle)
+			t.Errorf("%s: idle is %v", situation, !idle)
 		}
 	}
 	b.Record(other, hookhall.Advisory{Leaving: true}, at(0), at(0))
-	hold("one is leaving", true)
-	b.Record(life, hookhall.Advisory{Pause: time.Second}, at(0), at(0))
-	hold("one pauses", false)
+	check("one target is leaving", true)
+	b.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(0))
+	check("one target is paused", false)
 	b.Keep(live, at(2*time.Second))
-	hold("the pause is over", true)
-	b.Record(life, limited(1), at(0), at(0))
+	check("the pause has ended", true)
+	b.Record(currentIncarnation, limited(1), at(0), at(0))
 	b.Keep(live, at(time.Hour))
-	hold("one is limited", false)
-	b.Record(life, hookhall.Advisory{}, at(time.Hour), at(time.Hour))
-	hold("the limit has just ended", false)
+	check("one target is limited", false)
+	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Hour), at(time.Hour))
+	check("the limit has just ended", false)
 	b.Keep(live, at(2*time.Hour))
-	hold("the limit has ended long ago", true)
+	check("the limit ended long ago", true)
 	if !b.Status(other).Leaving {
-		t.Error("the one that is leaving is forgotten")
+		t.Error("entry of a target that is leaving was removed")
 	}
 	b.Keep(func(hookhall.Life) bool { return false }, at(2*time.Hour))
 	if b.Status(other).Leaving {
-		t.Error("a life that is over is remembered")
+		t.Error("entry of an ended incarnation was kept")
 	}
 }
 
-// TestPauseAcrossRebirth: a pause that a new life asked for before it was known is the new
-// life's; one that was asked for long before is the old life's alone.
-func TestPauseAcrossRebirth(t *testing.T) {
-	next := hookhall.Life{ID: life.ID, Born: 2}
+// TestPauseAcrossRestart guards against losing a pause that a new incarnation requested
+// before it was known here, when it was recorded for the previous incarnation. A pause that
+// was requested long before the restart must not be copied.
+func TestPauseAcrossRestart(t *testing.T) {
+	next := hookhall.Life{ID: currentIncarnation.ID, Born: 2}
 	for name, c := range map[string]struct {
-		heard time.Duration // before the new life is known
-		kept  bool
+		detectedAfter time.Duration // from the pause until the new incarnation is known
+		kept          bool
 	}{"a moment before": {300 * time.Millisecond, true}, "long before": {30 * time.Second, false}} {
 		t.Run(name, func(t *testing.T) {
 			b := &advisory.Book{}
-			b.Record(life, hookhall.Advisory{Leaving: true, Pause: time.Minute}, at(0), at(0))
-			b.Reborn(life, next, at(c.heard))
+			b.Record(currentIncarnation, hookhall.Advisory{Leaving: true, Pause: time.Minute}, at(0), at(0))
+			b.Reborn(currentIncarnation, next, at(c.detectedAfter))
 			got := b.Status(next)
-			if paused := got.PausedUntil.After(at(c.heard)); paused != c.kept {
-				t.Errorf("paused: %v", paused)
+			if paused := got.PausedUntil.After(at(c.detectedAfter)); paused != c.kept {
+				t.Errorf("new incarnation is paused: %v", paused)
 			}
 			if got.Leaving {
-				t.Error("the new life is leaving")
+				t.Error("new incarnation is leaving")
 			}
 		})
 	}
--- a/internal/state/advisory/rate.go
+++ b/internal/state/advisory/rate.go
@@ -11,34 +11,35 @@
 )
 
 const (
-	// minRate is what a target gets at least, in requests a second: the end of its limit
-	// shows in an answer only.
+	// minRate is the lower bound of a target's rate, in requests per second. It is above 0
+	// because only a response can announce the end of the limit.
 	minRate = 0.25
-	// burstTime is for how long a rate adds to a bucket that holds one request.
+	// burstTime limits the burst: an unused bucket holds one token plus those of burstTime.
 	burstTime = 100 * time.Millisecond
-	// Never is the wait for a target that gets no requests by this instance's grants.
+	// Never is the wait for a target that this instance may not grant any requests.
 	Never = time.Duration(math.MaxInt64)
 )
 
-// bucket is a token bucket. It begins empty, at the first request for a token: instances
-// that grant the same rate one after the other, each for a while, then grant no more
-// than one would.
+// bucket is a token bucket, of one token per request. It starts empty, at the first request
+// for a token, so that instances that own the same rate one after the other together grant
+// no more than a single one would.
 type bucket struct {
-	tokens float64 // negative while requests have reserved tokens to come
-	filled time.Time
+	tokens   float64 // negative while requests have reserved future tokens
+	filledAt time.Time
 }
 
-// fill adds the tokens that have come since the last call, at a rate of tokens a second.
+// fill adds the tokens for the time since the last call, at rate tokens per second.
 func (b *bucket) fill(rate float64, now time.Time) {
-	if !b.filled.IsZero() && now.After(b.filled) {
-		b.tokens = min(b.tokens+rate*now.Sub(b.filled).Seconds(), 1+rate*burstTime.Seconds())
+	if !b.filledAt.IsZero() && now.After(b.filledAt) {
+		b.tokens = min(b.tokens+rate*now.Sub(b.filledAt).Seconds(), 1+rate*burstTime.Seconds())
 	}
-	if b.filled.IsZero() || now.After(b.filled) {
-		b.filled = now
+	if b.filledAt.IsZero() || now.After(b.filledAt) {
+		b.filledAt = now
 	}
 }
 
-// wait returns how long it takes until the next token, 0 if there is one.
+// wait returns the time until the next token is available, 0 if one is, at rate tokens per
+// second.
 func (b *bucket) wait(rate float64) time.Duration {
 	if b.tokens >= 1 {
 		return 0
@@ -50,17 +51,18 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Grants gives out the rates of limited targets. It is a balance.Limiter.
+// Grants grants requests to limited targets at their rates. It implements balance.Limiter.
+// The zero Share grants limited targets nothing.
 type Grants struct {
 	Book *Book
-	// Share is the part of each rate that this instance gives out, 0 for none.
+	// Share is the part of each rate that this instance grants, from 0 to 1.
 	Share float64
 }
 
-// Due returns how long it takes until a life of a target may get another request: 0 for
-// now, Never if this instance grants it none.
-func (g Grants) Due(l hookhall.Life, now time.Time) time.Duration {
-	e := g.Book.findRationed(l)
+// Due returns the time until an incarnation of a target may get another request: 0 for
+// now, Never if this instance may not grant it any.
+func (g Grants) Due(incarnation hookhall.Life, now time.Time) time.Duration {
+	e := g.Book.findRationed(incarnation)
 	if e == nil {
 		return 0
 	}
@@ -69,10 +71,10 @@
 	return g.due(e, now)
 }
 
-// Reserve takes the next request that a life of a target may get, if it is due within
-// maxWait. It returns how long the request has to wait.
-func (g Grants) Reserve(l hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool) {
-	e := g.Book.findRationed(l)
+// Reserve takes the next token of an incarnation of a target if it is due within maxWait.
+// It returns how long the request has to wait, and whether the token was taken.
+func (g Grants) Reserve(incarnation hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool) {
+	e := g.Book.findRationed(incarnation)
 	if e == nil {
 		return 0, true
 	}
@@ -87,7 +89,8 @@
 	return wait, true
 }
 
-// due fills the bucket of an entry and returns the wait. e.mu must be held.
+// due fills the bucket of an entry and returns the time until its next token. e.mu must be
+// held.
 func (g Grants) due(e *entry, now time.Time) time.Duration {
 	if !e.status.Limit.Named {
 		return 0
--- a/internal/state/advisory/report.go
+++ b/internal/state/advisory/report.go
@@ -11,76 +11,77 @@
 	"github.com/hookhall/hookhall"
 )
 
-// reportTime is how long the end of a limit is reported with requests for placements.
-const reportTime = 30 * time.Second
+// limitEndReportTime is how long the end of a limit is reported with placement requests.
+const limitEndReportTime = 30 * time.Second
 
-// Report is a target's status as it is sent to a peer.
+// Report is a target's status as sent to a peer.
 type Report struct {
 	Target  hookhall.Target
 	Leaving bool
 	Limit   Limit
 }
 
-// All returns reports of all targets that are leaving or limited, in no order.
+// All returns reports of all targets that are leaving or limited, in no particular order.
+// Only ID and Born are set in their targets.
 func (b *Book) All() []Report {
-	var list []Report
+	var reports []Report
 	b.entries.Range(func(k, v any) bool {
-		l, e := k.(hookhall.Life), v.(*entry)
+		incarnation, e := k.(hookhall.Life), v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		if s := e.status; s.Leaving || s.Limit.Named {
-			list = append(list, Report{Target: hookhall.Target{ID: l.ID, Born: l.Born}, Leaving: s.Leaving, Limit: s.Limit})
+			reports = append(reports, Report{Target: hookhall.Target{ID: incarnation.ID, Born: incarnation.Born}, Leaving: s.Leaving, Limit: s.Limit})
 		}
 		return true
 	})
-	return list
+	return reports
 }
 
-// Rationed returns those of the targets that may have a limit or a pause. The targets are
-// sorted by id.
+// Rationed returns those of the targets that may have a limit or a pause, in no particular
+// order. The targets must be sorted by ID.
 func (b *Book) Rationed(targets []hookhall.Target) []hookhall.Target {
 	if b.Idle() {
 		return nil
 	}
-	var list []hookhall.Target
+	var rationed []hookhall.Target
 	b.entries.Range(func(k, _ any) bool {
-		l := k.(hookhall.Life)
-		at, found := slices.BinarySearchFunc(targets, l.ID, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
-		if found && targets[at].Life() == l {
-			list = append(list, targets[at])
+		incarnation := k.(hookhall.Life)
+		i, found := slices.BinarySearchFunc(targets, incarnation.ID, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
+		if found && targets[i].Life() == incarnation {
+			rationed = append(rationed, targets[i])
 		}
 		return true
 	})
-	return list
+	return rationed
 }
 
-// Reports returns the limits among targets that hold or ended a short while ago, and
-// whether any holds. The targets are sorted by id.
-func (b *Book) Reports(targets []hookhall.Target, now time.Time) (list []Report, limited bool) {
+// Reports returns the limits of the targets that hold or ended less than limitEndReportTime
+// ago, and whether any holds. The targets must be sorted by ID.
+func (b *Book) Reports(targets []hookhall.Target, now time.Time) (reports []Report, limited bool) {
 	for _, t := range b.Rationed(targets) {
-		l := b.Status(t.Life()).Limit
-		if l.Named || now.Sub(l.Heard) < reportTime {
-			list = append(list, Report{Target: t, Limit: l})
+		limit := b.Status(t.Life()).Limit
+		if limit.Named || now.Sub(limit.Heard) < limitEndReportTime {
+			reports = append(reports, Report{Target: t, Limit: limit})
 		}
-		limited = limited || l.Named
+		limited = limited || limit.Named
 	}
-	return list, limited
+	return reports, limited
 }
 
-// Paused returns the ids of those targets that have asked this instance for a pause which
-// goes on, and how long it takes until the first of these pauses ends. It returns nil if
-// there are none. The targets are sorted by id.
-func (b *Book) Paused(targets []hookhall.Target, now time.Time) (ids map[string]bool, next time.Duration) {
+// Paused returns the IDs of those targets whose requested pause for this instance has not
+// ended, and the time until the first of these pauses ends. It returns nil and 0 if there
+// are none. The targets must be sorted by ID.
+func (b *Book) Paused(targets []hookhall.Target, now time.Time) (pausedIDs map[string]bool, firstEnd time.Duration) {
 	for _, t := range b.Rationed(targets) {
-		left := b.Status(t.Life()).PausedUntil.Sub(now)
-		if left <= 0 {
+		remaining := b.Status(t.Life()).PausedUntil.Sub(now)
+		if remaining <= 0 {
 			continue
 		}
-		if ids == nil {
-			ids, next = map[string]bool{}, left
+		if pausedIDs == nil {
+			pausedIDs, firstEnd = map[string]bool{}, remaining
 		}
-		ids[t.ID] = true
-		next = min(next, left)
+		pausedIDs[t.ID] = true
+		firstEnd = min(firstEnd, remaining)
 	}
-	return ids, next
+	return pausedIDs, firstEnd
 }
