--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -10,60 +10,62 @@
 	"pgregory.net/rapid"
 )
 
-// TestPartsAddUp: over all processes of one list the parts are the bound, and each has
-// the same but for one unit.
+// TestPartsAddUp guards against parts that exceed the limit or leave units of it unused. The
+// parts of two processes differ by at most one unit.
 func TestPartsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 2000).Draw(t, "processes")
-		bound := rapid.IntRange(0, 5000).Draw(t, "bound")
+		limit := rapid.IntRange(0, 5000).Draw(t, "bound")
 		key := rapid.String().Draw(t, "key")
 		sum := 0
-		for place := range count {
-			part := Sharers{count, place}.Part(bound, key)
-			if part < bound/count || part > bound/count+1 {
-				t.Fatalf("process %d has %d of %d over %d processes", place, part, bound, count)
+		for index := range count {
+			part := Sharers{count, index}.Part(limit, key)
+			if part < limit/count || part > limit/count+1 {
+				t.Fatalf("process %d has %d of %d units; there are %d processes", index, part, limit, count)
 			}
 			sum += part
 		}
-		if sum != bound {
-			t.Fatalf("the parts add up to %d, not %d", sum, bound)
+		if sum != limit {
+			t.Fatalf("parts add up to %d, want %d", sum, limit)
 		}
 	})
 }
 
-// TestPartsOfLostProcesses: those that left the list a while ago are counted, and hold
-// nothing: the others stay within the bound.
+// TestPartsOfLostProcesses guards against exceeding the limit while processes that ended are
+// still counted. They hold nothing.
 func TestPartsOfLostProcesses(t *testing.T) {
 	sum := 0
-	for place := range 50 {
-		sum += Sharers{Count: 60, Place: place}.Part(100, "target")
+	for index := range 50 {
+		sum += Sharers{Count: 60, Place: index}.Part(100, "target")
 	}
 	if sum > 100 {
-		t.Errorf("the parts add up to %d", sum)
+		t.Errorf("parts add up to %d, want at most 100", sum)
 	}
 }
 
-// TestScarceUnitsAreSpread: a bound of fewer units than processes goes to other
-// processes from key to key.
+// TestScarceUnitsAreSpread guards against a limit of fewer units than processes that goes to
+// the same processes for every key.
 func TestScarceUnitsAreSpread(t *testing.T) {
 	held := make([]int, 60)
 	for target := range 300 {
-		for place := range held {
-			held[place] += Sharers{len(held), place}.Part(20, fmt.Sprint("target-", target))
+		for index := range held {
+			held[index] += Sharers{len(held), index}.Part(20, fmt.Sprint("target-", target))
 		}
 	}
-	for place, n := range held {
-		if n < 50 || n > 150 { // 100 each, if it were even
-			t.Errorf("process %d holds %d of 6000 units", place, n)
+	for index, n := range held {
+		if n < 50 || n > 150 { // 100 for an even distribution
+			t.Errorf("process %d holds %d of 6000 units", index, n)
 		}
 	}
 }
 
-func TestPartOfNobody(t *testing.T) {
-	for name, s := range map[string]Sharers{"a list that is not known": {}, "no place in it": {Count: 5, Place: -1}} {
+// TestPartOfUnknownPosition guards against a process that holds units although it does not
+// know its position, so that the parts of all would exceed the limit.
+func TestPartOfUnknownPosition(t *testing.T) {
+	for name, s := range map[string]Sharers{"unknown number of processes": {}, "process not listed": {Count: 5, Place: -1}} {
 		t.Run(name, func(t *testing.T) {
 			if n := s.Part(100, "target"); n != 0 {
-				t.Errorf("a part of %d", n)
+				t.Errorf("part is %d, want 0", n)
 			}
 		})
 	}
