--- a/internal/state/buffer/buffer.go
+++ b/internal/state/buffer/buffer.go
@@ -1,18 +1,18 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package buffer bounds the bytes that a process holds for its callers.
+// Package buffer limits the memory in which a process buffers requests and responses.
 //
 // # Model
 //
-// Answers are read ahead of their callers, so that one that is cut can be asked for
-// again, and requests are read whole before they are sent. A Buffer grows by what a
-// Budget, which all share, has left, up to a bound of its own. What does not fit stays
-// with the sender, which waits.
+// Responses are read ahead of their callers, so that a request whose response is cut off can
+// be retried, and requests are read completely before they are sent. A Buffer grows within
+// the shared Budget of all buffers, up to a maximum size of its own. What does not fit stays
+// unread, so that the sender has to wait.
 //
 // # Invariants
 //
-//   - All buffers of a budget hold its limit at most, and the least size of each.
+//   - All buffers of a budget together hold at most its limit plus minSize for each.
 //   - A released buffer holds nothing.
 package buffer
 
@@ -21,43 +21,45 @@
 	"sync/atomic"
 )
 
-// minSize is what each buffer may hold, in bytes, whatever the budget has left.
+// minSize is the number of bytes that each buffer may hold even if the budget is exhausted.
 const minSize = 4 << 10
 
-// Budget is what all buffers of a process may hold.
+// Budget is the memory that the buffers of a process share. It is safe for concurrent use.
 type Budget struct {
-	limit int64
-	held  atomic.Int64
+	limit    int64 // bytes
+	reserved atomic.Int64
 }
 
-// NewBudget returns a Budget of a number of bytes.
+// NewBudget returns a Budget of limit bytes.
 func NewBudget(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Held returns the bytes that buffers hold, in excess of the least size of each.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// Held returns the number of bytes that buffers have reserved beyond minSize each.
+func (b *Budget) Held() int64 { return b.reserved.Load() }
 
-func (b *Budget) take(n int) bool {
-	if b.held.Add(int64(n)) <= b.limit {
+// reserve reserves n bytes, or none if that exceeds the limit, and reports which.
+func (b *Budget) reserve(n int) bool {
+	if b.reserved.Add(int64(n)) <= b.limit {
 		return true
 	}
-	b.held.Add(int64(-n))
+	b.reserved.Add(int64(-n))
 	return false
 }
 
-// Buffer is the beginning of an answer or a request.
+// Buffer holds the first bytes of a request or a response. It is not safe for concurrent use.
 type Buffer struct {
-	budget *Budget
-	most   int // bytes
-	taken  int
-	bytes  []byte
+	budget   *Budget
+	maxSize  int // bytes
+	reserved int // bytes of the budget
+	bytes    []byte
 }
 
-// New returns an empty Buffer that holds a number of bytes at most. It must be released.
-func (b *Budget) New(most int) *Buffer {
-	return &Buffer{budget: b, most: most, bytes: make([]byte, 0, min(minSize, most))}
+// New returns an empty Buffer that holds at most maxSize bytes. The caller must release it.
+func (b *Budget) New(maxSize int) *Buffer {
+	return &Buffer{budget: b, maxSize: maxSize, bytes: make([]byte, 0, min(minSize, maxSize))}
 }
 
-// Fill reads from r until its end, or until the buffer may not grow: then more is set.
+// Fill reads from r until its end, or until the buffer is full and may not grow; more is set
+// if r may have more bytes then. Other errors of r than io.EOF are returned.
 func (b *Buffer) Fill(r io.Reader) (more bool, err error) {
 	for {
 		if len(b.bytes) == cap(b.bytes) && !b.grow() {
@@ -74,25 +76,26 @@
 	}
 }
 
-// grow doubles the buffer, as far as it may.
+// grow doubles the capacity, up to maxSize, and reports whether it did. It leaves the buffer
+// unchanged if the budget is exhausted.
 func (b *Buffer) grow() bool {
-	size := min(2*cap(b.bytes), b.most)
-	more := size - cap(b.bytes)
-	if more <= 0 || !b.budget.take(more) {
+	size := min(2*cap(b.bytes), b.maxSize)
+	added := size - cap(b.bytes)
+	if added <= 0 || !b.budget.reserve(added) {
 		return false
 	}
-	b.taken += more
+	b.reserved += added
 	larger := make([]byte, len(b.bytes), size)
 	copy(larger, b.bytes)
 	b.bytes = larger
 	return true
 }
 
-// Bytes returns what was read. It is valid until the buffer is released.
+// Bytes returns the bytes that were read. They are valid until the buffer is released.
 func (b *Buffer) Bytes() []byte { return b.bytes }
 
-// Release gives the buffer's bytes back. Further calls have no effect.
+// Release returns the buffer's bytes to the budget. Further calls have no effect.
 func (b *Buffer) Release() {
-	b.budget.held.Add(int64(-b.taken))
-	b.taken, b.bytes = 0, nil
+	b.budget.reserved.Add(int64(-b.reserved))
+	b.reserved, b.bytes = 0, nil
 }
