--- a/internal/state/rollout/judge.go
+++ b/internal/state/rollout/judge.go
@@ -9,27 +9,30 @@
 )
 
 const (
-	// falseAlarm bounds the chance that a route of a good version looks bad, if the old
-	// version's rate of failures is known.
+	// falseAlarm bounds the probability that a good version is rejected for failures on a
+	// route, if the old version's failure rate is known.
 	falseAlarm = 1e-4
-	// failsMore is by how much more often than the old version a bad one is supposed to
-	// fail. A larger true difference is found sooner, one below half of it never.
-	failsMore = 0.2
-	// failsLeast stands for the failures of an old version that has shown none yet.
-	failsLeast = 0.01
-	// slowFactor is how many times as long as the old version's the answers of a slow one
-	// take in the mean, and slowLeast by how much more.
-	slowFactor = 2.5
-	slowLeast  = 20 * time.Millisecond
-	// slowAnswers is how many answers the mean needs: times differ by prompt.
-	slowAnswers = 16
+	// testedFailureRateIncrease is the difference to the old version's failure rate for
+	// which the test is designed. A larger difference is found sooner, one below half of it
+	// never.
+	testedFailureRateIncrease = 0.2
+	// minFailureRate is added to the old version's failure rate, so that the test is defined
+	// for one that has not failed yet.
+	minFailureRate = 0.01
+	// slowFactor and minSlowdown define a slow version: its mean response time exceeds
+	// slowFactor times that of the old version by more than minSlowdown.
+	slowFactor  = 2.5
+	minSlowdown = 20 * time.Millisecond
+	// minResponsesForMean is the number of responses for which a mean is compared, since
+	// times differ by prompt.
+	minResponsesForMean = 16
 )
 
-// Tally sums up answers.
+// Tally is a sum over responses.
 type Tally struct {
-	Answers int
+	Answers int           // number of responses
 	Bad     int           // failures among them
-	Took    time.Duration // in all, to the head of each answer
+	Took    time.Duration // sum of the times to the head of each response
 }
 
 func (t *Tally) add(o Tally) {
@@ -38,7 +41,7 @@
 	t.Took += o.Took
 }
 
-// mean is the time of one answer.
+// mean returns the mean time to the head of a response, 0 if there are none.
 func (t Tally) mean() time.Duration {
 	if t.Answers == 0 {
 		return 0
@@ -46,13 +49,14 @@
 	return t.Took / time.Duration(t.Answers)
 }
 
-// Versions are the answers of the old and the new version to the same requests.
+// Versions holds the tallies of the old and the new version for the same requests.
 type Versions struct{ Old, New Tally }
 
-// Evidence has them by route.
+// Evidence holds the tallies of both versions by route. Logs print it with the names of its
+// fields.
 type Evidence map[string]Versions
 
-// Add takes another process's evidence in.
+// Add adds another process's evidence.
 func (e Evidence) Add(o Evidence) {
 	for route, v := range o {
 		sum := e[route]
@@ -62,8 +66,8 @@
 	}
 }
 
-// all sums up the routes.
-func (e Evidence) all() (v Versions) {
+// total returns the sum over all routes.
+func (e Evidence) total() (v Versions) {
 	for _, r := range e {
 		v.Old.add(r.Old)
 		v.New.add(r.New)
@@ -71,44 +75,49 @@
 	return v
 }
 
-// bad says what is wrong with the new version, "" while nothing is known to be.
-func (e Evidence) bad() string {
-	all := e.all()
-	if all.fails(all.Old) {
-		return "it fails more often"
+// regression returns why the new version is worse than the old one, "" if there is no
+// evidence that it is. A route without responses of the old version is compared with the
+// failure rate of all routes.
+func (e Evidence) regression() string {
+	total := e.total()
+	if total.failsMore(total.Old) {
+		return "failure rate is higher"
 	}
 	for route, v := range e {
 		old := v.Old
 		if old.Answers == 0 {
-			old = all.Old
+			old = total.Old
 		}
 		switch {
-		case v.fails(old):
-			return "it fails more often on route " + route
-		case v.Old.Answers >= slowAnswers && v.slow():
-			return "it is slower on route " + route
+		case v.failsMore(old):
+			return "failure rate is higher on route " + route
+		case v.Old.Answers >= minResponsesForMean && v.isSlow():
+			return "response time is higher on route " + route
 		}
 	}
 	return ""
 }
 
-// fails is the sequential probability ratio test of failsMore against nothing.
-func (v Versions) fails(old Tally) bool {
-	same := (float64(old.Bad)+failsLeast*10)/(float64(old.Answers)+10) + failsLeast
-	more := math.Min(same+failsMore, 0.99)
-	if same >= more {
+// failsMore reports whether the new version fails more often than old, by a sequential
+// probability ratio test of a failure rate that is testedFailureRateIncrease higher against
+// an equal one. The old rate is estimated as if 10 more responses had failed at
+// minFailureRate, so that few responses don't give an extreme rate.
+func (v Versions) failsMore(old Tally) bool {
+	equalRate := (float64(old.Bad)+minFailureRate*10)/(float64(old.Answers)+10) + minFailureRate
+	higherRate := math.Min(equalRate+testedFailureRateIncrease, 0.99)
+	if equalRate >= higherRate {
 		return false
 	}
-	good := float64(v.New.Answers - v.New.Bad)
-	ratio := float64(v.New.Bad)*math.Log(more/same) + good*math.Log((1-more)/(1-same))
-	return ratio >= math.Log(1/falseAlarm)
+	successes := float64(v.New.Answers - v.New.Bad)
+	logRatio := float64(v.New.Bad)*math.Log(higherRate/equalRate) + successes*math.Log((1-higherRate)/(1-equalRate))
+	return logRatio >= math.Log(1/falseAlarm)
 }
 
-// slow compares the times of answers.
-func (v Versions) slow() bool {
-	if v.New.Answers < slowAnswers {
+// isSlow reports whether the new version's mean response time shows that it is slow.
+func (v Versions) isSlow() bool {
+	if v.New.Answers < minResponsesForMean {
 		return false
 	}
-	old := v.Old.mean()
-	return v.New.mean() > time.Duration(slowFactor*float64(old))+slowLeast
+	oldMean := v.Old.mean()
+	return v.New.mean() > time.Duration(slowFactor*float64(oldMean))+minSlowdown
 }
--- a/internal/state/rollout/phase.go
+++ b/internal/state/rollout/phase.go
@@ -10,25 +10,29 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Phase is how far a Rollout has come. Later ones are greater.
+// Phase is the progress of a Rollout. Later phases are greater.
 type Phase int
 
-// The phases.
+// The phases, in their order.
 const (
-	// Unknown: this process has just heard of the order. The new version gets nothing.
+	// Unknown means that this process has just received the Rollout and does not know its
+	// phase. The new version gets no requests.
 	Unknown Phase = iota
-	// Trial: the new version gets a share.
+	// Trial means that the new version gets a share of the requests.
 	Trial
-	// Moving: it gets all, while what runs at old targets ends.
+	// Moving means that the new version gets all new requests while those at old targets
+	// finish.
 	Moving
+	// Completed means that the old version is no longer needed.
 	Completed
+	// RolledBack means that the old version gets all requests again.
 	RolledBack
 )
 
-// Final tells whether the Rollout has ended.
+// Final reports whether the Rollout has ended.
 func (p Phase) Final() bool { return p >= Completed }
 
-// State is what operators are told.
+// State returns the state that operators see.
 func (p Phase) State() hookhall.RolloutState {
 	switch p {
 	case Completed:
@@ -39,7 +43,7 @@
 	return hookhall.RolloutRunning
 }
 
-// PhaseOf is the phase that a told state stands for.
+// PhaseOf returns the phase for a stored state. A running Rollout is at least in Trial.
 func PhaseOf(s hookhall.RolloutState) Phase {
 	switch s {
 	case hookhall.RolloutCompleted:
@@ -50,7 +54,8 @@
 	return Trial
 }
 
-// Join is the phase of a process that is in one and hears of another.
+// Join returns the phase of a process in phase p that receives the phase of another process:
+// p if it is final, the later one otherwise.
 func (p Phase) Join(other Phase) Phase {
 	if p.Final() {
 		return p
@@ -59,72 +64,78 @@
 }
 
 const (
-	// boundShare is the part of what a version on trial may get that it does: chance may
-	// double the rest.
+	// boundShare is the expected part of the bound on the share of a canary, so that random
+	// variation may double the share without exceeding the bound.
 	boundShare = 0.5
-	// trialTime is the part of a Rollout's time for which a version is on trial: some go
-	// bad only after seconds, and the rest has to do for what still runs at old targets.
-	trialTime = 0.55
-	// moveLeast is how long all requests go to the new version before the old one may
-	// end, though nothing runs there: gateways learn of a phase a moment apart.
-	moveLeast = time.Second
-	// lastMoment is how long before its time is over a Rollout ends, whatever still runs.
-	lastMoment = 700 * time.Millisecond
-	// enoughOld is how many answers of the old version show that the new one should have
-	// had some, too.
-	enoughOld = 60
+	// trialTimeShare is the part of a Rollout's time for which the new version is a canary.
+	// Some versions fail only after seconds, and the rest of the time has to suffice for the
+	// requests that still run at old targets.
+	trialTimeShare = 0.55
+	// minMovingTime is how long all requests go to the new version before the Rollout may be
+	// completed, even if none runs at old targets, since gateways learn of a phase at
+	// slightly different times.
+	minMovingTime = time.Second
+	// completionMargin is how long before its time limit a Rollout is completed even if
+	// requests still run at old targets.
+	completionMargin = 700 * time.Millisecond
+	// minOldResponses is the number of responses of the old version after which a canary
+	// without any response is rejected.
+	minOldResponses = 60
 )
 
-// Share is the chance of a request to go to a version on trial, by the share that it may
-// get of all.
+// Share returns the probability with which a request is sent to a canary. bound is the
+// maximum share of all requests that the canary may get, from 0 to 1.
 func Share(bound float64) float64 { return boundShare * bound }
 
-// TrialTargets is how many targets of the new version are used on trial: as many as bear
-// its share when each gets as much as an old one, so that it is judged under load.
+// TrialTargets returns the number of targets of the new version that are used as canaries,
+// at least 1: as many as handle its share if each gets the same load as one of the old
+// targets, so that the version is judged under load.
 func TrialTargets(bound float64, old int) int {
 	return max(int(math.Ceil(Share(bound)*float64(old))), 1)
 }
 
-// Situation is what a Rollout's owner knows of it.
+// Situation is the state of a Rollout as its owner knows it.
 type Situation struct {
 	Phase Phase
-	Age   time.Duration // since the order
-	Time  time.Duration // that operators gave it
-	// Moved is for how long all requests have gone to the new version.
+	Age   time.Duration // since operators ordered the Rollout
+	Time  time.Duration // limit that operators set for the Rollout
+	// Moved is how long all requests have gone to the new version.
 	Moved time.Duration
-	// AtOld is how many requests run at old targets.
+	// AtOld is the number of requests that run at old targets.
 	AtOld    int
 	Evidence Evidence
 }
 
-// Next is the phase that follows, and why. The present one means that nothing changes.
+// Next returns the phase that follows, and why. It returns the present phase and "" if
+// nothing changes.
 func (s Situation) Next() (Phase, string) {
 	if s.Phase.Final() {
 		return s.Phase, ""
 	}
-	if why := s.Evidence.bad(); why != "" {
-		return RolledBack, why
+	if reason := s.Evidence.regression(); reason != "" {
+		return RolledBack, reason
 	}
 	switch s.Phase {
 	case Unknown:
-		return Trial, "the order is new"
+		return Trial, "rollout is new"
 	case Trial:
 		return s.endTrial()
 	}
-	quiet := s.AtOld == 0 && s.Moved >= moveLeast
-	if quiet || s.Age >= s.Time-lastMoment {
-		return Completed, "the new version serves all requests"
+	oldIdle := s.AtOld == 0 && s.Moved >= minMovingTime
+	if oldIdle || s.Age >= s.Time-completionMargin {
+		return Completed, "new version serves all requests"
 	}
 	return s.Phase, ""
 }
 
+// endTrial returns what follows Trial, and why, once trialTimeShare of the time has passed.
 func (s Situation) endTrial() (Phase, string) {
-	if s.Age < time.Duration(trialTime*float64(s.Time)) {
+	if s.Age < time.Duration(trialTimeShare*float64(s.Time)) {
 		return s.Phase, ""
 	}
-	all := s.Evidence.all()
-	if all.New.Answers == 0 && all.Old.Answers >= enoughOld {
-		return RolledBack, "the new version has answered nothing"
+	total := s.Evidence.total()
+	if total.New.Answers == 0 && total.Old.Answers >= minOldResponses {
+		return RolledBack, "new version has not responded"
 	}
-	return Moving, "nothing bad has been seen"
+	return Moving, "no regression found"
 }
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -11,31 +11,32 @@
 	"pgregory.net/rapid"
 )
 
-// version is how a simulated version answers.
+// version is the behaviour of a simulated version.
 type version struct {
-	fails float64 // share of its answers
-	slow  float64 // share of its answers that take eight times as long
-	late  int     // answers before it fails or is slow
+	failureRate float64
+	slowRate    float64 // share of its responses that take eight times as long
+	faultAfter  int     // responses before the first that may fail or be slow
 }
 
-func (v version) answer(r *rand.Rand, n int) Tally {
+// respond returns the tally of response n, counted from 0.
+func (v version) respond(r *rand.Rand, n int) Tally {
 	t := Tally{Answers: 1, Took: time.Duration((20 + 200*r.ExpFloat64()) * float64(time.Millisecond))}
-	if n < v.late {
+	if n < v.faultAfter {
 		return t
 	}
-	if r.Float64() < v.slow {
+	if r.Float64() < v.slowRate {
 		t.Took *= 8
 	}
-	if r.Float64() < v.fails {
+	if r.Float64() < v.failureRate {
 		t.Bad = 1
 	}
 	return t
 }
 
-// simulate has both versions answer requests of two routes, a share of them the new one,
-// and returns the number of the request after which the new one was found bad, -1 when
-// it never was.
-func simulate(r *rand.Rand, old, fresh version, requests int) int {
+// simulate sends requests of two routes to both versions, with the canary share to the
+// candidate, and returns the number of the request after which a regression was found, -1 if
+// none was.
+func simulate(r *rand.Rand, old, candidate version, requests int) int {
 	e := Evidence{}
 	for n := range requests {
 		route := "a"
@@ -44,82 +45,83 @@
 		}
 		v := e[route]
 		if r.Float64() < Share(0.1) {
-			v.New.add(fresh.answer(r, v.New.Answers))
+			v.New.add(candidate.respond(r, v.New.Answers))
 		} else {
-			v.Old.add(old.answer(r, v.Old.Answers))
+			v.Old.add(old.respond(r, v.Old.Answers))
 		}
 		e[route] = v
-		if e.bad() != "" {
+		if e.regression() != "" {
 			return n
 		}
 	}
 	return -1
 }
 
-// TestGoodVersions: one that fails as the old one does is seldom taken for a bad one,
-// though it is judged after each answer.
+// TestGoodVersions guards against rejecting versions that fail as often as the old one, which
+// repeated evaluation after each response makes likely with an ordinary test.
 func TestGoodVersions(t *testing.T) {
-	for name, v := range map[string]version{"never fails": {}, "fails a little": {fails: 0.02}, "fails often": {fails: 0.14}} {
+	for name, v := range map[string]version{"never fails": {}, "fails rarely": {failureRate: 0.02}, "fails often": {failureRate: 0.14}} {
 		t.Run(name, func(t *testing.T) {
-			alarms := 0
+			falseAlarms := 0
 			for seed := range 400 {
 				if simulate(rand.New(rand.NewPCG(uint64(seed), 1)), v, v, 3000) >= 0 {
-					alarms++
+					falseAlarms++
 				}
 			}
-			if alarms > 4 {
-				t.Errorf("%d of 400 good versions were found bad", alarms)
+			if falseAlarms > 4 {
+				t.Errorf("%d of 400 good versions were rejected", falseAlarms)
 			}
 		})
 	}
 }
 
-// TestBadVersions: one that fails half of its answers, or is slow with them, is found
-// bad long before it has given 50 bad answers.
+// TestBadVersions guards against finding a version too late that fails or delays half of its
+// responses: it must be found long before 50 bad responses.
 func TestBadVersions(t *testing.T) {
-	for name, c := range map[string]struct{ old, fresh version }{
-		"fails":                          {version{}, version{fails: 0.5}},
-		"fails beside one that does too": {version{fails: 0.14}, version{fails: 0.57}},
-		"is slow":                        {version{}, version{slow: 0.5}},
-		"fails later":                    {version{}, version{fails: 0.5, late: 30}},
+	for name, c := range map[string]struct{ old, candidate version }{
+		"fails": {version{}, version{failureRate: 0.5}},
+		"fails more often than an unreliable one": {version{failureRate: 0.14}, version{failureRate: 0.57}},
+		"is slow":     {version{}, version{slowRate: 0.5}},
+		"fails later": {version{}, version{failureRate: 0.5, faultAfter: 30}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			late := 0
+			foundLate := 0
 			for seed := range 200 {
-				n := simulate(rand.New(rand.NewPCG(uint64(seed), 2)), c.old, c.fresh, 4000)
-				got := float64(n)*Share(0.1) - float64(2*c.fresh.late)
-				if n < 0 || got > 80 {
-					late++
+				n := simulate(rand.New(rand.NewPCG(uint64(seed), 2)), c.old, c.candidate, 4000)
+				responses := float64(n)*Share(0.1) - float64(2*c.candidate.faultAfter)
+				if n < 0 || responses > 80 {
+					foundLate++
 				}
 			}
-			if late > 6 {
-				t.Errorf("%d of 200 were found late or never", late)
+			if foundLate > 6 {
+				t.Errorf("%d of 200 versions were found late or never", foundLate)
 			}
 		})
 	}
 }
 
-// TestExposure: over any number of processes and restarts, a version on trial gets no
-// more than the bound, without anybody's account.
+// TestExposure guards against a canary that gets more requests than the bound, over any
+// number of processes and restarts, although no process counts them.
 func TestExposure(t *testing.T) {
 	const bound, slack = 0.1, 50
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		requests := rapid.IntRange(1, 20000).Draw(t, "requests")
-		got := 0
+		canaryRequests := 0
 		for range requests {
 			if r.Float64() < Share(bound) {
-				got++
+				canaryRequests++
 			}
 		}
-		if float64(got) > bound*float64(requests)+slack {
-			t.Fatalf("%d of %d", got, requests)
+		if float64(canaryRequests) > bound*float64(requests)+slack {
+			t.Fatalf("%d of %d requests went to the canary", canaryRequests, requests)
 		}
 	})
 }
 
+// TestPhases guards against each wrong transition between phases.
 func TestPhases(t *testing.T) {
-	const whole = 16 * time.Second
+	const timeLimit = 16 * time.Second
 	good := Evidence{"a": {Old: Tally{Answers: 500, Took: 50 * time.Second}, New: Tally{Answers: 30, Took: 3 * time.Second}}}
 	failing := Evidence{"a": {Old: Tally{Answers: 500}, New: Tally{Answers: 20, Bad: 10}}}
 	oneRoute := Evidence{"a": good["a"], "b": {Old: Tally{Answers: 50}, New: Tally{Answers: 12, Bad: 6}}}
@@ -128,30 +130,30 @@
 		s    Situation
 		want Phase
 	}{
-		{"an order that is new", Situation{Phase: Unknown, Time: whole}, Trial},
-		{"on trial", Situation{Phase: Trial, Age: 8 * time.Second, Time: whole, Evidence: good}, Trial},
-		{"nothing bad for long enough", Situation{Phase: Trial, Age: 9 * time.Second, Time: whole, Evidence: good}, Moving},
-		{"failures", Situation{Phase: Trial, Age: 2 * time.Second, Time: whole, Evidence: failing}, RolledBack},
-		{"failures on one route", Situation{Phase: Trial, Age: 2 * time.Second, Time: whole, Evidence: oneRoute}, RolledBack},
-		{"failures once it gets all", Situation{Phase: Moving, Age: 10 * time.Second, Time: whole, Evidence: failing}, RolledBack},
-		{"no answer though there are requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: whole, Evidence: Evidence{"a": {Old: Tally{Answers: 300}}}}, RolledBack},
-		{"no requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: whole}, Moving},
-		{"requests run at old targets", Situation{Phase: Moving, Moved: 3 * time.Second, AtOld: 2, Age: 12 * time.Second, Time: whole, Evidence: good}, Moving},
-		{"none run there any more", Situation{Phase: Moving, Moved: 3 * time.Second, Age: 12 * time.Second, Time: whole, Evidence: good}, Completed},
-		{"none run there yet", Situation{Phase: Moving, Moved: time.Millisecond, Age: 12 * time.Second, Time: whole, Evidence: good}, Moving},
-		{"the time is over", Situation{Phase: Moving, Moved: time.Second, AtOld: 2, Age: whole - time.Millisecond, Time: whole, Evidence: good}, Completed},
-		{"completed", Situation{Phase: Completed, Age: whole, Time: whole, Evidence: failing}, Completed},
+		{"new rollout", Situation{Phase: Unknown, Time: timeLimit}, Trial},
+		{"canary, time not over", Situation{Phase: Trial, Age: 8 * time.Second, Time: timeLimit, Evidence: good}, Trial},
+		{"no regression for long enough", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit, Evidence: good}, Moving},
+		{"failures", Situation{Phase: Trial, Age: 2 * time.Second, Time: timeLimit, Evidence: failing}, RolledBack},
+		{"failures on one route", Situation{Phase: Trial, Age: 2 * time.Second, Time: timeLimit, Evidence: oneRoute}, RolledBack},
+		{"failures while it gets all requests", Situation{Phase: Moving, Age: 10 * time.Second, Time: timeLimit, Evidence: failing}, RolledBack},
+		{"no response although there are requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit, Evidence: Evidence{"a": {Old: Tally{Answers: 300}}}}, RolledBack},
+		{"no requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit}, Moving},
+		{"requests run at old targets", Situation{Phase: Moving, Moved: 3 * time.Second, AtOld: 2, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Moving},
+		{"no requests run at old targets", Situation{Phase: Moving, Moved: 3 * time.Second, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Completed},
+		{"no requests run at old targets, too early", Situation{Phase: Moving, Moved: time.Millisecond, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Moving},
+		{"time limit reached", Situation{Phase: Moving, Moved: time.Second, AtOld: 2, Age: timeLimit - time.Millisecond, Time: timeLimit, Evidence: good}, Completed},
+		{"completed", Situation{Phase: Completed, Age: timeLimit, Time: timeLimit, Evidence: failing}, Completed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, why := c.s.Next(); got != c.want {
-				t.Errorf("phase %d (%s), not %d", got, why, c.want)
+			if got, reason := c.s.Next(); got != c.want {
+				t.Errorf("phase is %d (%s), want %d", got, reason, c.want)
 			}
 		})
 	}
 }
 
-// TestJoin: whatever order phases are heard in, they never go back, and the first final
-// one stays.
+// TestJoin guards against a phase that goes back, or a final one that changes, when phases
+// are received in any order.
 func TestJoin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Unknown
@@ -159,7 +161,7 @@
 			before := p
 			p = p.Join(Phase(rapid.IntRange(int(Unknown), int(RolledBack)).Draw(t, "heard")))
 			if p < before || (before.Final() && p != before) {
-				t.Fatalf("%d after %d", p, before)
+				t.Fatalf("phase %d follows %d", p, before)
 			}
 		}
 	})
