--- a/internal/state/advisory/book.go
+++ b/internal/state/advisory/book.go
@@ -31,8 +31,8 @@
 	return l.Named != old.Named || math.Abs(l.Rate-old.Rate) > notifyThreshold*old.Rate
 }
 
-// Status is what a target has announced about further requests. Its fields are written out
-// under their Go names in the state that operators read.
+// Status is what a target has announced about further requests. The state that operators
+// read as JSON has its fields, and those of Limit, under their Go names.
 type Status struct {
 	Leaving bool
 	Limit   Limit
@@ -42,9 +42,9 @@
 	PauseHeard  time.Time
 }
 
-// rationed reports whether there is a limit, a limit that ended less than limitEndReportTime
+// restricted reports whether there is a limit, a limit that ended less than limitEndReportTime
 // ago, or a pause.
-func (s *Status) rationed(now time.Time) bool {
+func (s *Status) restricted(now time.Time) bool {
 	return s.Limit.Named || now.Sub(s.Limit.Heard) < limitEndReportTime || s.PausedUntil.After(now)
 }
 
@@ -59,9 +59,9 @@
 // Book stores the advisories of targets by incarnation. It is safe for concurrent use.
 type Book struct {
 	entries sync.Map // hookhall.Life to *entry
-	// rationed is the number of entries with a limit or a pause. While it is 0, a lookup
+	// restrictedCount is the number of entries with a limit or a pause. While it is 0, a lookup
 	// costs a single atomic load.
-	rationed atomic.Int64
+	restrictedCount atomic.Int64
 }
 
 // entry is the state of one incarnation of a target.
@@ -71,51 +71,51 @@
 	// shared is the limit that peers know.
 	shared Limit
 	bucket bucket
-	// rationed is set while Book.rationed counts the entry.
-	rationed bool
+	// restricted is set while Book.restrictedCount counts the entry.
+	restricted bool
 }
 
 // find returns the entry of an incarnation, or nil.
-func (b *Book) find(incarnation hookhall.Life) *entry {
-	if e, ok := b.entries.Load(incarnation); ok {
+func (r *Book) find(incarnation hookhall.Life) *entry {
+	if e, ok := r.entries.Load(incarnation); ok {
 		return e.(*entry)
 	}
 	return nil
 }
 
-// findRationed returns the entry of an incarnation if it may have a limit or a pause, or nil.
-func (b *Book) findRationed(incarnation hookhall.Life) *entry {
-	if b.Idle() {
+// findRestricted returns the entry of an incarnation if it may have a limit or a pause, or nil.
+func (r *Book) findRestricted(incarnation hookhall.Life) *entry {
+	if r.Idle() {
 		return nil
 	}
-	return b.find(incarnation)
+	return r.find(incarnation)
 }
 
-func (b *Book) findOrAdd(incarnation hookhall.Life) *entry {
-	e, _ := b.entries.LoadOrStore(incarnation, &entry{})
+func (r *Book) findOrAdd(incarnation hookhall.Life) *entry {
+	e, _ := r.entries.LoadOrStore(incarnation, &entry{})
 	return e.(*entry)
 }
 
-// count updates the number of rationed entries. e.mu must be held.
-func (b *Book) count(e *entry, rationed bool) {
-	if e.rationed == rationed {
+// setRestricted sets whether Book.restrictedCount counts an entry. e.mu must be held.
+func (r *Book) setRestricted(e *entry, isRestricted bool) {
+	if e.restricted == isRestricted {
 		return
 	}
-	e.rationed = rationed
-	if rationed {
-		b.rationed.Add(1)
+	e.restricted = isRestricted
+	if isRestricted {
+		r.restrictedCount.Add(1)
 	} else {
-		b.rationed.Add(-1)
+		r.restrictedCount.Add(-1)
 	}
 }
 
 // Record applies the advisory of a response that was received at now to a call sent at
 // sent.
-func (b *Book) Record(incarnation hookhall.Life, a hookhall.Advisory, sent, now time.Time) Change {
-	if a == (hookhall.Advisory{}) && b.find(incarnation) == nil {
+func (r *Book) Record(incarnation hookhall.Life, a hookhall.Advisory, sent, now time.Time) Change {
+	if a == (hookhall.Advisory{}) && r.find(incarnation) == nil {
 		return Change{}
 	}
-	e := b.findOrAdd(incarnation)
+	e := r.findOrAdd(incarnation)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change := Change{Before: e.status}
@@ -134,27 +134,27 @@
 		e.shared = s.Limit
 		change.Notify = true
 	}
-	b.count(e, s.rationed(now))
+	r.setRestricted(e, s.restricted(now))
 	change.After = e.status
 	return change
 }
 
 // Merge applies a peer's report. Of two limits, the one that was received last wins.
-func (b *Book) Merge(r Report, now time.Time) Change {
-	incarnation := r.Target.Life()
-	if !r.Limit.Named && !r.Leaving && b.find(incarnation) == nil {
+func (r *Book) Merge(report Report, now time.Time) Change {
+	incarnation := report.Target.Life()
+	if !report.Limit.Named && !report.Leaving && r.find(incarnation) == nil {
 		return Change{}
 	}
-	e := b.findOrAdd(incarnation)
+	e := r.findOrAdd(incarnation)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	change := Change{Before: e.status, Notify: r.Leaving && !e.status.Leaving}
-	e.status.Leaving = e.status.Leaving || r.Leaving
-	if r.Limit.Heard.After(e.status.Limit.Heard) {
-		change.Notify = change.Notify || r.Limit.differs(e.shared)
-		e.status.Limit, e.shared = r.Limit, r.Limit
+	change := Change{Before: e.status, Notify: report.Leaving && !e.status.Leaving}
+	e.status.Leaving = e.status.Leaving || report.Leaving
+	if report.Limit.Heard.After(e.status.Limit.Heard) {
+		change.Notify = change.Notify || report.Limit.differs(e.shared)
+		e.status.Limit, e.shared = report.Limit, report.Limit
 	}
-	b.count(e, e.status.rationed(now))
+	r.setRestricted(e, e.status.restricted(now))
 	change.After = e.status
 	return change
 }
@@ -167,22 +167,22 @@
 // requested at most maxRestartDetectionDelay ago, since the new incarnation may have
 // requested it before it was known here. Limits and leaving are not copied, since each
 // response announces them again.
-func (b *Book) Reborn(previous, current hookhall.Life, now time.Time) {
-	old := b.Status(previous)
+func (r *Book) Reborn(previous, current hookhall.Life, now time.Time) {
+	old := r.Status(previous)
 	if !old.PausedUntil.After(now) || now.Sub(old.PauseHeard) > maxRestartDetectionDelay {
 		return
 	}
-	e := b.findOrAdd(current)
+	e := r.findOrAdd(current)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.status.PausedUntil = later(e.status.PausedUntil, old.PausedUntil)
 	e.status.PauseHeard = later(e.status.PauseHeard, old.PauseHeard)
-	b.count(e, e.status.rationed(now))
+	r.setRestricted(e, e.status.restricted(now))
 }
 
 // Status returns what an incarnation of a target has announced, or the zero Status.
-func (b *Book) Status(incarnation hookhall.Life) Status {
-	e := b.find(incarnation)
+func (r *Book) Status(incarnation hookhall.Life) Status {
+	e := r.find(incarnation)
 	if e == nil {
 		return Status{}
 	}
@@ -193,15 +193,15 @@
 
 // Keep removes the entries of incarnations for which isCurrent returns false, and entries
 // that neither restrict requests nor say that the target is leaving.
-func (b *Book) Keep(isCurrent func(incarnation hookhall.Life) bool, now time.Time) {
-	b.entries.Range(func(k, v any) bool {
+func (r *Book) Keep(isCurrent func(incarnation hookhall.Life) bool, now time.Time) {
+	r.entries.Range(func(k, v any) bool {
 		e := v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		live := isCurrent(k.(hookhall.Life))
-		b.count(e, live && e.status.rationed(now))
-		if !live || !(e.rationed || e.status.Leaving) {
-			b.entries.Delete(k)
+		r.setRestricted(e, live && e.status.restricted(now))
+		if !live || !(e.restricted || e.status.Leaving) {
+			r.entries.Delete(k)
 		}
 		return true
 	})
@@ -209,7 +209,7 @@
 
 // Idle reports whether no target has a limit or a pause, or had a limit until a short while
 // ago.
-func (b *Book) Idle() bool { return b.rationed.Load() == 0 }
+func (r *Book) Idle() bool { return r.restrictedCount.Load() == 0 }
 
 // later returns the later of two times.
 func later(a, b time.Time) time.Time {
--- a/internal/state/advisory/book_test.go
+++ b/internal/state/advisory/book_test.go
@@ -24,9 +24,9 @@
 
 // checkLimit fails unless the limit of an incarnation has the rate, or there is no limit if
 // rate is negative.
-func checkLimit(t *testing.T, b *advisory.Book, incarnation hookhall.Life, rate float64) {
+func checkLimit(t *testing.T, r *advisory.Book, incarnation hookhall.Life, rate float64) {
 	t.Helper()
-	got := b.Status(incarnation).Limit
+	got := r.Status(incarnation).Limit
 	if got.Named != (rate >= 0) || (got.Named && got.Rate != rate) {
 		t.Errorf("limit is %+v, want rate %g", got, rate)
 	}
@@ -36,34 +36,34 @@
 // was sent before the limit was announced. Such a response can arrive last.
 func TestLimitEnds(t *testing.T) {
 	t.Run("response to a later call ends it", func(t *testing.T) {
-		b := &advisory.Book{}
-		b.Record(currentIncarnation, limited(2), at(0), at(time.Second))
-		checkLimit(t, b, currentIncarnation, 2)
-		b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(2*time.Second))
-		checkLimit(t, b, currentIncarnation, -1)
+		r := &advisory.Book{}
+		r.Record(currentIncarnation, limited(2), at(0), at(time.Second))
+		checkLimit(t, r, currentIncarnation, 2)
+		r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(2*time.Second))
+		checkLimit(t, r, currentIncarnation, -1)
 	})
 	t.Run("response to an earlier call does not", func(t *testing.T) {
-		b := &advisory.Book{}
-		b.Record(currentIncarnation, limited(2), at(0), at(time.Second))
-		b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Millisecond), at(2*time.Second))
-		checkLimit(t, b, currentIncarnation, 2)
+		r := &advisory.Book{}
+		r.Record(currentIncarnation, limited(2), at(0), at(time.Second))
+		r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Millisecond), at(2*time.Second))
+		checkLimit(t, r, currentIncarnation, 2)
 	})
 	t.Run("ends with the incarnation that announced it", func(t *testing.T) {
-		b := &advisory.Book{}
-		b.Record(currentIncarnation, limited(2), at(0), at(0))
-		checkLimit(t, b, hookhall.Life{ID: "target", Born: 2}, -1)
-		b.Keep(func(hookhall.Life) bool { return false }, at(0))
-		checkLimit(t, b, currentIncarnation, -1)
+		r := &advisory.Book{}
+		r.Record(currentIncarnation, limited(2), at(0), at(0))
+		checkLimit(t, r, hookhall.Life{ID: "target", Born: 2}, -1)
+		r.Keep(func(hookhall.Life) bool { return false }, at(0))
+		checkLimit(t, r, currentIncarnation, -1)
 	})
 }
 
 // TestPauseIsNotShortened guards against a shorter pause that replaces a longer one.
 func TestPauseIsNotShortened(t *testing.T) {
-	b := &advisory.Book{}
-	b.Record(currentIncarnation, hookhall.Advisory{Pause: 3 * time.Second}, at(0), at(0))
-	b.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(time.Second))
-	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
-	if got := b.Status(currentIncarnation).PausedUntil; !got.Equal(at(3 * time.Second)) {
+	r := &advisory.Book{}
+	r.Record(currentIncarnation, hookhall.Advisory{Pause: 3 * time.Second}, at(0), at(0))
+	r.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(time.Second))
+	r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
+	if got := r.Status(currentIncarnation).PausedUntil; !got.Equal(at(3 * time.Second)) {
 		t.Errorf("pause ends %v after the start, want 3s", got.Sub(start))
 	}
 }
@@ -71,16 +71,16 @@
 // TestLeavingIsFinal guards against a target that is used again although it was leaving: it
 // stays so for the rest of its incarnation, but not in the next one.
 func TestLeavingIsFinal(t *testing.T) {
-	b := &advisory.Book{}
-	b.Record(currentIncarnation, hookhall.Advisory{Leaving: true}, at(0), at(0))
-	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
-	if !b.Status(currentIncarnation).Leaving {
+	r := &advisory.Book{}
+	r.Record(currentIncarnation, hookhall.Advisory{Leaving: true}, at(0), at(0))
+	r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Second), at(time.Second))
+	if !r.Status(currentIncarnation).Leaving {
 		t.Error("target is no longer leaving")
 	}
-	if c := b.Merge(advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Born: currentIncarnation.Born}, Leaving: true}, at(time.Second)); c.Notify {
+	if c := r.Merge(advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Born: currentIncarnation.Born}, Leaving: true}, at(time.Second)); c.Notify {
 		t.Error("peers are notified twice of the same status")
 	}
-	if b.Status(hookhall.Life{ID: currentIncarnation.ID, Born: 2}).Leaving {
+	if r.Status(hookhall.Life{ID: currentIncarnation.ID, Born: 2}).Leaving {
 		t.Error("next incarnation is leaving")
 	}
 }
@@ -90,31 +90,31 @@
 func TestKeep(t *testing.T) {
 	live := func(hookhall.Life) bool { return true }
 	other := hookhall.Life{ID: "other"}
-	b := &advisory.Book{}
+	r := &advisory.Book{}
 	check := func(situation string, idle bool) {
 		t.Helper()
-		if b.Idle() != idle {
+		if r.Idle() != idle {
 			t.Errorf("%s: idle is %v", situation, !idle)
 		}
 	}
-	b.Record(other, hookhall.Advisory{Leaving: true}, at(0), at(0))
+	r.Record(other, hookhall.Advisory{Leaving: true}, at(0), at(0))
 	check("one target is leaving", true)
-	b.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(0))
+	r.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(0))
 	check("one target is paused", false)
-	b.Keep(live, at(2*time.Second))
+	r.Keep(live, at(2*time.Second))
 	check("the pause has ended", true)
-	b.Record(currentIncarnation, limited(1), at(0), at(0))
-	b.Keep(live, at(time.Hour))
+	r.Record(currentIncarnation, limited(1), at(0), at(0))
+	r.Keep(live, at(time.Hour))
 	check("one target is limited", false)
-	b.Record(currentIncarnation, hookhall.Advisory{}, at(time.Hour), at(time.Hour))
+	r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Hour), at(time.Hour))
 	check("the limit has just ended", false)
-	b.Keep(live, at(2*time.Hour))
+	r.Keep(live, at(2*time.Hour))
 	check("the limit ended long ago", true)
-	if !b.Status(other).Leaving {
+	if !r.Status(other).Leaving {
 		t.Error("entry of a target that is leaving was removed")
 	}
-	b.Keep(func(hookhall.Life) bool { return false }, at(2*time.Hour))
-	if b.Status(other).Leaving {
+	r.Keep(func(hookhall.Life) bool { return false }, at(2*time.Hour))
+	if r.Status(other).Leaving {
 		t.Error("entry of an ended incarnation was kept")
 	}
 }
@@ -129,10 +129,10 @@
 		kept          bool
 	}{"a moment before": {300 * time.Millisecond, true}, "long before": {30 * time.Second, false}} {
 		t.Run(name, func(t *testing.T) {
-			b := &advisory.Book{}
-			b.Record(currentIncarnation, hookhall.Advisory{Leaving: true, Pause: time.Minute}, at(0), at(0))
-			b.Reborn(currentIncarnation, next, at(c.detectedAfter))
-			got := b.Status(next)
+			r := &advisory.Book{}
+			r.Record(currentIncarnation, hookhall.Advisory{Leaving: true, Pause: time.Minute}, at(0), at(0))
+			r.Reborn(currentIncarnation, next, at(c.detectedAfter))
+			got := r.Status(next)
 			if paused := got.PausedUntil.After(at(c.detectedAfter)); paused != c.kept {
 				t.Errorf("new incarnation is paused: %v", paused)
 			}
--- a/internal/state/advisory/rate.go
+++ b/internal/state/advisory/rate.go
@@ -62,7 +62,7 @@
 // Due returns the time until an incarnation of a target may get another request: 0 for
 // now, Never if this instance may not grant it any.
 func (g Grants) Due(incarnation hookhall.Life, now time.Time) time.Duration {
-	e := g.Book.findRationed(incarnation)
+	e := g.Book.findRestricted(incarnation)
 	if e == nil {
 		return 0
 	}
@@ -74,7 +74,7 @@
 // Reserve takes the next token of an incarnation of a target if it is due within maxWait.
 // It returns how long the request has to wait, and whether the token was taken.
 func (g Grants) Reserve(incarnation hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool) {
-	e := g.Book.findRationed(incarnation)
+	e := g.Book.findRestricted(incarnation)
 	if e == nil {
 		return 0, true
 	}
--- a/internal/state/advisory/rate_test.go
+++ b/internal/state/advisory/rate_test.go
@@ -43,11 +43,11 @@
 	return advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Born: currentIncarnation.Born}, Limit: l}
 }
 
-// newLimitedBook returns the book of one instance with a limit that all instances know.
-func newLimitedBook(rate float64) *advisory.Book {
-	b := &advisory.Book{}
-	b.Merge(reportOf(advisory.Limit{Named: true, Rate: rate, Heard: start}), start)
-	return b
+// newLimitedRegistry returns the registry of one instance with a limit that all instances know.
+func newLimitedRegistry(rate float64) *advisory.Book {
+	r := &advisory.Book{}
+	r.Merge(reportOf(advisory.Limit{Named: true, Rate: rate, Heard: start}), start)
+	return r
 }
 
 // TestGrantsOverOwnersInSeries guards against exceeding a limit while its owner changes.
@@ -57,15 +57,15 @@
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0, 0.1, 0.25, 1, 2.5, 10, 60}).Draw(r, "rate")
 		owners := rapid.IntRange(1, 3).Draw(r, "owners")
-		books := make([]*advisory.Book, owners)
-		for i := range books {
-			books[i] = newLimitedBook(rate)
+		registries := make([]*advisory.Book, owners)
+		for i := range registries {
+			registries[i] = newLimitedRegistry(rate)
 		}
-		standIn := newLimitedBook(rate)
+		standIn := newLimitedRegistry(rate)
 		owner, changedAt := 0, start
 		var grants []time.Time
-		reserve := func(b *advisory.Book, share float64, now time.Time) {
-			g := advisory.Grants{Book: b, Share: share}
+		reserve := func(registry *advisory.Book, share float64, now time.Time) {
+			g := advisory.Grants{Book: registry, Share: share}
 			for range 3 {
 				if _, ok := g.Reserve(currentIncarnation, 0, now); ok {
 					grants = append(grants, now)
@@ -79,9 +79,9 @@
 					owner, changedAt = rapid.IntRange(0, owners-1).Draw(r, "owner"), now
 				}
 			case 1: // the owner is killed and replaced by a new process
-				books[owner] = newLimitedBook(rate)
+				registries[owner] = newLimitedRegistry(rate)
 			}
-			reserve(books[owner], 1, now)
+			reserve(registries[owner], 1, now)
 			reserve(standIn, 0.25, now)
 		}
 		checkWindows(r, grants, rate)
@@ -91,7 +91,7 @@
 // TestGrantsUseTheRate guards against a rate that is not used up by steady demand.
 func TestGrantsUseTheRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 4} {
-		g, n := advisory.Grants{Book: newLimitedBook(rate), Share: 1}, 0
+		g, n := advisory.Grants{Book: newLimitedRegistry(rate), Share: 1}, 0
 		for now := start; now.Before(at(20 * time.Second)); now = now.Add(step) {
 			if _, ok := g.Reserve(currentIncarnation, 0, now); ok {
 				n++
@@ -107,7 +107,7 @@
 // tokens one after the other; one that would have to wait too long takes none and gets the
 // time until the next one.
 func TestReservations(t *testing.T) {
-	g := advisory.Grants{Book: newLimitedBook(2), Share: 1}
+	g := advisory.Grants{Book: newLimitedRegistry(2), Share: 1}
 	g.Due(currentIncarnation, at(0)) // starts to fill the bucket
 	for i, want := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 		if wait, ok := g.Reserve(currentIncarnation, 2*time.Second, at(0)); !ok || wait != want {
@@ -125,7 +125,7 @@
 // TestGrantsOfNoShare guards against an instance without a share that grants requests to
 // limited targets, or that refuses them to others.
 func TestGrantsOfNoShare(t *testing.T) {
-	g := advisory.Grants{Book: newLimitedBook(100)}
+	g := advisory.Grants{Book: newLimitedRegistry(100)}
 	if wait, ok := g.Reserve(currentIncarnation, time.Hour, at(time.Hour)); ok || wait != advisory.Never {
 		t.Errorf("limited target is due after %v, %v", wait, ok)
 	}
@@ -137,34 +137,34 @@
 // TestMerge guards against an old report that replaces a more recent limit, and against
 // notifying peers of what they already know.
 func TestMerge(t *testing.T) {
-	b := &advisory.Book{}
+	r := &advisory.Book{}
 	check := func(situation string, c advisory.Change, notify bool, rate float64) {
 		t.Helper()
 		if c.Notify != notify {
 			t.Errorf("%s: notify is %v", situation, c.Notify)
 		}
-		checkLimit(t, b, currentIncarnation, rate)
+		checkLimit(t, r, currentIncarnation, rate)
 	}
-	check("first report", b.Merge(reportOf(advisory.Limit{Named: true, Rate: 2, Heard: at(time.Second)}), at(10*time.Second)), true, 2)
-	check("same limit again", b.Merge(reportOf(advisory.Limit{Named: true, Rate: 2, Heard: at(2 * time.Second)}), at(10*time.Second)), false, 2)
-	check("older report", b.Merge(reportOf(advisory.Limit{Named: true, Rate: 9, Heard: at(time.Second)}), at(10*time.Second)), false, 2)
-	check("own response, slightly lower", b.Record(currentIncarnation, limited(1.9), at(3*time.Second), at(3*time.Second)), false, 1.9)
-	check("own response, much lower", b.Record(currentIncarnation, limited(1), at(4*time.Second), at(4*time.Second)), true, 1)
-	check("report of the end", b.Merge(reportOf(advisory.Limit{Heard: at(5 * time.Second)}), at(10*time.Second)), true, -1)
+	check("first report", r.Merge(reportOf(advisory.Limit{Named: true, Rate: 2, Heard: at(time.Second)}), at(10*time.Second)), true, 2)
+	check("same limit again", r.Merge(reportOf(advisory.Limit{Named: true, Rate: 2, Heard: at(2 * time.Second)}), at(10*time.Second)), false, 2)
+	check("older report", r.Merge(reportOf(advisory.Limit{Named: true, Rate: 9, Heard: at(time.Second)}), at(10*time.Second)), false, 2)
+	check("own response, slightly lower", r.Record(currentIncarnation, limited(1.9), at(3*time.Second), at(3*time.Second)), false, 1.9)
+	check("own response, much lower", r.Record(currentIncarnation, limited(1), at(4*time.Second), at(4*time.Second)), true, 1)
+	check("report of the end", r.Merge(reportOf(advisory.Limit{Heard: at(5 * time.Second)}), at(10*time.Second)), true, -1)
 }
 
 // BenchmarkChoice measures the cost of a choice among 620 targets while one is limited.
 func BenchmarkChoice(b *testing.B) {
-	book := newLimitedBook(1)
-	g := advisory.Grants{Book: book, Share: 1}
+	registry := newLimitedRegistry(1)
+	g := advisory.Grants{Book: registry, Share: 1}
 	targets := make([]hookhall.Target, 620)
 	for i := range targets {
 		targets[i] = hookhall.Target{ID: fmt.Sprintf("%04d", i), Born: 1}
 	}
-	book.Record(targets[7].Life(), hookhall.Advisory{Pause: time.Hour}, start, start)
+	registry.Record(targets[7].Life(), hookhall.Advisory{Pause: time.Hour}, start, start)
 	for b.Loop() {
-		book.Reports(targets, start)
-		book.Paused(targets, start)
+		registry.Reports(targets, start)
+		registry.Paused(targets, start)
 		for _, t := range targets {
 			g.Due(t.Life(), start)
 		}
--- a/internal/state/advisory/report.go
+++ b/internal/state/advisory/report.go
@@ -23,9 +23,9 @@
 
 // All returns reports of all targets that are leaving or limited, in no particular order.
 // Only ID and Born are set in their targets.
-func (b *Book) All() []Report {
+func (r *Book) All() []Report {
 	var reports []Report
-	b.entries.Range(func(k, v any) bool {
+	r.entries.Range(func(k, v any) bool {
 		incarnation, e := k.(hookhall.Life), v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -39,27 +39,27 @@
 
 // Rationed returns those of the targets that may have a limit or a pause, in no particular
 // order. The targets must be sorted by ID.
-func (b *Book) Rationed(targets []hookhall.Target) []hookhall.Target {
-	if b.Idle() {
+func (r *Book) Rationed(targets []hookhall.Target) []hookhall.Target {
+	if r.Idle() {
 		return nil
 	}
-	var rationed []hookhall.Target
-	b.entries.Range(func(k, _ any) bool {
+	var restricted []hookhall.Target
+	r.entries.Range(func(k, _ any) bool {
 		incarnation := k.(hookhall.Life)
 		i, found := slices.BinarySearchFunc(targets, incarnation.ID, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
 		if found && targets[i].Life() == incarnation {
-			rationed = append(rationed, targets[i])
+			restricted = append(restricted, targets[i])
 		}
 		return true
 	})
-	return rationed
+	return restricted
 }
 
 // Reports returns the limits of the targets that hold or ended less than limitEndReportTime
 // ago, and whether any holds. The targets must be sorted by ID.
-func (b *Book) Reports(targets []hookhall.Target, now time.Time) (reports []Report, limited bool) {
-	for _, t := range b.Rationed(targets) {
-		limit := b.Status(t.Life()).Limit
+func (r *Book) Reports(targets []hookhall.Target, now time.Time) (reports []Report, limited bool) {
+	for _, t := range r.Rationed(targets) {
+		limit := r.Status(t.Life()).Limit
 		if limit.Named || now.Sub(limit.Heard) < limitEndReportTime {
 			reports = append(reports, Report{Target: t, Limit: limit})
 		}
@@ -71,9 +71,9 @@
 // Paused returns the IDs of those targets whose requested pause for this instance has not
 // ended, and the time until the first of these pauses ends. It returns nil and 0 if there
 // are none. The targets must be sorted by ID.
-func (b *Book) Paused(targets []hookhall.Target, now time.Time) (pausedIDs map[string]bool, firstEnd time.Duration) {
-	for _, t := range b.Rationed(targets) {
-		remaining := b.Status(t.Life()).PausedUntil.Sub(now)
+func (r *Book) Paused(targets []hookhall.Target, now time.Time) (pausedIDs map[string]bool, firstEnd time.Duration) {
+	for _, t := range r.Rationed(targets) {
+		remaining := r.Status(t.Life()).PausedUntil.Sub(now)
 		if remaining <= 0 {
 			continue
 		}
--- a/internal/state/budget/budget.go
+++ b/internal/state/budget/budget.go
@@ -46,9 +46,9 @@
 	// refusals and kills, 0.8 scored 0.0029 +- 0.0018 higher than 0.5 (66 paired days on
 	// three deployments).
 	burstShare = 0.8
-	// sharersRefreshInterval is the minimum time between two look-ups of the processes that
+	// positionRefreshInterval is the minimum time between two look-ups of the processes that
 	// share the slack, so that they don't happen on every request.
-	sharersRefreshInterval = 100 * time.Millisecond
+	positionRefreshInterval = 100 * time.Millisecond
 )
 
 // Limits are the bounds on retries that operators configure.
@@ -61,14 +61,14 @@
 // Budget counts the requests and retries of this process for each service. It is safe for
 // concurrent use.
 type Budget struct {
-	limits     Limits
-	getSharers func(now time.Time) quota.Sharers
-	startedAt  time.Time // start of the process
+	limits      Limits
+	getPosition func(now time.Time) quota.Sharers
+	startedAt   time.Time // start of the process
 
 	mu               sync.Mutex
 	bucketsByService map[string]*bucket
-	sharers          quota.Sharers
-	sharersAt        time.Time // when sharers was refreshed
+	position         quota.Sharers
+	positionAt       time.Time // when position was refreshed
 }
 
 // bucket holds the retries that a process may still send to one service.
@@ -78,10 +78,11 @@
 	fullCount uint64    // additions that left the bucket full
 }
 
-// New returns an empty Budget of a process that started at startedAt. getSharers returns the
-// processes that share the slack; it is called with the Budget locked.
-func New(l Limits, getSharers func(now time.Time) quota.Sharers, startedAt time.Time) *Budget {
-	return &Budget{limits: l, getSharers: getSharers, startedAt: startedAt, bucketsByService: map[string]*bucket{}}
+// New returns an empty Budget of a process that started at startedAt. getPosition returns the
+// position of this process among those that share the slack. It is called with the Budget
+// locked.
+func New(l Limits, getPosition func(now time.Time) quota.Sharers, startedAt time.Time) *Budget {
+	return &Budget{limits: l, getPosition: getPosition, startedAt: startedAt, bucketsByService: map[string]*bucket{}}
 }
 
 // bucket returns a service's bucket, with tokens added for the time until now. b.mu must be
@@ -92,7 +93,7 @@
 		u = &bucket{updatedAt: b.startedAt}
 		b.bucketsByService[service] = u
 	}
-	b.refreshSharers(now)
+	b.refreshPosition(now)
 	capacity, rate := b.slackPart()
 	if elapsed := now.Sub(u.updatedAt); elapsed > 0 {
 		u.add(rate*elapsed.Seconds(), capacity)
@@ -101,11 +102,11 @@
 	return u
 }
 
-// refreshSharers updates the processes that share the slack if the last update is at least
-// sharersRefreshInterval old. b.mu must be held.
-func (b *Budget) refreshSharers(now time.Time) {
-	if age := now.Sub(b.sharersAt); age >= sharersRefreshInterval || age < 0 {
-		b.sharers, b.sharersAt = b.getSharers(now), now
+// refreshPosition updates position if the last update is at least positionRefreshInterval
+// old. b.mu must be held.
+func (b *Budget) refreshPosition(now time.Time) {
+	if age := now.Sub(b.positionAt); age >= positionRefreshInterval || age < 0 {
+		b.position, b.positionAt = b.getPosition(now), now
 	}
 }
 
@@ -121,13 +122,13 @@
 // slackPart returns how many tokens of the slack a bucket of this process holds, and how
 // many time adds per second. b.mu must be held.
 func (b *Budget) slackPart() (capacity, rate float64) {
-	if b.sharers.Count < 1 {
-		return b.capacityWithoutSharers(), 0
+	if b.position.Count < 1 {
+		return b.capacityWithoutPosition(), 0
 	}
-	share := b.limits.Slack / float64(b.sharers.Count)
+	share := b.limits.Slack / float64(b.position.Count)
 	if share < 1 {
 		// A fraction of a retry can't be spent, so that the first processes get a whole one.
-		if float64(b.sharers.Place) < math.Floor(b.limits.Slack) {
+		if float64(b.position.Place) < math.Floor(b.limits.Slack) {
 			return 1, 0
 		}
 		return 0, 0
@@ -136,10 +137,10 @@
 	return capacity, (share - capacity) / b.limits.Window.Seconds()
 }
 
-// capacityWithoutSharers returns the capacity of a bucket while the number of processes is
+// capacityWithoutPosition returns the capacity of a bucket while the number of processes is
 // not known: one retry, for which only requests add tokens. Each process has at least that
 // much of the slack if there are no more processes than the slack has retries.
-func (b *Budget) capacityWithoutSharers() float64 { return min(1, math.Floor(b.limits.Slack)) }
+func (b *Budget) capacityWithoutPosition() float64 { return min(1, math.Floor(b.limits.Slack)) }
 
 // Request counts a request for a service.
 func (b *Budget) Request(service string, now time.Time) {
@@ -167,7 +168,7 @@
 	defer b.mu.Unlock()
 	u := b.bucket(service, now)
 	capacity, _ := b.slackPart()
-	a := Account{Held: u.tokens, Most: capacity, Sharers: b.sharers.Count, Age: now.Sub(b.startedAt), fullCount: u.fullCount}
+	a := Account{Held: u.tokens, Most: capacity, Sharers: b.position.Count, Age: now.Sub(b.startedAt), fullCount: u.fullCount}
 	if a.Granted = u.tokens >= 1; a.Granted {
 		u.tokens--
 	}
@@ -200,8 +201,8 @@
 	for service := range b.bucketsByService {
 		s.Held[service] = b.bucket(service, now).tokens
 	}
-	b.refreshSharers(now)
-	s.Sharers = b.sharers.Count
+	b.refreshPosition(now)
+	s.Sharers = b.position.Count
 	s.Most, _ = b.slackPart()
 	return s
 }
--- a/internal/state/budget/budget_test.go
+++ b/internal/state/budget/budget_test.go
@@ -81,12 +81,12 @@
 		})
 	})
 	Convey("Given more processes than the slack has whole retries, only the first ones have one", t, func() {
-		for place := range 5 {
-			b := New(Limits{Ratio: 0.2, Window: window, Slack: 3.5}, func(time.Time) quota.Sharers { return quota.Sharers{Count: 5, Place: place} }, start)
+		for index := range 5 {
+			b := New(Limits{Ratio: 0.2, Window: window, Slack: 3.5}, func(time.Time) quota.Sharers { return quota.Sharers{Count: 5, Place: index} }, start)
 			for range 100 {
 				b.Request("s", start)
 			}
-			So(b.Spend("s", start).Granted, ShouldEqual, place < 3)
+			So(b.Spend("s", start).Granted, ShouldEqual, index < 3)
 			So(b.Spend("s", start).Granted, ShouldBeFalse)
 		}
 	})
@@ -171,8 +171,8 @@
 		ratio  = 0.2
 	)
 	type pendingRetry struct {
-		account Account
-		due     time.Time
+		decision Account
+		due      time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1000, 0)
@@ -198,7 +198,7 @@
 			for _, p := range pending {
 				if p.due.After(now) {
 					remaining = append(remaining, p)
-				} else if b.Renew("s", p.account, now) {
+				} else if b.Renew("s", p.decision, now) {
 					sent = append(sent, now)
 				}
 			}
--- a/internal/state/quota/quota.go
+++ b/internal/state/quota/quota.go
@@ -28,13 +28,13 @@
 
 // Part returns how many units of a limit this process may hold for a key. It is 0 if the
 // position is unknown.
-func (s Sharers) Part(limit int, key string) int {
-	if s.Count < 1 || limit < 1 || s.Place < 0 {
+func (p Sharers) Part(limit int, key string) int {
+	if p.Count < 1 || limit < 1 || p.Place < 0 {
 		return 0
 	}
-	part, remainder := limit/s.Count, limit%s.Count
-	offset := int(xxhash.Sum64String(key) % uint64(s.Count))
-	if (s.Place+offset)%s.Count < remainder {
+	part, remainder := limit/p.Count, limit%p.Count
+	offset := int(xxhash.Sum64String(key) % uint64(p.Count))
+	if (p.Place+offset)%p.Count < remainder {
 		part++
 	}
 	return part
--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -62,9 +62,9 @@
 // TestPartOfUnknownPosition guards against a process that holds units although it does not
 // know its position, so that the parts of all would exceed the limit.
 func TestPartOfUnknownPosition(t *testing.T) {
-	for name, s := range map[string]Sharers{"unknown number of processes": {}, "process not listed": {Count: 5, Place: -1}} {
+	for name, p := range map[string]Sharers{"unknown number of processes": {}, "process not listed": {Count: 5, Place: -1}} {
 		t.Run(name, func(t *testing.T) {
-			if n := s.Part(100, "target"); n != 0 {
+			if n := p.Part(100, "target"); n != 0 {
 				t.Errorf("part is %d, want 0", n)
 			}
 		})
--- a/internal/state/rollout/phase.go
+++ b/internal/state/rollout/phase.go
@@ -67,14 +67,14 @@
 	// boundShare is the expected part of the bound on the share of a canary, so that random
 	// variation may double the share without exceeding the bound.
 	boundShare = 0.5
-	// trialTimeShare is the part of a Rollout's time for which the new version is a canary.
+	// canaryTimeShare is the part of a Rollout's time for which the new version is a canary.
 	// Some versions fail only after seconds, and the rest of the time has to suffice for the
 	// requests that still run at old targets.
-	trialTimeShare = 0.55
-	// minMovingTime is how long all requests go to the new version before the Rollout may be
+	canaryTimeShare = 0.55
+	// minDrainingTime is how long all requests go to the new version before the Rollout may be
 	// completed, even if none runs at old targets, since gateways learn of a phase at
 	// slightly different times.
-	minMovingTime = time.Second
+	minDrainingTime = time.Second
 	// completionMargin is how long before its time limit a Rollout is completed even if
 	// requests still run at old targets.
 	completionMargin = 700 * time.Millisecond
@@ -108,32 +108,33 @@
 
 // Next returns the phase that follows, and why. It returns the present phase and "" if
 // nothing changes.
-func (s Situation) Next() (Phase, string) {
-	if s.Phase.Final() {
-		return s.Phase, ""
+func (p Situation) Next() (Phase, string) {
+	if p.Phase.Final() {
+		return p.Phase, ""
 	}
-	if reason := s.Evidence.regression(); reason != "" {
+	if reason := p.Evidence.regression(); reason != "" {
 		return RolledBack, reason
 	}
-	switch s.Phase {
+	switch p.Phase {
 	case Unknown:
 		return Trial, "rollout is new"
 	case Trial:
-		return s.endTrial()
+		return p.endCanary()
 	}
-	oldIdle := s.AtOld == 0 && s.Moved >= minMovingTime
-	if oldIdle || s.Age >= s.Time-completionMargin {
+	oldIdle := p.AtOld == 0 && p.Moved >= minDrainingTime
+	if oldIdle || p.Age >= p.Time-completionMargin {
 		return Completed, "new version serves all requests"
 	}
-	return s.Phase, ""
+	return p.Phase, ""
 }
 
-// endTrial returns what follows Trial, and why, once trialTimeShare of the time has passed.
-func (s Situation) endTrial() (Phase, string) {
-	if s.Age < time.Duration(trialTimeShare*float64(s.Time)) {
-		return s.Phase, ""
+// endCanary returns the phase that follows the canary, and why, once canaryTimeShare of the
+// time has passed.
+func (p Situation) endCanary() (Phase, string) {
+	if p.Age < time.Duration(canaryTimeShare*float64(p.Time)) {
+		return p.Phase, ""
 	}
-	total := s.Evidence.total()
+	total := p.Evidence.total()
 	if total.New.Answers == 0 && total.Old.Answers >= minOldResponses {
 		return RolledBack, "new version has not responded"
 	}
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -127,7 +127,7 @@
 	oneRoute := Evidence{"a": good["a"], "b": {Old: Tally{Answers: 50}, New: Tally{Answers: 12, Bad: 6}}}
 	for _, c := range []struct {
 		name string
-		s    Situation
+		p    Situation
 		want Phase
 	}{
 		{"new rollout", Situation{Phase: Unknown, Time: timeLimit}, Trial},
@@ -145,7 +145,7 @@
 		{"completed", Situation{Phase: Completed, Age: timeLimit, Time: timeLimit, Evidence: failing}, Completed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got, reason := c.s.Next(); got != c.want {
+			if got, reason := c.p.Next(); got != c.want {
 				t.Errorf("phase is %d (%s), want %d", got, reason, c.want)
 			}
 		})
