--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package retry paces repeated attempts.
+// Package retry delays repeated attempts by an exponential backoff with jitter.
 //
-// A Pause doubles from First to Most and draws its length at random from the
-// upper half, so that a fleet which lost the platform together does not come
-// back to it together.
+// The delay of a Pause doubles from First to Most. Each wait is drawn at random from the
+// upper half of the delay, so that the processes of a fleet which lost a service at the
+// same time do not all return to it at the same time.
 package retry
 
 import (
@@ -16,43 +16,43 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// Bounds of a default Pause.
+// First and Most are the smallest and the greatest delay of a Pause made by New.
 const (
 	First = 100 * time.Millisecond
 	Most  = 3 * time.Second
 )
 
-// Pause is the time between attempts. It is not safe for concurrent use.
+// Pause is the backoff between attempts. It is not safe for concurrent use.
 type Pause struct {
-	next, first, most time.Duration
+	nextDelay, minDelay, maxDelay time.Duration
 }
 
-// New returns a Pause with the default bounds.
+// New returns a Pause with delays from First to Most.
 func New() *Pause { return Between(First, Most) }
 
-// Between returns a Pause with other bounds.
-func Between(first, most time.Duration) *Pause {
-	return &Pause{next: first, first: first, most: most}
+// Between returns a Pause whose delay starts at minDelay and doubles up to maxDelay.
+func Between(minDelay, maxDelay time.Duration) *Pause {
+	return &Pause{nextDelay: minDelay, minDelay: minDelay, maxDelay: maxDelay}
 }
 
-// Wait sleeps the next pause, or until ctx ends.
-func (p *Pause) Wait(ctx context.Context) {
-	d := p.next/2 + rand.N(p.next/2+1)
-	p.next = min(p.next*2, p.most)
+// Wait sleeps for the next delay, or until ctx ends, and doubles the delay.
+func (b *Pause) Wait(ctx context.Context) {
+	d := b.nextDelay/2 + rand.N(b.nextDelay/2+1)
+	b.nextDelay = min(b.nextDelay*2, b.maxDelay)
 	Sleep(ctx, d)
 }
 
-// Reset begins anew after a success.
-func (p *Pause) Reset() { p.next = p.first }
+// Reset sets the next delay to the minimum. Callers use it after a success.
+func (b *Pause) Reset() { b.nextDelay = b.minDelay }
 
-// Sleep waits for d or the end of ctx, and tells whether d passed. The end of a suspension
-// of the instance ends the wait, too: what is due by then is done at once, and not after
-// what the timer lacks.
+// Sleep waits for d or until ctx ends, and reports whether the wait ended before ctx. The end
+// of a suspension of the instance also ends the wait with true: the timer does not advance
+// while the instance is suspended, so work that fell due meanwhile would be late otherwise.
 func Sleep(ctx context.Context, d time.Duration) bool {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return true
 	case <-clock.Woken():
 		return true
@@ -61,5 +61,5 @@
 	}
 }
 
-// Jitter draws from three quarters to five quarters of d.
+// Jitter returns a random duration from 0.75 d to 1.25 d.
 func Jitter(d time.Duration) time.Duration { return d*3/4 + rand.N(d/2+1) }
