--- a/internal/coordination/eras/eras.go
+++ b/internal/coordination/eras/eras.go
@@ -13,80 +13,84 @@
 	"github.com/pkg/errors"
 )
 
-// errEarlier is the failure of a call whose answer is of an earlier era, or of none.
-var errEarlier = errors.Wrap(hookhall.ErrUnavailable, "the answer is of an earlier era of the store")
+// errEarlierEra is the error of a call whose answer has an earlier era than the latest, or none.
+var errEarlierEra = errors.Wrap(hookhall.ErrUnavailable, "the answer is of an earlier era of the store")
 
-// Meter counts.
+// Meter receives the counts of a Store.
 type Meter interface {
-	// Restored counts a return of the store in a later era.
+	// Restored counts that the store was restored from an older copy and is now in the given era.
 	Restored(era uint64)
 }
 
-// Store is a hookhall.Store before another one.
+// Store is a hookhall.Store that passes calls on to another one and rejects answers of earlier
+// eras. It is safe for concurrent use.
 type Store struct {
 	store hookhall.Store
 	meter Meter
 	log   *log.Logger
 
-	mu      sync.Mutex
-	met     bool   // an answer came
-	latest  uint64 // era
-	refused bool   // an answer of an earlier era was met in this one
+	mu              sync.Mutex
+	hasAnswer       bool   // an answer was received
+	latest          uint64 // latest era received
+	isRefusalLogged bool   // an answer of an earlier era was logged since the latest era began
 }
 
-// New makes a Store before another one.
-func New(s hookhall.Store, m Meter, l *log.Logger) *Store { return &Store{store: s, meter: m, log: l} }
+// New returns a Store that passes calls on to another store.
+func New(store hookhall.Store, meter Meter, logger *log.Logger) *Store {
+	return &Store{store: store, meter: meter, log: logger}
+}
 
-// Era is the latest that an answer told, 0 before any did.
+// Era returns the latest era that an answer had, 0 before the first answer.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.latest
 }
 
-// note takes in the era of an answer, and tells whether the answer counts.
-func (s *Store) note(era uint64) error {
+// checkEra records the era of an answer. It returns errEarlierEra if the answer must not be used.
+func (s *Store) checkEra(era uint64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case !s.met:
-		s.met, s.latest = true, era
+	case !s.hasAnswer:
+		s.hasAnswer, s.latest = true, era
 	case era > s.latest:
-		s.log.Warn("The store came back from an older copy; all is read anew.", "era", era, "before", s.latest)
-		s.latest, s.refused = era, false
+		s.log.Warn("store restored from an older copy; reading everything again", "era", era, "before", s.latest)
+		s.latest, s.isRefusalLogged = era, false
 		s.meter.Restored(era)
 	case era < s.latest:
-		if !s.refused {
-			s.refused = true
-			s.log.Warn("The store answers in an earlier era; such answers don't count.", "era", era, "latest", s.latest)
+		if !s.isRefusalLogged {
+			s.isRefusalLogged = true
+			s.log.Warn("store answered in an earlier era; ignoring such answers", "era", era, "latest", s.latest)
 		}
-		return errEarlier
+		return errEarlierEra
 	}
 	return nil
 }
 
 // Get implements hookhall.Store.
 func (s *Store) Get(ctx context.Context, key string) (hookhall.Item, hookhall.Revision, error) {
-	i, at, err := s.store.Get(ctx, key)
+	item, at, err := s.store.Get(ctx, key)
 	if err == nil {
-		err = s.note(at.Era())
+		err = s.checkEra(at.Era())
 	}
-	return i, at, err
+	return item, at, err
 }
 
 // Range implements hookhall.Store.
 func (s *Store) Range(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
-	return s.list(s.store.Range(ctx, prefix))
+	return s.checkList(s.store.Range(ctx, prefix))
 }
 
 // RangeStale implements hookhall.Store.
 func (s *Store) RangeStale(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
-	return s.list(s.store.RangeStale(ctx, prefix))
+	return s.checkList(s.store.RangeStale(ctx, prefix))
 }
 
-func (s *Store) list(items []hookhall.Item, at hookhall.Revision, err error) ([]hookhall.Item, hookhall.Revision, error) {
+// checkList checks the era of a list. It returns no items with an error.
+func (s *Store) checkList(items []hookhall.Item, at hookhall.Revision, err error) ([]hookhall.Item, hookhall.Revision, error) {
 	if err == nil {
-		err = s.note(at.Era())
+		err = s.checkEra(at.Era())
 	}
 	if err != nil {
 		return nil, 0, err
@@ -94,66 +98,69 @@
 	return items, at, nil
 }
 
-// Watch implements hookhall.Store. What a watch of an earlier era missed is not told.
+// Watch implements hookhall.Store. It returns hookhall.ErrHistoryGone if since belongs to an
+// earlier era, since the changes between the eras can't be listed.
 func (s *Store) Watch(ctx context.Context, prefix string, since hookhall.Revision, wait time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
 	if since.Era() < s.Era() {
 		return nil, since, hookhall.ErrHistoryGone
 	}
 	events, at, err := s.store.Watch(ctx, prefix, since, wait)
 	if err == nil {
-		err = s.note(at.Era())
+		err = s.checkEra(at.Era())
 	}
 	return events, at, err
 }
 
-// Put implements hookhall.Store.
+// Put implements hookhall.Store. It returns hookhall.ErrLeaseGone for a lease of an earlier era.
 func (s *Store) Put(ctx context.Context, key string, value []byte, lease hookhall.Lease) error {
-	if s.over(lease) {
+	if s.isLeaseGone(lease) {
 		return hookhall.ErrLeaseGone
 	}
 	return s.store.Put(ctx, key, value, lease)
 }
 
-// Swap implements hookhall.Store. What a condition of an earlier era was read from may have
-// changed unseen.
+// Swap implements hookhall.Store. It returns hookhall.ErrConflict if was belongs to an earlier
+// era, since the key may have changed unnoticed when the store was restored.
 //
-// TODO: a return of the store that no answer has told of yet is found out by the answer to the
-// write, which is done by then if another process has written the key at the same count.
+// TODO: a restore that no answer has shown yet is only detected in the answer to the write.
+// By then the value is written if another process wrote the key at the same revision count.
 func (s *Store) Swap(ctx context.Context, key string, value []byte, was hookhall.Revision) (hookhall.Revision, error) {
 	if was > 0 && was.Era() < s.Era() {
 		return 0, hookhall.ErrConflict
 	}
 	at, err := s.store.Swap(ctx, key, value, was)
 	if err == nil {
-		err = s.note(at.Era())
+		err = s.checkEra(at.Era())
 	}
 	return at, err
 }
 
 // Grant implements hookhall.Store.
 func (s *Store) Grant(ctx context.Context, ttl time.Duration) (hookhall.Lease, error) {
-	l, err := s.store.Grant(ctx, ttl)
+	lease, err := s.store.Grant(ctx, ttl)
 	if err == nil {
-		err = s.note(l.Era)
+		err = s.checkEra(lease.Era)
 	}
-	return l, err
+	return lease, err
 }
 
-// Renew implements hookhall.Store.
+// Renew implements hookhall.Store. It returns hookhall.ErrLeaseGone for a lease of an earlier era.
 func (s *Store) Renew(ctx context.Context, lease hookhall.Lease) error {
-	if s.over(lease) {
+	if s.isLeaseGone(lease) {
 		return hookhall.ErrLeaseGone
 	}
 	return s.store.Renew(ctx, lease)
 }
 
-// Revoke implements hookhall.Store.
+// Revoke implements hookhall.Store. It does nothing for a lease of an earlier era.
 func (s *Store) Revoke(ctx context.Context, lease hookhall.Lease) error {
-	if s.over(lease) {
+	if s.isLeaseGone(lease) {
 		return nil
 	}
 	return s.store.Revoke(ctx, lease)
 }
 
-// over tells whether a lease ended with its era.
-func (s *Store) over(lease hookhall.Lease) bool { return lease.Number != 0 && lease.Era < s.Era() }
+// isLeaseGone reports whether lease belongs to an earlier era.
+func (s *Store) isLeaseGone(lease hookhall.Lease) bool {
+	return lease.Number != 0 && lease.Era < s.Era()
+}
--- a/internal/coordination/eras/eras_test.go
+++ b/internal/coordination/eras/eras_test.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// fakeStore answers in whatever era it is told.
+// fakeStore answers in the era that the test sets, and counts calls.
 type fakeStore struct {
 	hookhall.Store
 	era   uint64
@@ -44,26 +44,27 @@
 	return nil
 }
 
-// meter counts restores.
+// meter counts restores of the store.
 type meter int
 
 func (m *meter) Restored(uint64) { *m++ }
 
-// TestAnswers: answers of an earlier era than the latest, or of none, are no answers.
-func TestAnswers(t *testing.T) {
+// TestAnswersOfEarlierErasFail guards against the use of outdated answers: an answer of an earlier
+// era than the latest, or without an era, must fail with ErrUnavailable and without items.
+func TestAnswersOfEarlierErasFail(t *testing.T) {
 	for name, c := range map[string]struct {
 		eras     []uint64
 		refused  []bool
 		restores int
 	}{
-		"the first is the baseline":                {[]uint64{5, 5}, []bool{false, false}, 0},
-		"a later one":                              {[]uint64{1, 2, 2}, []bool{false, false, false}, 1},
-		"an answer that was under way":             {[]uint64{1, 2, 1, 2}, []bool{false, false, true, false}, 1},
-		"an answer without one":                    {[]uint64{1, 0, 1}, []bool{false, true, false}, 0},
-		"a store that never tells one":             {[]uint64{0, 0}, []bool{false, false}, 0},
-		"a store that begins to tell one":          {[]uint64{0, 1, 0}, []bool{false, false, true}, 1},
-		"one that goes on by several":              {[]uint64{1, 4, 3, 5}, []bool{false, false, true, false}, 2},
-		"one that goes back for good is not heard": {[]uint64{3, 2, 2, 2}, []bool{false, true, true, true}, 0},
+		"the first era is the baseline":                    {[]uint64{5, 5}, []bool{false, false}, 0},
+		"a later era":                                      {[]uint64{1, 2, 2}, []bool{false, false, false}, 1},
+		"an answer that was under way during the restore":  {[]uint64{1, 2, 1, 2}, []bool{false, false, true, false}, 1},
+		"an answer without an era":                         {[]uint64{1, 0, 1}, []bool{false, true, false}, 0},
+		"a store that never reports an era":                {[]uint64{0, 0}, []bool{false, false}, 0},
+		"a store that begins to report an era":             {[]uint64{0, 1, 0}, []bool{false, false, true}, 1},
+		"an era that increases by more than one":           {[]uint64{1, 4, 3, 5}, []bool{false, false, true, false}, 2},
+		"a store that stays in an earlier era is rejected": {[]uint64{3, 2, 2, 2}, []bool{false, true, true, true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var m meter
@@ -77,14 +78,15 @@
 				}
 			}
 			if int(m) != c.restores {
-				t.Errorf("%d restores, not %d", m, c.restores)
+				t.Errorf("%d restores counted, want %d", m, c.restores)
 			}
 		})
 	}
 }
 
-// TestWhatEndsWithAnEra: leases and watches of an earlier era are over without a call.
-func TestWhatEndsWithAnEra(t *testing.T) {
+// TestLeasesAndWatchesEndWithEra guards against calls with leases and watches of an earlier era,
+// whose numbers may belong to another process: they must end without a call of the store.
+func TestLeasesAndWatchesEndWithEra(t *testing.T) {
 	var m meter
 	store := &fakeStore{era: 1}
 	s := New(store, &m, log.New(io.Discard))
@@ -97,7 +99,7 @@
 		t.Fatal(err)
 	}
 	if err := s.Renew(t.Context(), lease); err != nil {
-		t.Errorf("a lease of this era: %v", err)
+		t.Errorf("Renew with a lease of this era: %v", err)
 	}
 	store.era = 2
 	if _, _, err := s.Range(t.Context(), ""); err != nil {
@@ -105,21 +107,21 @@
 	}
 	store.calls = 0
 	if err := s.Renew(t.Context(), lease); !errors.Is(err, hookhall.ErrLeaseGone) {
-		t.Errorf("renewed: %v", err)
+		t.Errorf("Renew with a lease of an earlier era: %v", err)
 	}
 	if err := s.Put(t.Context(), "k", nil, lease); !errors.Is(err, hookhall.ErrLeaseGone) {
-		t.Errorf("put: %v", err)
+		t.Errorf("Put with a lease of an earlier era: %v", err)
 	}
 	if err := s.Revoke(t.Context(), lease); err != nil {
-		t.Errorf("ended: %v", err)
+		t.Errorf("Revoke of a lease of an earlier era: %v", err)
 	}
 	if _, _, err := s.Watch(t.Context(), "", at, time.Second); !errors.Is(err, hookhall.ErrHistoryGone) {
-		t.Errorf("watched: %v", err)
+		t.Errorf("Watch since an earlier era: %v", err)
 	}
 	if store.calls != 0 {
-		t.Errorf("%d calls were made", store.calls)
+		t.Errorf("%d calls of the store were made", store.calls)
 	}
 	if err := s.Put(t.Context(), "k", nil, hookhall.Lease{}); err != nil {
-		t.Errorf("put without a lease: %v", err)
+		t.Errorf("Put without a lease: %v", err)
 	}
 }
