--- a/internal/coordination/eras/eras.go
+++ b/internal/coordination/eras/eras.go
@@ -35,10 +35,8 @@
 	isRefusalLogged bool   // an answer of an earlier era was logged since the latest era began
 }
 
-// New returns a Store that passes calls on to another store.
-func New(store hookhall.Store, meter Meter, logger *log.Logger) *Store {
-	return &Store{store: store, meter: meter, log: logger}
-}
+// New returns a Store that passes calls on to s, reports restores to m and logs to l.
+func New(s hookhall.Store, m Meter, l *log.Logger) *Store { return &Store{store: s, meter: m, log: l} }
 
 // Era returns the latest era that an answer had, 0 before the first answer.
 func (s *Store) Era() uint64 {
@@ -113,7 +111,7 @@
 
 // Put implements hookhall.Store. It returns hookhall.ErrLeaseGone for a lease of an earlier era.
 func (s *Store) Put(ctx context.Context, key string, value []byte, lease hookhall.Lease) error {
-	if s.isLeaseGone(lease) {
+	if s.isGone(lease) {
 		return hookhall.ErrLeaseGone
 	}
 	return s.store.Put(ctx, key, value, lease)
@@ -146,7 +144,7 @@
 
 // Renew implements hookhall.Store. It returns hookhall.ErrLeaseGone for a lease of an earlier era.
 func (s *Store) Renew(ctx context.Context, lease hookhall.Lease) error {
-	if s.isLeaseGone(lease) {
+	if s.isGone(lease) {
 		return hookhall.ErrLeaseGone
 	}
 	return s.store.Renew(ctx, lease)
@@ -154,13 +152,11 @@
 
 // Revoke implements hookhall.Store. It does nothing for a lease of an earlier era.
 func (s *Store) Revoke(ctx context.Context, lease hookhall.Lease) error {
-	if s.isLeaseGone(lease) {
+	if s.isGone(lease) {
 		return nil
 	}
 	return s.store.Revoke(ctx, lease)
 }
 
-// isLeaseGone reports whether lease belongs to an earlier era.
-func (s *Store) isLeaseGone(lease hookhall.Lease) bool {
-	return lease.Number != 0 && lease.Era < s.Era()
-}
+// isGone reports whether lease belongs to an earlier era.
+func (s *Store) isGone(lease hookhall.Lease) bool { return lease.Number != 0 && lease.Era < s.Era() }
--- a/internal/coordination/forward/attempt.go
+++ b/internal/coordination/forward/attempt.go
@@ -18,106 +18,108 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// attempt is one send with what became of it.
+// attempt is one attempt to have a target answer the request, with its outcome.
 type attempt struct {
 	reply  *hookhall.Reply
 	use    *balance.Use
 	placed placement.Placement
-	// counted is set while the target's service moves to another version.
-	counted *rollouts.Use
-	err     *hookhall.Error
-	began   time.Time
-	// unread is set once the client has held up the answer: what was sent before the target
-	// broke it off may arrive long after that.
+	// rolloutUse counts the attempt for a rollout, nil if no rollout includes the target.
+	rolloutUse *rollouts.Use
+	err        *hookhall.Error
+	began      time.Time
+	// unread is set once the client has stalled the stream for unreadTimeLimit: the target may
+	// break it off then, which the gateway may notice long afterwards.
 	unread bool
 }
 
-// read counts the prompt as read: the answer has begun.
-func (a *attempt) read() {
+// recordRead records that the answer has begun, so that the target has read the prompt.
+func (a *attempt) recordRead() {
 	a.use.Read()
-	took := clock.Since(a.began)
-	a.use.Succeeded(took)
-	a.counted.Answered(took, false)
+	duration := clock.Since(a.began)
+	a.use.Succeeded(duration)
+	a.rolloutUse.Answered(duration, false)
 	a.placed.Tell(placement.Read)
 }
 
-// failed counts a failure of the target; hard when it was silent or could not be
-// reached.
-func (a *attempt) failed(hard bool) {
+// recordFailure records a failure of the target. hard means that it could not be reached or did
+// not answer.
+func (a *attempt) recordFailure(hard bool) {
 	a.use.Failed(hard, clock.Now())
 	if hard {
 		a.placed.Tell(placement.Failed)
 	}
 }
 
-// end counts the attempt's end.
-func (a *attempt) end() {
+// recordEnd records the end of the attempt.
+func (a *attempt) recordEnd() {
 	a.use.End()
-	a.counted.End()
+	a.rolloutUse.End()
 	a.placed.Tell(placement.Ended)
 }
 
-// close ends an attempt whose answer is not used.
+// close closes the reply, if there is one, and records the end of the attempt.
 func (a *attempt) close() {
 	if a.reply != nil {
 		_ = a.reply.Body.Close()
 	}
-	a.end()
+	a.recordEnd()
 }
 
-// choose finds the next target, or says why there is none. What is held against the
-// request's content counts as of the end of the choice, which may wait for a placer.
-func (r *request) choose(ctx context.Context) (hookhall.Target, *hookhall.Error) {
+// chooseTarget returns the next target, or the reason why there is none. It checks the crashes
+// of the request content after pickTarget, too, since pickTarget may wait for a placement
+// owner and crashes may be reported meanwhile.
+func (r *request) chooseTarget(ctx context.Context) (hookhall.Target, *hookhall.Error) {
 	for {
-		if e := r.shunCrashing(); e != nil {
-			return hookhall.Target{}, e
+		if refusal := r.excludeCrashing(); refusal != nil {
+			return hookhall.Target{}, refusal
 		}
-		t, none := r.pick(ctx)
-		if none != nil || !r.Quarantine.Standing(r.digest).RefusedBy(t.Software()) {
-			return t, none
+		target, failure := r.pickTarget(ctx)
+		if failure != nil || !r.Quarantine.Standing(r.contentDigest).RefusedBy(target.Software()) {
+			return target, failure
 		}
 		r.placed.Tell(placement.Ended)
 	}
 }
 
-// pick finds the next target. Engines, and targets of services in which some name a rate
-// limit, are chosen by their placer, if it answers.
-func (r *request) pick(ctx context.Context) (hookhall.Target, *hookhall.Error) {
-	r.wish.Slack = max(clock.Until(r.aim), 0)
+// pickTarget returns the next target, or the reason why there is none. Engines, cold targets,
+// and targets of services of which some have a rate limit, are chosen by the service's
+// placement owner, if it answers; otherwise this process chooses.
+func (r *request) pickTarget(ctx context.Context) (hookhall.Target, *hookhall.Error) {
+	r.wish.Slack = max(clock.Until(r.firstByteDue), 0)
 	r.placed = placement.Placement{}
 	for {
-		r.wish.Versions = r.Rollouts.Versions(r.service, r.sends == 0)
+		r.wish.Versions = r.Rollouts.Versions(r.service, r.attempts == 0)
 		targets := r.Catalog.Targets(r.service)
 		pauseLeft := r.exclude(targets)
 		limits, limited := r.Advisories.Reports(targets, clock.Now())
 		r.wish.Limiter = nil
 		if limited {
-			// Only the placer grants the rates of limited targets.
+			// Only the placement owner grants the rates of limited targets.
 			r.wish.Limiter = advisory.Grants{Book: r.Advisories}
 		}
 		if r.wish.Engine || limited || allCold(targets, clock.Now()) {
-			if t, ok := r.place(ctx, limits); ok {
-				return t, nil
+			if target, ok := r.requestPlacement(ctx, limits); ok {
+				return target, nil
 			}
-			targets = r.Catalog.Targets(r.service) // some may have left meanwhile
+			targets = r.Catalog.Targets(r.service) // the list may have changed during the call
 			pauseLeft = r.exclude(targets)
 		}
 		if ctx.Err() != nil {
 			return hookhall.Target{}, hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "the client has gone before a target was chosen")
 		}
-		if t, ok := r.Tracker.Choose(targets, r.wish, clock.Now()); ok {
-			return t, nil
+		if target, ok := r.Tracker.Choose(targets, r.wish, clock.Now()); ok {
+			return target, nil
 		}
-		// Cold targets have had their most for this second.
-		if !allCold(targets, clock.Now()) || clock.Now().After(r.aim) || !retry.Sleep(ctx, coldPause) {
-			e := hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "no target of %s is left to try", r.service)
-			return hookhall.Target{}, e.After(retryAfter(r.placed.RetryAfter, pauseLeft))
+		// All targets are cold and have got their limit of requests for this second.
+		if !allCold(targets, clock.Now()) || clock.Now().After(r.firstByteDue) || !retry.Sleep(ctx, coldTargetPollInterval) {
+			failure := hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "no target of %s is left to try", r.service)
+			return hookhall.Target{}, failure.After(retryAfter(r.placed.RetryAfter, pauseLeft))
 		}
 	}
 }
 
-// exclude keeps the request from targets that had it and from those that pause. It returns
-// how long it takes until the first pause ends, 0 if none pauses.
+// exclude excludes the targets in r.tried and those that asked for a pause. It returns the time
+// until the first pause ends, 0 if none pauses.
 func (r *request) exclude(targets []hookhall.Target) (pauseLeft time.Duration) {
 	paused, pauseLeft := r.Advisories.Paused(targets, clock.Now())
 	r.wish.Exclude = r.tried
@@ -128,130 +130,133 @@
 	return pauseLeft
 }
 
-// retryAfter returns when a client should come back whose request found no target: at the
-// turn that limited targets have next, or when a pause ends. Targets that pause do so for
-// this instance alone, and a client that comes back reaches another one.
-func retryAfter(turn, pauseLeft time.Duration) time.Duration {
-	if turn > 0 || pauseLeft <= 0 {
-		return turn
+// retryAfter returns the delay after which a client should retry whose request found no target:
+// when a limited target is due next, or when a pause ends. A pause holds for this instance
+// only, and a retry may reach another one, so that delay is at most defaultRetryAfter.
+func retryAfter(nextDue, pauseLeft time.Duration) time.Duration {
+	if nextDue > 0 || pauseLeft <= 0 {
+		return nextDue
 	}
-	return min(pauseLeft, comeBack)
+	return min(pauseLeft, defaultRetryAfter)
 }
 
-// grantTime is how long a placement of a limited target may be used after its turn. One
-// that is used late would add to the requests of another window.
-const grantTime = 250 * time.Millisecond
+// grantTimeLimit is how long a placement at a limited target may be used after its due time. A
+// later request would count against the target's limit in another window.
+const grantTimeLimit = 250 * time.Millisecond
 
-// sleepUntil waits until a time or the end of ctx.
+// sleepUntil waits until t or the end of ctx.
 func (r *request) sleepUntil(ctx context.Context, t time.Time) {
 	for left := clock.Until(t); left > 0 && ctx.Err() == nil; left = clock.Until(t) {
 		retry.Sleep(ctx, left)
 	}
 }
 
-// place asks the placer for a target, and waits for the request's turn there.
-func (r *request) place(ctx context.Context, limits []advisory.Report) (hookhall.Target, bool) {
-	asked := clock.Now()
+// requestPlacement asks the placement owner for a target and waits until the target is due. It
+// returns false if there is none, or if the target may not be used any more.
+func (r *request) requestPlacement(ctx context.Context, limits []advisory.Report) (hookhall.Target, bool) {
+	askedAt := clock.Now()
 	r.placed = r.Placement.Place(ctx, r.service, r.wish, limits)
 	if r.placed.Wait > 0 {
 		r.limitWait += r.placed.Wait
-		r.sleepUntil(ctx, asked.Add(r.placed.Wait))
+		r.sleepUntil(ctx, askedAt.Add(r.placed.Wait))
 	}
-	late := ctx.Err() != nil || clock.Since(asked) > r.placed.Wait+grantTime
+	expired := ctx.Err() != nil || clock.Since(askedAt) > r.placed.Wait+grantTimeLimit
 	targets := r.Catalog.Targets(r.service)
 	r.exclude(targets)
-	for _, t := range targets {
-		if t.ID != r.placed.Target || !r.wish.Allow(t) || r.wish.Exclude[t.ID] {
+	for _, target := range targets {
+		if target.ID != r.placed.Target || !r.wish.Allow(target) || r.wish.Exclude[target.ID] {
 			continue
 		}
-		if late && (r.placed.Wait > 0 || r.Advisories.Status(t.Life()).Limit.Named) {
+		if expired && (r.placed.Wait > 0 || r.Advisories.Status(target.Life()).Limit.Named) {
 			break
 		}
-		return t, true
+		return target, true
 	}
-	r.placed.Tell(placement.Ended) // this process does not know it or may not use it now
+	r.placed.Tell(placement.Ended) // this process does not know the target, or may not use it now
 	r.placed = placement.Placement{Choice: placement.Choice{RetryAfter: r.placed.RetryAfter}}
 	return hookhall.Target{}, false
 }
 
-// allCold tells whether there are targets, all of them cold.
+// allCold reports whether there are targets and all of them are cold.
 func allCold(targets []hookhall.Target, now time.Time) bool {
 	return len(targets) > 0 && !slices.ContainsFunc(targets, func(t hookhall.Target) bool { return !t.Cold(now) })
 }
 
-// send offers the request to t. A refusal by the target is an error.
-func (r *request) send(ctx context.Context, t hookhall.Target, after string) *attempt {
+// send sends the request to target. after is the id of the last event that the client has, ""
+// if there is none. A refusal by the target is an error of the attempt.
+func (r *request) send(ctx context.Context, target hookhall.Target, after string) *attempt {
 	now := clock.Now()
-	a := &attempt{use: r.Tracker.Begin(t, r.wish, now), placed: r.placed, counted: r.Rollouts.Begin(r.route.Name, t), began: now}
+	a := &attempt{use: r.Tracker.Begin(target, r.wish, now), placed: r.placed, rolloutUse: r.Rollouts.Begin(r.route.Name, target), began: now}
 	if ctx.Err() != nil {
 		a.err = hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "not sent: %v", ctx.Err())
-		a.end()
+		a.recordEnd()
 		return a
 	}
-	if !r.renewed(now) {
+	if !r.renewRetry(now) {
 		a.err = hookhall.Errorf(hookhall.NotRun, hookhall.CauseRefused, "the repeat was granted too long ago")
-		a.end()
+		a.recordEnd()
 		return a
 	}
-	r.sends++
-	r.target = t
-	defer r.releaseEarly()()
+	r.attempts++
+	r.target = target
+	defer r.scheduleRelease()()
 	reply, err := r.Sender.Send(ctx, r.call, hookhall.Attempt{
-		Target: t, Account: r.accountName(), Left: clock.Until(r.end), Urgency: r.urgency(), Inputs: r.results.Handles(),
+		Target: target, Account: r.accountName(), Left: clock.Until(r.deadline), Urgency: r.urgency(), Inputs: r.results.Handles(),
 		Once: !r.route.Repeatable(), After: after,
 	})
 	if err != nil {
 		a.err = hookhall.AsError(err)
 		if ctx.Err() == nil {
-			a.failed(true)
+			a.recordFailure(true)
 		}
-		a.end()
+		a.recordEnd()
 		return a
 	}
 	a.reply = reply
 	r.status = reply.Status
 	if reply.Info.NotRun {
-		a.err = r.refused(a)
+		a.err = r.recordRefusal(a)
 		a.close()
 		a.reply = nil
 	}
 	return a
 }
 
-// renewed tells whether a send may go out now: the first one may, and a repeat that is
-// still within the budget.
-func (r *request) renewed(now time.Time) bool {
-	if r.granted.IsZero() {
+// renewRetry reports whether an attempt may be sent now: if it is the first one, or a retry that
+// the budget still allows.
+func (r *request) renewRetry(now time.Time) bool {
+	if r.retryGrantedAt.IsZero() {
 		return true
 	}
-	r.repeatWait = max(r.repeatWait, now.Sub(r.granted))
-	r.granted = time.Time{}
-	return r.Budget.Renew(r.service, r.budget, now)
+	r.retryWait = max(r.retryWait, now.Sub(r.retryGrantedAt))
+	r.retryGrantedAt = time.Time{}
+	return r.Budget.Renew(r.service, r.retryAccount, now)
 }
 
-// releaseEarly releases the results of stages once the target should have read
-// them, which is long before a long prompt is answered: others wait for their
-// room. The function that it returns ends that.
-func (r *request) releaseEarly() (stop func()) {
+// scheduleRelease releases the results of stages after the time in which the target should have
+// read them. The answer to a long prompt begins much later, and other requests need the
+// memory. The returned function cancels the release.
+func (r *request) scheduleRelease() (stop func()) {
 	if len(r.results.Handles()) == 0 {
 		return func() {}
 	}
-	t := time.AfterFunc(r.reading.time(), r.results.Release)
-	return func() { t.Stop() }
+	timer := time.AfterFunc(r.readTime.duration(), r.results.Release)
+	return func() { timer.Stop() }
 }
 
-// refused reads a target's word that it did not run the request.
-func (r *request) refused(a *attempt) *hookhall.Error {
-	m := a.reply.Info
+// recordRefusal records a reply that says that the target did not run the request, and returns
+// it as an error.
+func (r *request) recordRefusal(a *attempt) *hookhall.Error {
+	info := a.reply.Info
 	now := clock.Now()
 	switch {
-	case m.Misdirected:
-		a.failed(true)
+	case info.Misdirected:
+		a.recordFailure(true)
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseMisdirected, "another target has the address")
-	case m.InputGone:
-		r.lost = true
+	case info.InputGone:
+		r.isResultLost = true
 		if r.results.Released() {
-			r.reading.tooSoon()
+			r.readTime.recordTooShort()
 		}
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseStage, "a result is gone")
 	}
@@ -260,74 +265,75 @@
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseRefused, "the target refused with status %d", a.reply.Status)
 }
 
-// logSend writes a line on a send that did not bring the answer.
-func (r *request) logSend(a *attempt, t hookhall.Target, next string) {
-	r.Log.Warn("A send failed.", "request", r.call.ID, "content", r.digest(), "bytes", len(r.call.Body), "service", r.service, "target", t.ID, "send", r.sends,
+// logFailedAttempt logs an attempt without a usable answer. next says what follows.
+func (r *request) logFailedAttempt(a *attempt, target hookhall.Target, next string) {
+	r.Log.Warn("attempt failed", "request", r.call.ID, "content", r.contentDigest(), "bytes", len(r.call.Body), "service", r.service, "target", target.ID, "send", r.attempts,
 		"took_ms", clock.Since(a.began).Milliseconds(), "verdict", a.err.Verdict.String(), "cause", string(a.err.Cause),
-		"detail", a.err.Detail, "next", next, "repeats_held", r.budget.Held, "repeats_most", r.budget.Most,
-		"sharers", r.budget.Sharers, "process_age_ms", r.budget.Age.Milliseconds())
+		"detail", a.err.Detail, "next", next, "repeats_held", r.retryAccount.Held, "repeats_most", r.retryAccount.Most,
+		"sharers", r.retryAccount.Sharers, "process_age_ms", r.retryAccount.Age.Milliseconds())
 }
 
-// repeat takes a further send out of the retry budget, if there is one left.
-func (r *request) repeat() bool {
+// spendRetry takes a retry out of the service's budget and reports whether there was one.
+func (r *request) spendRetry() bool {
 	now := clock.Now()
-	r.budget = r.Budget.Spend(r.service, now)
-	if !r.budget.Granted {
+	r.retryAccount = r.Budget.Spend(r.service, now)
+	if !r.retryAccount.Granted {
 		return false
 	}
-	r.granted = now
+	r.retryGrantedAt = now
 	r.Meter.Repeated(r.service)
 	return true
 }
 
-// countFailure counts an answer that did not come, or not whole. One that nobody waits for
-// any longer was slow, whatever would have become of it. One that was broken off unread says
-// nothing of its target.
+// countFailure counts a missing or truncated answer for a rollout. After the end of ctx only a
+// missing answer counts, as slow, since its outcome is not known. A stream that was broken
+// off while the client did not read it does not count as a failure of its target.
 func (r *request) countFailure(ctx context.Context, a *attempt) {
 	switch {
 	case a.unread:
 	case ctx.Err() == nil:
-		a.counted.Answered(clock.Since(a.began), true)
+		a.rolloutUse.Answered(clock.Since(a.began), true)
 	case a.reply == nil:
-		a.counted.Unanswered()
+		a.rolloutUse.Unanswered()
 	}
 }
 
-// next decides what follows a failed send: true for another one.
-func (r *request) next(ctx context.Context, a *attempt, t hookhall.Target) bool {
-	if !r.lost {
-		r.tried[t.ID] = true
+// prepareRetry records the failed attempt a at target and reports whether another attempt
+// follows. It takes a retry out of the budget, and pauses if all targets refused the request.
+func (r *request) prepareRetry(ctx context.Context, a *attempt, target hookhall.Target) bool {
+	if !r.isResultLost {
+		r.tried[target.ID] = true
 	}
 	if a.err.Verdict != hookhall.NotRun {
 		r.runs++
 		r.countFailure(ctx, a)
 	}
 	if a.err.Verdict == hookhall.MayHaveRun && ctx.Err() == nil {
-		r.Quarantine.Broke(r.digest(), r.accountName(), t)
+		r.Quarantine.Broke(r.contentDigest(), r.accountName(), target)
 	}
-	why := ""
+	reason := ""
 	switch {
 	case ctx.Err() != nil:
-		why = "no time is left"
+		reason = "no time is left"
 	case a.err.Verdict != hookhall.NotRun && !r.route.Repeatable():
-		why = "it may have run"
+		reason = "it may have run"
 	case r.runs >= r.route.MaxAttempts && r.runs > 0:
-		why = "no attempt is left"
-	case r.lost && r.remade >= mostRemade:
-		why = "its results were lost too often"
-	case r.sends >= mostSends:
-		why = "offered too often"
-	case !r.repeat():
-		why = "the retry budget is spent"
+		reason = "no attempt is left"
+	case r.isResultLost && r.stageReruns >= maxStageReruns:
+		reason = "its results were lost too often"
+	case r.attempts >= maxTotalAttempts:
+		reason = "offered too often"
+	case !r.spendRetry():
+		reason = "the retry budget is spent"
 	}
-	if why != "" {
-		r.logSend(a, t, why)
+	if reason != "" {
+		r.logFailedAttempt(a, target, reason)
 		return false
 	}
-	r.logSend(a, t, "another target")
+	r.logFailedAttempt(a, target, "another target")
 	if a.err.Cause == hookhall.CauseRefused && len(r.tried) >= len(r.Catalog.Targets(r.service)) {
 		clear(r.tried)
-		return retry.Sleep(ctx, fullPause)
+		return retry.Sleep(ctx, allRefusedPause)
 	}
 	return true
 }
--- a/internal/coordination/forward/crashing.go
+++ b/internal/coordination/forward/crashing.go
@@ -11,35 +11,36 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-// digest names the request's content. It is made when it is first needed.
-func (r *request) digest() crashes.Digest {
-	if r.content == (crashes.Digest{}) {
-		r.content = crashes.Sum(r.accountName(), r.call.Host, r.call.URI, r.call.Body)
+// contentDigest returns the digest of the request content. It is computed at the first call.
+func (r *request) contentDigest() crashes.Digest {
+	if r.cachedDigest == (crashes.Digest{}) {
+		r.cachedDigest = crashes.Sum(r.accountName(), r.call.Host, r.call.URI, r.call.Body)
 	}
-	return r.content
+	return r.cachedDigest
 }
 
-// shunCrashing keeps the request from targets that would end by it, and refuses it when
-// all would. A request is judged by its content, whichever gateway it comes to and under
-// whichever id: judged by itself, one that came again and again ended 43 of the engines
-// of a day, 28 of them later than three seconds after its third.
-func (r *request) shunCrashing() *hookhall.Error {
-	s := r.Quarantine.Standing(r.digest)
-	if !s.Refused() {
+// excludeCrashing excludes the targets that the request content would crash, and returns an
+// error if that excludes all of them. Crashes are counted by content, independent of the
+// gateway and the request id: when they were counted by request, a content that clients kept
+// resubmitting crashed 43 engines in one day, 28 of them more than 3 seconds after its third
+// crash.
+func (r *request) excludeCrashing() *hookhall.Error {
+	standing := r.Quarantine.Standing(r.contentDigest)
+	if !standing.Refused() {
 		return nil
 	}
-	left := 0
-	for _, t := range r.Catalog.Targets(r.service) {
-		if s.RefusedBy(t.Software()) {
-			r.tried[t.ID] = true
+	remaining := 0
+	for _, target := range r.Catalog.Targets(r.service) {
+		if standing.RefusedBy(target.Software()) {
+			r.tried[target.ID] = true
 		} else {
-			left++
+			remaining++
 		}
 	}
-	if left > 0 {
+	if remaining > 0 {
 		return nil
 	}
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseCrashes,
 		"%d targets of %s ended while they ran this request, the first %s ago; it is not sent again",
-		s.Ends, r.service, clock.Since(s.Since).Round(time.Second))
+		standing.Ends, r.service, clock.Since(standing.Since).Round(time.Second))
 }
--- a/internal/coordination/forward/doc.go
+++ b/internal/coordination/forward/doc.go
@@ -1,33 +1,32 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package forward passes requests on: it finds the route, has the stages made,
-// chooses the target, sends, judges the answer, and decides whether to try
-// again.
+// Package forward answers requests: it finds the route, runs the stages, chooses a target,
+// sends the request, checks the answer, and decides whether to retry.
 //
 // # Model
 //
-// A request is served by the table that was in force when it came. Its clock is
-// the smaller of what the client waits and what the route allows; when that has
-// run out it gets its final answer. A request is sent to one target; only proof
-// that it has not run allows another send of one that may run once. One that may
-// be repeated is tried elsewhere after any failure, within the route's attempts
-// and the retry budget.
+// A request uses the route table that was in force when it arrived. Its deadline is the
+// smaller of the client's timeout and the route's; when it has passed, the request gets its
+// final answer. An attempt sends the request to one target. A request that may run only once
+// is sent again only if the attempt is proven not to have run. A repeatable request is
+// retried at another target after any failure, within the route's attempts and the retry
+// budget.
 //
-// The results of stages are released as soon as the target should have read them,
-// which is learned, and made again if it had not or if the request goes on
-// elsewhere.
+// The results of stages are released as soon as the target should have read them, after a
+// time that is learned. The stages run again if the target had not read the results, or if
+// the request is sent to a further target after the release.
 //
-// Answers of plain requests are read whole before a byte goes to the client, so
-// that a cut one can be tried again. Streams go on event by event; on a
-// resumable route a stream that broke goes on at another target after the last
-// whole event, within the same answer.
+// Answers of plain requests are read completely before a byte is sent to the client, so that
+// a truncated answer can be retried; answers larger than the memory limit are passed on
+// after their first part. Streams are passed on event by event. On a resumable route a broken
+// stream continues at another target after the last complete event, within the same answer.
 //
 // # Invariants
 //
-//   - An answer is the target's own only if it echoes the request's id, and a
-//     success only if it bears the target's signature and came to its end.
-//   - A refusal as not run is sent only if nothing was sent, or every target
-//     that got the request proved that it did not run it.
-//   - A stream's answer ends cleanly only if a target's did.
+//   - An answer is accepted only if it echoes the request's id, and as a success only if it
+//     has the target's signature and is complete.
+//   - An error with the verdict not-run is returned only if nothing was sent, or if each
+//     target that received the request proved that it did not run it.
+//   - A stream's answer ends cleanly only if a target's answer did.
 package forward
--- a/internal/coordination/forward/forwarder.go
+++ b/internal/coordination/forward/forwarder.go
@@ -26,105 +26,117 @@
 )
 
 const (
-	// defaultWait is how long a client waits that doesn't say.
-	defaultWait = 30 * time.Second
-	// comeBack is when a refused client should come back, unless more is known.
-	comeBack = 300 * time.Millisecond
-	// elsewhere is when a client should come back that this instance leaves because it
-	// stops: at once, since a new connection goes to another instance.
-	elsewhere = 50 * time.Millisecond
-	// outageLeast and outageMost bound when a client should come back that was
-	// refused for want of a table: the store is away, since a gateway reads it in a
-	// few milliseconds otherwise, and outages that short are rare.
-	outageLeast = time.Second
-	outageMost  = 10 * time.Second
-	// outageShare is how long an outage is expected to go on, as a share of how
-	// long it has lasted.
-	outageShare = 2
-	// evacuatedBack is when a client should come back whose request only targets in
-	// evacuated halls could serve: operators take seconds at least to take one back.
-	evacuatedBack = 2 * time.Second
-	// endMargin is taken off the deadline, for the final answer's way.
-	endMargin = 15 * time.Millisecond
-	// accountStep is how many ranks of urgency an account's priority is worth.
-	accountStep = 1
+	// defaultTimeout is the timeout of a request whose client names none.
+	defaultTimeout = 30 * time.Second
+	// defaultRetryAfter is the delay after which a refused client should retry, unless a better
+	// one is known.
+	defaultRetryAfter = 300 * time.Millisecond
+	// stoppingRetryAfter is the delay after which a client should retry that is refused because
+	// this instance stops. It is short, since a new connection reaches another instance.
+	stoppingRetryAfter = 50 * time.Millisecond
+	// minOutageRetryAfter and maxOutageRetryAfter bound the delay after which a client should
+	// retry that is refused because no route table is known. The store is unavailable then, since
+	// a gateway otherwise reads the table within a few milliseconds, and outages shorter than
+	// the minimum are rare.
+	minOutageRetryAfter = time.Second
+	maxOutageRetryAfter = 10 * time.Second
+	// outageRetryFactor is the expected further duration of a store outage, as a multiple of its
+	// duration so far.
+	outageRetryFactor = 2
+	// evacuatedRetryAfter is the delay after which a client should retry whose request only
+	// targets in evacuated halls could serve: operators need at least seconds to readmit a hall.
+	evacuatedRetryAfter = 2 * time.Second
+	// deadlineMargin is subtracted from the deadline, so that the final answer reaches the client
+	// in time.
+	deadlineMargin = 15 * time.Millisecond
+	// accountPriorityWeight is the number of ranks of urgency per step of an account's priority.
+	accountPriorityWeight = 1
 )
 
-// Catalog is what is believed of the platform.
+// Catalog is the known state of the platform: the route table, the targets and the store.
 type Catalog interface {
+	// Table returns the route table in force, nil if none is known yet.
 	Table() *routetable.Table
+	// Targets returns the known targets of a service.
 	Targets(pool string) []hookhall.Target
+	// TargetsAge returns the age of the list of targets.
 	TargetsAge(now time.Time) time.Duration
+	// Silence returns the time since the store last answered this process.
 	Silence(now time.Time) time.Duration
-	// Evacuated tells whether only evacuations keep a service without targets.
+	// Evacuated reports whether a service has targets, but all usable ones are in evacuated halls.
 	Evacuated(pool string) bool
 }
 
-// Stages makes the work before a request.
+// Stages runs the stages of a request.
 type Stages interface {
+	// Run runs the stages of g and returns their results, which the caller must release.
 	Run(ctx context.Context, g stages.Graph) (*stages.Results, error)
 }
 
-// Placement chooses engines for the whole fleet.
+// Placement chooses targets for the requests of all gateways.
 type Placement interface {
+	// Place returns where to send a request. An empty target in it means that the caller
+	// chooses. limits are the rate limits of targets that the caller knows.
 	Place(ctx context.Context, service string, w balance.Wish, limits []advisory.Report) placement.Placement
 }
 
-// Quarantine knows the requests that end the targets which run them.
+// Quarantine records request contents that crash the targets which run them.
 type Quarantine interface {
-	// Standing is what is held against a request's content. The digest is asked for only
-	// when something is held against any.
+	// Standing returns the crashes recorded for a request content. It calls content only if
+	// crashes are recorded for any content, so that the digest is computed only when needed.
 	Standing(content func() crashes.Digest) crashes.Standing
-	// Broke takes in that t's answer to a content broke off.
+	// Broke records that t broke off its answer to a request content of a client account.
 	Broke(content crashes.Digest, account string, t hookhall.Target)
-	// Served takes in that a target gave a whole answer to a content.
+	// Served records that a target answered a request content completely.
 	Served(content func() crashes.Digest)
 }
 
-// Rollouts knows which versions of a service may run a request, and counts what their
-// answers show.
+// Rollouts decides which versions of a service may run a request, and counts the outcomes of
+// canary requests.
 type Rollouts interface {
-	// Versions are those that may run a request; first tells that no target had it yet.
+	// Versions returns the versions of a service that may run a request. first means that no
+	// target received the request yet.
 	Versions(service string, first bool) balance.Versions
-	// Begin counts a request that is sent to a target; nil when no order concerns it.
+	// Begin counts a request that is sent to t. It returns nil if no rollout includes t.
 	Begin(route string, t hookhall.Target) *rollouts.Use
 }
 
-// Meter counts.
+// Meter receives the counts of a Forwarder.
 type Meter interface {
-	// Forwarded counts a request's end; cause is "answered" for a target's answer.
+	// Forwarded counts the end of a request, took after its arrival. cause is "answered" if the
+	// client got a target's answer.
 	Forwarded(route, cause string, verdict hookhall.Verdict, took time.Duration)
-	// Repeated counts a send to a further target.
+	// Repeated counts a retry of a request for a service.
 	Repeated(service string)
 }
 
-// Forwarder passes requests on.
+// Forwarder answers requests. The exported fields are set before the first call of Serve.
 type Forwarder struct {
 	Catalog   Catalog
 	Stages    Stages
 	Sender    hookhall.Sender
 	Placement Placement
-	// Quarantine keeps requests from targets that would end.
+	// Quarantine excludes targets that a request content would crash.
 	Quarantine Quarantine
 	Rollouts   Rollouts
 	Tracker    *balance.Tracker
-	// Advisories has what targets said about further requests.
+	// Advisories holds the rate limits and pauses that targets reported.
 	Advisories *advisory.Book
 	Budget     *budget.Budget
-	// Buffers bounds what is held of answers.
+	// Buffers limits the memory for answers that are read before they are passed on.
 	Buffers *buffer.Budget
-	// ColdShare is how many requests in any second this process may send to a cold
-	// target of a service by its own choice.
+	// ColdShare returns how many requests this process may send to a cold target of a service in
+	// any second without the placement owner.
 	ColdShare func(target string, s *hookhall.Service) int
-	// HallsIn lists the halls of regions.
+	// HallsIn returns the halls of regions.
 	HallsIn func(regions []string) []string
 	Meter   Meter
 	Log     *log.Logger
 
-	reading reading
+	readTime readTimeEstimate
 }
 
-// MaxBody is the operators' bound on bodies, 0 for none.
+// MaxBody returns the operators' limit of request bodies in bytes, 0 if there is none.
 func (f *Forwarder) MaxBody() int {
 	if t := f.Catalog.Table(); t != nil {
 		return t.Routing().Limits.MaxBody
@@ -132,122 +144,125 @@
 	return 0
 }
 
-// Serve answers c. A *hookhall.Error means that nothing was written.
-func (f *Forwarder) Serve(ctx context.Context, c *hookhall.Call, a hookhall.AnswerWriter) error {
-	r, err := f.begin(c)
+// Serve answers call by way of answer. If it returns a *hookhall.Error, nothing was written to
+// answer; hookhall.ErrCut means that the answer was begun and could not be completed.
+func (f *Forwarder) Serve(ctx context.Context, call *hookhall.Call, answer hookhall.AnswerWriter) error {
+	r, err := f.newRequest(call)
 	if err != nil {
-		f.report(r, err)
+		f.recordOutcome(r, err)
 		return err
 	}
-	ctx, cancel := clock.WithDeadline(ctx, r.end)
+	ctx, cancel := clock.WithDeadline(ctx, r.deadline)
 	defer cancel()
-	r.answer = a
+	r.answer = answer
 	err = r.serve(ctx)
 	if err == nil {
-		f.Quarantine.Served(r.digest)
+		f.Quarantine.Served(r.contentDigest)
 	}
-	f.report(r, err)
+	f.recordOutcome(r, err)
 	return err
 }
 
-// begin finds what the request is, or refuses it.
-func (f *Forwarder) begin(c *hookhall.Call) (*request, error) {
-	clock.Check() // what it is served by may be older than it seems
+// newRequest resolves the route, the client account and the deadline of call. The request is
+// never nil; with an error it has what was resolved until then.
+func (f *Forwarder) newRequest(call *hookhall.Call) (*request, error) {
+	clock.Check() // detects a suspension, after which the table and the targets may be outdated
 	now := clock.Now()
-	r := &request{Forwarder: f, call: c, arrived: now, end: now, tried: map[string]bool{}}
+	r := &request{Forwarder: f, call: call, arrived: now, deadline: now, tried: map[string]bool{}}
 	r.table = f.Catalog.Table()
 	if r.table == nil {
 		silence := f.Catalog.Silence(now)
-		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNotReady, "no table is known yet").After(afterOutage(silence))
+		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNotReady, "no table is known yet").After(outageRetryAfter(silence))
 	}
-	path, _, _ := strings.Cut(c.URI, "?")
-	if r.route = r.table.Route(c.Host, path); r.route == nil {
-		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoRoute, "no route for %s%s in version %d", c.Host, path, r.table.Version())
+	path, _, _ := strings.Cut(call.URI, "?")
+	if r.route = r.table.Route(call.Host, path); r.route == nil {
+		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoRoute, "no route for %s%s in version %d", call.Host, path, r.table.Version())
 	}
 	if r.table.NeedsKey(r.route) {
-		if r.account = r.table.Account(c.Credential); r.account == nil {
+		if r.account = r.table.Account(call.Credential); r.account == nil {
 			return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseUnauthorized, "the key is not known in version %d", r.table.Version())
 		}
 	}
 	r.service = pickService(r.route.Backends)
-	r.halls = f.homes(r)
-	wait := c.Wait
-	if wait <= 0 {
-		wait = defaultWait
+	r.halls = f.allowedHalls(r)
+	timeout := call.Wait
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
 	if r.route.Timeout > 0 {
-		wait = min(wait, r.route.Timeout)
+		timeout = min(timeout, r.route.Timeout)
 	}
-	r.end = now.Add(max(wait-endMargin, time.Millisecond))
-	r.aim = now.Add(r.route.Objective)
+	r.deadline = now.Add(max(timeout-deadlineMargin, time.Millisecond))
+	r.firstByteDue = now.Add(r.route.Objective)
 	return r, nil
 }
 
-// homes lists the halls in which a request may run, nil for all. When both its route
-// and its account have homes, both bind; without a common hall there is one that no
-// target stands in.
-func (f *Forwarder) homes(r *request) []string {
+// allowedHalls returns the halls in which a request may run, nil for all. If both its route
+// and its account are bound to regions, the halls must be in regions of both; without a
+// common hall it returns noHall, so that no target is eligible.
+func (f *Forwarder) allowedHalls(r *request) []string {
 	var halls []string
 	if len(r.route.Regions) > 0 {
 		halls = f.HallsIn(r.route.Regions)
 	}
 	if r.account == nil || len(r.account.Regions) == 0 {
-		return orNowhere(halls, len(r.route.Regions) > 0)
+		return noHallIfEmpty(halls, len(r.route.Regions) > 0)
 	}
-	own := f.HallsIn(r.account.Regions)
+	accountHalls := f.HallsIn(r.account.Regions)
 	if len(r.route.Regions) > 0 {
-		own = slices.DeleteFunc(own, func(h string) bool { return !slices.Contains(halls, h) })
+		accountHalls = slices.DeleteFunc(accountHalls, func(h string) bool { return !slices.Contains(halls, h) })
 	}
-	return orNowhere(own, true)
+	return noHallIfEmpty(accountHalls, true)
 }
 
-// nowhere is no hall's name.
-const nowhere = "(no hall)"
+// noHall is the only entry of a list of halls that allows none. No hall has this name.
+const noHall = "(no hall)"
 
-// orNowhere keeps an empty list that binds from meaning everywhere.
-func orNowhere(halls []string, binds bool) []string {
-	if binds && len(halls) == 0 {
-		return []string{nowhere}
+// noHallIfEmpty returns halls, or noHall if halls is empty and restricted is set: an empty list
+// would allow all halls.
+func noHallIfEmpty(halls []string, restricted bool) []string {
+	if restricted && len(halls) == 0 {
+		return []string{noHall}
 	}
 	return halls
 }
 
-// afterOutage is when a client should come back, by how long the store has been
-// silent.
-func afterOutage(silence time.Duration) time.Duration {
-	return min(max(outageShare*silence, outageLeast), outageMost)
+// outageRetryAfter returns the delay after which a client should retry, given how long the
+// store has not answered.
+func outageRetryAfter(silence time.Duration) time.Duration {
+	return min(max(outageRetryFactor*silence, minOutageRetryAfter), maxOutageRetryAfter)
 }
 
-// pickService draws one of the services by weight.
-func pickService(list []hookhall.WeightedService) string {
+// pickService returns one of the services at random by weight, "" if there are none.
+func pickService(services []hookhall.WeightedService) string {
 	total := 0
-	for _, b := range list {
-		total += max(b.Weight, 0)
+	for _, candidate := range services {
+		total += max(candidate.Weight, 0)
 	}
 	if total == 0 {
-		if len(list) == 0 {
+		if len(services) == 0 {
 			return ""
 		}
-		return list[0].Service
+		return services[0].Service
 	}
 	n := rand.IntN(total)
-	for _, b := range list {
-		if n -= max(b.Weight, 0); n < 0 {
-			return b.Service
+	for _, candidate := range services {
+		if n -= max(candidate.Weight, 0); n < 0 {
+			return candidate.Service
 		}
 	}
 	return ""
 }
 
-// report writes the request's one line and counts it.
-func (f *Forwarder) report(r *request, err error) {
+// recordOutcome logs the outcome of a request in one line and counts it.
+func (f *Forwarder) recordOutcome(r *request, err error) {
 	cause, verdict, route := "answered", hookhall.Ran, ""
 	detail := ""
 	if err != nil {
-		e := hookhall.AsError(err)
-		cause, verdict, detail = string(e.Cause), e.Verdict, e.Detail
+		failure := hookhall.AsError(err)
+		cause, verdict, detail = string(failure.Cause), failure.Verdict, failure.Detail
 		if errors.Is(err, hookhall.ErrCut) {
-			cause, detail = "cut", r.cutBy
+			cause, detail = "cut", r.cutDetail
 		}
 	}
 	if r.route != nil {
@@ -257,8 +272,8 @@
 	f.Meter.Forwarded(route, cause, verdict, took)
 	fields := []any{
 		"request", r.call.ID, "route", route, "service", r.service, "outcome", cause, "took_ms", took.Milliseconds(),
-		"stages_ms", r.staged.Milliseconds(), "first_ms", r.first.Milliseconds(), "gap_ms", r.gap.Milliseconds(),
-		"tokens", r.wish.SharedTokens, "own_tokens", r.wish.OwnTokens, "sends", r.sends, "repeat_wait_ms", r.repeatWait.Milliseconds(), "limit_wait_ms", r.limitWait.Milliseconds(), "target", r.target.ID, "status", r.status,
+		"stages_ms", r.stagesElapsed.Milliseconds(), "first_ms", r.firstByteElapsed.Milliseconds(), "gap_ms", r.maxEventGap.Milliseconds(),
+		"tokens", r.wish.SharedTokens, "own_tokens", r.wish.OwnTokens, "sends", r.attempts, "repeat_wait_ms", r.retryWait.Milliseconds(), "limit_wait_ms", r.limitWait.Milliseconds(), "target", r.target.ID, "status", r.status,
 	}
 	if r.table != nil {
 		fields = append(fields, "table", r.table.Version(), "targets_age_ms", f.Catalog.TargetsAge(clock.Now()).Milliseconds())
@@ -267,6 +282,6 @@
 		f.Log.Info("Answered.", fields...)
 		return
 	}
-	fields = append(fields, "verdict", verdict.String(), "left_ms", clock.Until(r.end).Milliseconds(), "detail", detail)
-	f.Log.Warn("Not answered.", fields...)
+	fields = append(fields, "verdict", verdict.String(), "left_ms", clock.Until(r.deadline).Milliseconds(), "detail", detail)
+	f.Log.Warn("request not answered", fields...)
 }
--- a/internal/coordination/forward/plain.go
+++ b/internal/coordination/forward/plain.go
@@ -13,115 +13,118 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// aheadMost bounds what is held of one answer, in bytes.
-const aheadMost = 4 << 20
+// maxHeldBytes limits how much of one answer is held in memory, in bytes (4 MiB).
+const maxHeldBytes = 4 << 20
 
-// servePlain gets a whole answer and passes it on.
+// servePlain reads an answer and passes it on.
 func (r *request) servePlain(ctx context.Context) error {
 	sendCtx, cancel := r.sendContext(ctx)
 	defer cancel()
 	for {
-		if err := r.remake(ctx); err != nil {
+		if err := r.rerunStages(ctx); err != nil {
 			return err
 		}
-		t, none := r.choose(ctx)
-		if none != nil {
-			return r.giveUp(ctx, none)
+		target, failure := r.chooseTarget(ctx)
+		if failure != nil {
+			return r.finalError(ctx, failure)
 		}
-		a := r.send(sendCtx, t, "")
-		var begun *beginning
+		a := r.send(sendCtx, target, "")
+		var held *heldAnswer
 		if a.err == nil {
-			begun, a.err = r.readAhead(a)
+			held, a.err = r.readAhead(a)
 		}
-		if a.err == nil && r.worthRepeat(ctx, a) {
-			begun.release()
-			r.logSendStatus(a, t)
+		if a.err == nil && r.retryServerError(ctx, a) {
+			held.release()
+			r.logFailedStatus(a, target)
 			continue
 		}
 		if a.err == nil {
-			return r.pass(begun)
+			return r.writeAnswer(held)
 		}
-		if !r.next(ctx, a, t) {
-			return r.giveUp(ctx, a.err)
+		if !r.prepareRetry(ctx, a, target) {
+			return r.finalError(ctx, a.err)
 		}
 	}
 }
 
-// sendContext is the context of a plain request's sends: work that may run only
-// once is not broken off when its client leaves, since it can't be taken back.
+// sendContext returns the context for the attempts of a plain request. Work that may run only
+// once continues until the deadline when its client disconnects, since it can't be undone;
+// it is canceled when this process stops.
 func (r *request) sendContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	if r.route.Repeatable() {
 		return context.WithCancel(ctx)
 	}
-	kept, cancel := clock.WithDeadline(context.WithoutCancel(ctx), r.end)
-	stop := context.AfterFunc(ctx, func() {
-		if stopping(ctx) {
+	detached, cancel := clock.WithDeadline(context.WithoutCancel(ctx), r.deadline)
+	unregister := context.AfterFunc(ctx, func() {
+		if isStopping(ctx) {
 			cancel()
 		}
 	})
-	return kept, func() { stop(); cancel() }
+	return detached, func() { unregister(); cancel() }
 }
 
-// beginning is an answer as far as it is held before it is passed on.
-type beginning struct {
+// heldAnswer is the part of an answer that is in memory before any of it is passed on.
+type heldAnswer struct {
 	*buffer.Buffer
 	attempt *attempt
-	// more is set if the answer goes on beyond what is held.
-	more bool
+	// hasMore is set if the answer is longer than the part in memory.
+	hasMore bool
 }
 
-// release gives up what is held, and what was not read.
-func (b *beginning) release() {
-	b.Buffer.Release()
-	if b.more {
-		b.more = false
-		b.attempt.close()
+// release frees the memory, and closes the reply if it was not read to its end.
+func (h *heldAnswer) release() {
+	h.Buffer.Release()
+	if h.hasMore {
+		h.hasMore = false
+		h.attempt.close()
 	}
 }
 
-// readAhead reads an answer, to its end if it may be held: one that is cut can be asked for
-// again until a byte has gone to the client.
-func (r *request) readAhead(a *attempt) (*beginning, *hookhall.Error) {
-	b := &beginning{Buffer: r.Buffers.New(aheadMost), attempt: a}
-	more, err := b.Fill(a.reply.Body)
-	e := r.judge(a, err)
-	if e == nil && more {
-		b.more = true
-		return b, nil
+// readAhead reads an answer until its end or until the memory limit. A truncated answer can be
+// retried as long as no byte was sent to the client.
+func (r *request) readAhead(a *attempt) (*heldAnswer, *hookhall.Error) {
+	held := &heldAnswer{Buffer: r.Buffers.New(maxHeldBytes), attempt: a}
+	hasMore, err := held.Fill(a.reply.Body)
+	failure := r.checkAnswer(a, err)
+	if failure == nil && hasMore {
+		held.hasMore = true
+		return held, nil
 	}
 	a.close()
-	if e != nil {
-		b.release()
-		return nil, e
+	if failure != nil {
+		held.release()
+		return nil, failure
 	}
-	return b, nil
+	return held, nil
 }
 
-// judge takes in how the reading of an answer ended.
-func (r *request) judge(a *attempt, err error) *hookhall.Error {
-	if err != nil {
-		a.failed(false)
-		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer was cut: %v", err)
+// checkAnswer records the outcome of reading an answer, with readErr of the read, and returns an
+// error if the answer can't be used.
+func (r *request) checkAnswer(a *attempt, readErr error) *hookhall.Error {
+	if readErr != nil {
+		a.recordFailure(false)
+		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer was cut: %v", readErr)
 	}
 	if a.reply.Status < http.StatusMultipleChoices && !a.reply.Info.Sealed {
-		a.failed(false)
+		a.recordFailure(false)
 		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer bears no signature")
 	}
 	if a.reply.Status >= http.StatusInternalServerError {
-		a.failed(false)
-		a.counted.Answered(clock.Since(a.began), true)
+		a.recordFailure(false)
+		a.rolloutUse.Answered(clock.Since(a.began), true)
 	} else {
-		a.read()
+		a.recordRead()
 	}
 	return nil
 }
 
-// worthRepeat tells whether a target's own failure may be tried elsewhere.
-func (r *request) worthRepeat(ctx context.Context, a *attempt) bool {
+// retryServerError reports whether an answer with a status of 500 or more is to be retried at
+// another target. If so, it takes a retry out of the budget and counts the attempt.
+func (r *request) retryServerError(ctx context.Context, a *attempt) bool {
 	if a.reply.Status < http.StatusInternalServerError || !r.route.Repeatable() || ctx.Err() != nil {
 		return false
 	}
-	if r.runs+1 >= r.route.MaxAttempts || !r.repeat() {
+	if r.runs+1 >= r.route.MaxAttempts || !r.spendRetry() {
 		return false
 	}
 	r.runs++
@@ -129,41 +132,42 @@
 	return true
 }
 
-func (r *request) logSendStatus(a *attempt, t hookhall.Target) {
+// logFailedStatus logs an attempt whose error status is retried at another target.
+func (r *request) logFailedStatus(a *attempt, target hookhall.Target) {
 	a.err = hookhall.Errorf(hookhall.Ran, hookhall.CauseTarget, "status %d", a.reply.Status)
-	r.logSend(a, t, "another target")
+	r.logFailedAttempt(a, target, "another target")
 }
 
-// pass writes a target's answer.
-func (r *request) pass(b *beginning) error {
-	defer b.release()
-	reply := b.attempt.reply
+// writeAnswer sends an answer to the client. It returns hookhall.ErrCut if that fails.
+func (r *request) writeAnswer(held *heldAnswer) error {
+	defer held.release()
+	reply := held.attempt.reply
 	r.answer.Begin(reply.Status, reply.Header)
-	if err := r.answer.Chunk(b.Bytes()); err != nil {
-		r.cutBy = "the client has gone"
+	if err := r.answer.Chunk(held.Bytes()); err != nil {
+		r.cutDetail = "the client has gone"
 		return hookhall.ErrCut
 	}
-	if !b.more {
+	if !held.hasMore {
 		return nil
 	}
-	b.Buffer.Release()
-	return r.passRest(b.attempt)
+	held.Buffer.Release()
+	return r.writeRest(held.attempt)
 }
 
-// passRest passes on what follows the beginning of an answer, as fast as the client reads.
-func (r *request) passRest(a *attempt) error {
-	piece := make([]byte, pieceSize)
+// writeRest sends what follows the held part of an answer, at the speed at which the client reads.
+func (r *request) writeRest(a *attempt) error {
+	chunk := make([]byte, chunkSize)
 	for {
-		n, err := a.reply.Body.Read(piece)
-		if n > 0 && r.answer.Chunk(piece[:n]) != nil {
-			r.cutBy = "the client has gone"
+		n, err := a.reply.Body.Read(chunk)
+		if n > 0 && r.answer.Chunk(chunk[:n]) != nil {
+			r.cutDetail = "the client has gone"
 			return hookhall.ErrCut
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
-			r.cutBy = "the answer was cut: " + err.Error()
+			r.cutDetail = "the answer was cut: " + err.Error()
 			return hookhall.ErrCut
 		}
 	}
--- a/internal/coordination/forward/reading.go
+++ b/internal/coordination/forward/reading.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	// readingStart is how long after a send its target is first believed to have
-	// read the results that the request names: some twenty round trips between
-	// halls, and many times what the bytes take.
-	readingStart = 80 * time.Millisecond
-	// readingLeast and readingMost bound what is learned from there.
-	readingLeast = 40 * time.Millisecond
-	readingMost  = 2 * time.Second
-	// readingGrow is the factor after a target found results gone, readingShrink
-	// after one had read them: together they settle where one send in 700 comes too
-	// late, which costs that request its stages a second time.
-	readingGrow   = 2.0
-	readingShrink = 0.999
+	// initialReadTime is the first estimate of the time from an attempt until its target has
+	// read the results of stages: about 20 round trips between halls, and many times what the
+	// transfer takes.
+	initialReadTime = 80 * time.Millisecond
+	// minReadTime and maxReadTime bound the estimate.
+	minReadTime = 40 * time.Millisecond
+	maxReadTime = 2 * time.Second
+	// readTimeGrowth is the factor of the estimate after a target found results released too
+	// early, readTimeDecay the factor after a target had read them in time. With these values
+	// one attempt in 700 finds its results released, which makes the request's stages run again.
+	readTimeGrowth = 2.0
+	readTimeDecay  = 0.999
 )
 
-// reading is how long targets take to read the results of stages, as learned from
-// their answers. The zero value starts with readingStart.
-type reading struct{ learned atomic.Int64 }
+// readTimeEstimate estimates how long targets take to read the results of stages. Its zero
+// value starts with initialReadTime. It is safe for concurrent use.
+type readTimeEstimate struct{ estimate atomic.Int64 }
 
-// time is after how long results may be released.
-func (r *reading) time() time.Duration {
-	if d := time.Duration(r.learned.Load()); d > 0 {
+// duration returns how long after the start of an attempt the results may be released.
+func (r *readTimeEstimate) duration() time.Duration {
+	if d := time.Duration(r.estimate.Load()); d > 0 {
 		return d
 	}
-	return readingStart
+	return initialReadTime
 }
 
-// tooSoon takes in that a target found results gone that had been released.
-func (r *reading) tooSoon() { r.scale(readingGrow) }
+// recordTooShort records that a target did not find results since they had been released.
+func (r *readTimeEstimate) recordTooShort() { r.scale(readTimeGrowth) }
 
-// inTime takes in that a target had read results before they were released.
-func (r *reading) inTime() { r.scale(readingShrink) }
+// recordLongEnough records that a target had read results before they were released.
+func (r *readTimeEstimate) recordLongEnough() { r.scale(readTimeDecay) }
 
-// scale may lose one of two changes at the same moment; the next ones make up
-// for it.
-func (r *reading) scale(factor float64) {
-	d := time.Duration(factor * float64(r.time()))
-	r.learned.Store(int64(min(max(d, readingLeast), readingMost)))
+// scale multiplies the estimate by factor. Of two concurrent calls one may be lost; later calls
+// compensate for it.
+func (r *readTimeEstimate) scale(factor float64) {
+	scaled := time.Duration(factor * float64(r.duration()))
+	r.estimate.Store(int64(min(max(scaled, minReadTime), maxReadTime)))
 }
--- a/internal/coordination/forward/reading_test.go
+++ b/internal/coordination/forward/reading_test.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// TestReading: a fleet whose targets take 20, 150 or 700 ms to read results finds
-// a time that is long enough for nearly all sends, and not much longer.
-func TestReading(t *testing.T) {
-	for _, takes := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond, 700 * time.Millisecond} {
-		t.Run(takes.String(), func(t *testing.T) {
-			r := &reading{}
-			if r.time() != readingStart {
-				t.Fatal(r.time())
+// TestReadTimeEstimate guards against an estimate that releases results too early or holds them
+// too long: with targets that take 20, 150 or 700 ms to read results, at most 30 of 10,000
+// attempts find them released, and the estimate ends at no more than twice that time (or at minReadTime).
+func TestReadTimeEstimate(t *testing.T) {
+	for _, readTime := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond, 700 * time.Millisecond} {
+		t.Run(readTime.String(), func(t *testing.T) {
+			estimate := &readTimeEstimate{}
+			if estimate.duration() != initialReadTime {
+				t.Fatal(estimate.duration())
 			}
 			lost := 0
 			for range 10000 {
-				if r.time() < takes {
+				if estimate.duration() < readTime {
 					lost++
-					r.tooSoon()
+					estimate.recordTooShort()
 				} else {
-					r.inTime()
+					estimate.recordLongEnough()
 				}
 			}
 			if lost > 30 {
-				t.Errorf("%d of 10,000 sends found results gone", lost)
+				t.Errorf("%d of 10,000 attempts found results released", lost)
 			}
-			if most := max(readingLeast, 2*takes); r.time() > most {
-				t.Errorf("%v, more than %v", r.time(), most)
+			if limit := max(minReadTime, 2*readTime); estimate.duration() > limit {
+				t.Errorf("estimate is %v, want at most %v", estimate.duration(), limit)
 			}
 		})
 	}
--- a/internal/coordination/forward/request.go
+++ b/internal/coordination/forward/request.go
@@ -19,20 +19,23 @@
 )
 
 const (
-	// mostRemade bounds how often the stages of one request are made again.
-	mostRemade = 2
-	// mostSends bounds how often one request is offered to targets.
-	mostSends = 6
-	// fullPause is the pause before all targets are offered a request again.
-	fullPause = 25 * time.Millisecond
-	// coldPause is the pause before a request looks again for a cold target with room
-	// for it: a target that bears ten requests a second has some each 100 ms.
-	coldPause = 50 * time.Millisecond
-	// pieceSize is how many bytes of an answer are passed on at a time that is not held.
-	pieceSize = 16 << 10
+	// maxStageReruns limits how often the stages of one request run again.
+	maxStageReruns = 2
+	// maxTotalAttempts limits how often one request is sent. Unlike Route.MaxAttempts, it also
+	// counts attempts that the target refused without running the request.
+	maxTotalAttempts = 6
+	// allRefusedPause is the pause before a request that all targets refused is offered to them
+	// again.
+	allRefusedPause = 25 * time.Millisecond
+	// coldTargetPollInterval is the interval at which a request checks whether a cold target may
+	// take it: a cold target that takes ten requests a second becomes available every 100 ms.
+	coldTargetPollInterval = 50 * time.Millisecond
+	// chunkSize is the size in bytes of the reads by which the unbuffered rest of an answer is
+	// passed on.
+	chunkSize = 16 << 10
 )
 
-// request is one request on its way.
+// request is the state of one request that is being answered.
 type request struct {
 	*Forwarder
 	call    *hookhall.Call
@@ -41,37 +44,43 @@
 	route   *hookhall.Route
 	account *hookhall.AccountKeys
 	service string
-	halls   []string // where it may run, nil for everywhere
+	halls   []string // halls in which it may run, nil for all
 	arrived time.Time
-	aim     time.Time
-	end     time.Time
+	// firstByteDue is the latency target: the arrival plus the route's Objective.
+	firstByteDue time.Time
+	// deadline is when the request gets its final answer.
+	deadline time.Time
 
+	// results are the results of the stages, nil before they ran and for routes without stages.
 	results *stages.Results
-	staged  time.Duration
-	first   time.Duration // to the answer's first byte
-	gap     time.Duration // the longest between events
-	wish    balance.Wish
-	tried   map[string]bool // targets that got the request and may have run it, or refused it
-	lost    bool            // a target lacked a result
-	remade  int             // how often stages were made again
-	sends   int
-	// budget is the service's account of repeats when the last one was asked for.
-	budget budget.Account
-	// granted is when a repeat was granted that is not sent yet, and repeatWait the
-	// longest time between the two.
-	granted    time.Time
-	repeatWait time.Duration
+	// stagesElapsed is the time from the arrival to the end of the stages.
+	stagesElapsed    time.Duration
+	firstByteElapsed time.Duration // from the arrival to the first event of a stream
+	maxEventGap      time.Duration // longest time between two events of a stream
+	wish             balance.Wish
+	tried            map[string]bool // excluded targets: they refused the request, may have run it, or would crash
+	isResultLost     bool            // a target did not find a result of a stage
+	stageReruns      int             // how often the stages ran again
+	attempts         int             // how often the request was sent
+	// retryAccount is the state of the service's retry budget at the last request for a retry.
+	retryAccount budget.Account
+	// retryGrantedAt is when a retry was granted that is not sent yet, zero if there is none;
+	// retryWait is the longest time from a grant to its attempt.
+	retryGrantedAt time.Time
+	retryWait      time.Duration
 	// limitWait is how long the request waited for targets with rate limits.
 	limitWait time.Duration
-	runs      int // targets that may have run it
+	runs      int // attempts whose target may have run the request
 	target    hookhall.Target
 	placed    placement.Placement
 	status    int
-	cutBy     string
-	// content is the digest of what the client asks, zero before it was needed.
-	content crashes.Digest
+	// cutDetail says why an answer that was begun could not be completed.
+	cutDetail string
+	// cachedDigest is the digest of the request content, zero until contentDigest is called.
+	cachedDigest crashes.Digest
 }
 
+// accountName returns the name of the client account, "" if the route needs none.
 func (r *request) accountName() string {
 	if r.account == nil {
 		return ""
@@ -79,23 +88,24 @@
 	return r.account.Name
 }
 
-// urgency ranks the request: the account's priority first, then the route's.
+// urgency returns the rank of the request: its account's priority plus the route's.
 func (r *request) urgency() int {
-	u := r.route.Priority
+	rank := r.route.Priority
 	if r.account != nil {
-		u += accountStep * r.account.Priority
+		rank += accountPriorityWeight * r.account.Priority
 	}
-	return u
+	return rank
 }
 
+// serve runs the stages and answers the request.
 func (r *request) serve(ctx context.Context) error {
 	r.Budget.Request(r.service, r.arrived)
 	r.wish = r.makeWish()
-	if e := r.refuseEvacuated(); e != nil {
-		return e
+	if refusal := r.refuseEvacuated(); refusal != nil {
+		return refusal
 	}
-	if e := r.shunCrashing(); e != nil {
-		return e
+	if refusal := r.excludeCrashing(); refusal != nil {
+		return refusal
 	}
 	if err := r.runStages(ctx); err != nil {
 		return err
@@ -107,154 +117,156 @@
 	return r.servePlain(ctx)
 }
 
-// refuseEvacuated refuses a request that no target may serve or make a stage of,
-// since operators have evacuated all halls that have any. Waiting would not help it.
+// refuseEvacuated returns an error if the service or a service of a needed stage has targets
+// in evacuated halls only. Waiting for one would not help the request.
 func (r *request) refuseEvacuated() *hookhall.Error {
 	needed := []string{r.service}
-	for i, s := range r.route.Stages {
+	for i, stage := range r.route.Stages {
 		if i < len(r.call.Pieces) && r.call.Pieces[i] > 0 {
-			needed = append(needed, s.Service)
+			needed = append(needed, stage.Service)
 		}
 	}
-	for _, s := range needed {
-		if r.Catalog.Evacuated(s) {
-			return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "all halls with targets of %s are evacuated", s).After(evacuatedBack)
+	for _, service := range needed {
+		if r.Catalog.Evacuated(service) {
+			return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "all halls with targets of %s are evacuated", service).After(evacuatedRetryAfter)
 		}
 	}
 	return nil
 }
 
-// makeWish reads what the call wants of its target.
+// makeWish returns the criteria by which the target is chosen.
 func (r *request) makeWish() balance.Wish {
-	w := balance.Wish{Exclude: r.tried, OutTokens: r.call.TokensOut, Halls: r.halls}
-	s := r.table.Service(r.service)
-	if s != nil && s.Engine != nil {
-		w.Engine = true
-		w.Spec = s.Engine
+	wish := balance.Wish{Exclude: r.tried, OutTokens: r.call.TokensOut, Halls: r.halls}
+	service := r.table.Service(r.service)
+	if service != nil && service.Engine != nil {
+		wish.Engine = true
+		wish.Spec = service.Engine
 	}
-	if s != nil && s.ColdRate > 0 {
-		w.Cold = func(target string) int { return r.ColdShare(target, s) }
+	if service != nil && service.ColdRate > 0 {
+		wish.Cold = func(target string) int { return r.ColdShare(target, service) }
 	}
 	last := len(r.call.Prompt) - 1
-	for i, p := range r.call.Prompt {
-		w.Parts = append(w.Parts, p.ID)
+	for i, part := range r.call.Prompt {
+		wish.Parts = append(wish.Parts, part.ID)
 		if i == last {
-			w.OwnTokens = p.Tokens
+			wish.OwnTokens = part.Tokens
 			break
 		}
-		w.Shared = p.ID
-		w.SharedTokens += p.Tokens
+		wish.Shared = part.ID
+		wish.SharedTokens += part.Tokens
 	}
-	return w
+	return wish
 }
 
-// remake has the work before the request made anew when its results are gone: a
-// stream goes on at another target, or the one before found a result lost.
-func (r *request) remake(ctx context.Context) error {
-	if r.results == nil || !(r.lost || r.results.Released()) {
+// rerunStages runs the stages again if their results are gone: they were released before the
+// request is sent to a further target, or the last target did not find one.
+func (r *request) rerunStages(ctx context.Context) error {
+	if r.results == nil || !(r.isResultLost || r.results.Released()) {
 		return nil
 	}
 	r.results.Release()
-	r.lost = false
-	r.remade++
+	r.isResultLost = false
+	r.stageReruns++
 	return r.runStages(ctx)
 }
 
-// runStages has the work before the request made.
+// runStages runs the stages of the request, again if a result can't be produced.
 func (r *request) runStages(ctx context.Context) error {
 	if len(r.route.Stages) == 0 {
 		return nil
 	}
-	g := stages.Graph{
-		Call: r.call, Route: r.route, Table: r.table, Aim: r.aim, End: r.firstBy(), Urgency: r.urgency(),
-		Answer: r.answerTime(), Hall: r.readingHall(), Content: r.digest(), Account: r.accountName(),
+	graph := stages.Graph{
+		Call: r.call, Route: r.route, Table: r.table, Aim: r.firstByteDue, End: r.firstByteDeadline(), Urgency: r.urgency(),
+		Answer: r.expectedAnswerTime(), Hall: r.expectedEngineHall(), Content: r.contentDigest(), Account: r.accountName(),
 	}
 	for {
-		results, err := r.Stages.Run(ctx, g)
-		r.staged = clock.Since(r.arrived)
+		results, err := r.Stages.Run(ctx, graph)
+		r.stagesElapsed = clock.Since(r.arrived)
 		if err == nil {
 			r.results = results
 			r.wish.Near = results.Bytes()
 			return nil
 		}
-		e := hookhall.AsError(err)
-		if e.Cause != hookhall.CauseStage || ctx.Err() != nil || r.remade >= mostRemade {
-			return r.giveUp(ctx, e)
+		failure := hookhall.AsError(err)
+		if failure.Cause != hookhall.CauseStage || ctx.Err() != nil || r.stageReruns >= maxStageReruns {
+			return r.finalError(ctx, failure)
 		}
-		r.remade++
-		r.Log.Warn("Stages are made again.", "request", r.call.ID, "route", r.route.Name, "detail", e.Detail, "left_ms", clock.Until(r.end).Milliseconds())
+		r.stageReruns++
+		r.Log.Warn("running the stages again", "request", r.call.ID, "route", r.route.Name, "detail", failure.Detail, "left_ms", clock.Until(r.deadline).Milliseconds())
 	}
 }
 
 const (
-	// answerLeast is what an answer takes to begin at a target with no prompt to
-	// read: results are fetched, and others are before it.
-	answerLeast = 70 * time.Millisecond
-	// answerCrowd is how much longer a prompt is read beside others.
-	answerCrowd = 1.3
+	// minAnswerTime is the time until the answer of a target without a prompt begins: it fetches
+	// the results, and other requests are ahead.
+	minAnswerTime = 70 * time.Millisecond
+	// concurrentReadFactor is how much longer an engine takes to read a prompt beside others.
+	concurrentReadFactor = 1.3
 )
 
-// answerTime is how long the answer should take to begin after the stages, so that
-// a long prompt has its stages made earlier. It assumes that the engine has read
-// the shared parts of the prompt before.
-func (r *request) answerTime() time.Duration {
+// expectedAnswerTime returns the expected time from the end of the stages to the first byte of
+// the answer. It lets the stages of requests with long prompts run earlier. It assumes that
+// the engine has read the shared parts of the prompt before.
+func (r *request) expectedAnswerTime() time.Duration {
 	if !r.wish.Engine {
-		return answerLeast
+		return minAnswerTime
 	}
-	return answerLeast + time.Duration(answerCrowd*float64(balance.ReadTime(r.wish.OwnTokens)))
+	return minAnswerTime + time.Duration(concurrentReadFactor*float64(balance.ReadTime(r.wish.OwnTokens)))
 }
 
-// firstBy is when the client gives up without a first byte.
-func (r *request) firstBy() time.Time {
-	if p := r.route.Patience; p > 0 && p < r.end.Sub(r.arrived) {
-		return r.arrived.Add(p)
+// firstByteDeadline returns when the client stops waiting for the first byte: the route's stall
+// timeout after the arrival, or the deadline if that is earlier.
+func (r *request) firstByteDeadline() time.Time {
+	if stallTimeout := r.route.Patience; stallTimeout > 0 && stallTimeout < r.deadline.Sub(r.arrived) {
+		return r.arrived.Add(stallTimeout)
 	}
-	return r.end
+	return r.deadline
 }
 
-// sharedLeast is from how many shared prompt tokens on the engine is chosen by
-// them, wherever the results lie.
-const sharedLeast = 2000
+// minSharedTokens is the number of shared prompt tokens from which on the engine is chosen by
+// them, regardless of the hall of the results.
+const minSharedTokens = 2000
 
-// readingHall is the hall of the engine that will probably read the results, ""
-// when it will be chosen by where they lie.
-func (r *request) readingHall() string {
-	if !r.wish.Engine || r.wish.SharedTokens < sharedLeast {
+// expectedEngineHall returns the hall of the engine that will probably read the results, "" if
+// the engine will be chosen by the hall of the results or is not known.
+func (r *request) expectedEngineHall() string {
+	if !r.wish.Engine || r.wish.SharedTokens < minSharedTokens {
 		return ""
 	}
-	list := r.Catalog.Targets(r.service)
-	first := r.Tracker.First(r.wish.Shared, list)
-	for _, t := range list {
-		if t.ID == first {
-			return t.Hall
+	targets := r.Catalog.Targets(r.service)
+	first := r.Tracker.First(r.wish.Shared, targets)
+	for _, target := range targets {
+		if target.ID == first {
+			return target.Hall
 		}
 	}
 	return ""
 }
 
-// stopping tells whether ctx ended because this process is about to.
-func stopping(ctx context.Context) bool { return errors.Is(context.Cause(ctx), hookhall.ErrStopping) }
+// isStopping reports whether ctx ended because this process is stopping.
+func isStopping(ctx context.Context) bool { return errors.Is(context.Cause(ctx), hookhall.ErrStopping) }
 
-// giveUp makes the final answer of a request that could not be served.
-func (r *request) giveUp(ctx context.Context, e *hookhall.Error) error {
-	late := !clock.Now().Before(r.end)
+// finalError returns failure as the error for the client: with the cause of the end of ctx or
+// of the deadline, the verdict over all attempts, and when the client should retry.
+func (r *request) finalError(ctx context.Context, failure *hookhall.Error) error {
+	expired := !clock.Now().Before(r.deadline)
 	switch {
-	case stopping(ctx):
-		e = hookhall.Errorf(e.Verdict, hookhall.CauseStopping, "this instance stops: %s", e.Detail).After(elsewhere)
-	case ctx.Err() != nil && !late:
-		e = hookhall.Errorf(e.Verdict, hookhall.CauseCanceled, "the client has gone: %s", e.Detail)
-	case ctx.Err() != nil, late && e.Cause == hookhall.CauseCanceled:
-		// A send may have a deadline of its own, at the same moment, that ends first.
-		e = hookhall.Errorf(e.Verdict, hookhall.CauseDeadline, "out of time: %s", e.Detail)
+	case isStopping(ctx):
+		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseStopping, "this instance stops: %s", failure.Detail).After(stoppingRetryAfter)
+	case ctx.Err() != nil && !expired:
+		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseCanceled, "the client has gone: %s", failure.Detail)
+	case ctx.Err() != nil, expired && failure.Cause == hookhall.CauseCanceled:
+		// The context of an attempt has its own deadline at the same time, which may end first.
+		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseDeadline, "out of time: %s", failure.Detail)
 	}
 	if r.runs > 0 {
-		e.Verdict = hookhall.MayHaveRun
+		failure.Verdict = hookhall.MayHaveRun
 	}
 	switch {
-	case e.Verdict != hookhall.NotRun:
-		e.RetryAfter = 0
-	case e.RetryAfter == 0 && e.Cause != hookhall.CauseCrashes:
-		e.RetryAfter = comeBack
+	case failure.Verdict != hookhall.NotRun:
+		failure.RetryAfter = 0
+	case failure.RetryAfter == 0 && failure.Cause != hookhall.CauseCrashes:
+		failure.RetryAfter = defaultRetryAfter
 	}
-	return e
+	return failure
 }
--- a/internal/coordination/forward/request_test.go
+++ b/internal/coordination/forward/request_test.go
@@ -13,54 +13,59 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-func TestAnswerTime(t *testing.T) {
+// TestExpectedAnswerTime guards the estimate by which the stages of long prompts run earlier: it
+// must grow with the prompt.
+func TestExpectedAnswerTime(t *testing.T) {
 	plain := &request{}
 	long := &request{wish: balance.Wish{Engine: true, OwnTokens: 30000, SharedTokens: 13000}}
 	longer := &request{wish: balance.Wish{Engine: true, OwnTokens: 60000, SharedTokens: 13000}}
-	if got := plain.answerTime(); got != answerLeast {
-		t.Errorf("a request without a prompt takes %v", got)
+	if got := plain.expectedAnswerTime(); got != minAnswerTime {
+		t.Errorf("a request without a prompt: %v expected, want the minimum", got)
 	}
-	if got := long.answerTime(); got < 600*time.Millisecond || got > time.Second {
-		t.Errorf("30,000 tokens take %v", got)
+	if got := long.expectedAnswerTime(); got < 600*time.Millisecond || got > time.Second {
+		t.Errorf("30,000 tokens: %v expected, want 600ms to 1s", got)
 	}
-	if long.answerTime() >= longer.answerTime() {
-		t.Errorf("30,000 tokens take %v and 60,000 %v", long.answerTime(), longer.answerTime())
+	if long.expectedAnswerTime() >= longer.expectedAnswerTime() {
+		t.Errorf("expected time does not grow with the prompt: 30,000 tokens take %v and 60,000 take %v", long.expectedAnswerTime(), longer.expectedAnswerTime())
 	}
 }
 
-func TestAfterOutage(t *testing.T) {
+// TestOutageRetryAfter guards the retry delay during a store outage: twice the outage so far, from
+// 1 to 10 seconds.
+func TestOutageRetryAfter(t *testing.T) {
 	for silence, want := range map[time.Duration]time.Duration{
 		0: time.Second, 400 * time.Millisecond: time.Second, 1500 * time.Millisecond: 3 * time.Second, time.Minute: 10 * time.Second,
 	} {
-		if got := afterOutage(silence); got != want {
-			t.Errorf("after %v of silence: come back in %v, not %v", silence, got, want)
+		if got := outageRetryAfter(silence); got != want {
+			t.Errorf("outage of %v: retry after %v, want %v", silence, got, want)
 		}
 	}
 }
 
-// TestGiveUpAtTheDeadline. A request that may run only once is sent under a deadline of its
-// own, which ended some microseconds before the request's: the client, whose time was over,
-// was told 502 and not 504, with `outcome=canceled left_ms=-5059` in the log.
-func TestGiveUpAtTheDeadline(t *testing.T) {
-	gone, leave := context.WithCancel(t.Context())
-	leave()
+// TestFinalErrorAtDeadline guards against a wrong status at the deadline. The attempt of a request
+// that may run only once has its own deadline, which can end some microseconds before the
+// request's. The client then got 502 instead of 504, and the log had "outcome=canceled
+// left_ms=-5059".
+func TestFinalErrorAtDeadline(t *testing.T) {
+	canceled, cancel := context.WithCancel(t.Context())
+	cancel()
 	for name, c := range map[string]struct {
 		ctx   context.Context
 		left  time.Duration
-		cause hookhall.Cause // of the last send
+		cause hookhall.Cause // of the last attempt
 		want  hookhall.Cause
 	}{
-		"the send's deadline came first":  {t.Context(), -time.Microsecond, hookhall.CauseCanceled, hookhall.CauseDeadline},
-		"both deadlines came":             {gone, -time.Microsecond, hookhall.CauseCanceled, hookhall.CauseDeadline},
-		"the client has gone":             {gone, time.Second, hookhall.CauseCanceled, hookhall.CauseCanceled},
-		"the target broke off, with time": {t.Context(), time.Second, hookhall.CauseConnection, hookhall.CauseConnection},
-		"the target broke off, at last":   {t.Context(), -time.Microsecond, hookhall.CauseConnection, hookhall.CauseConnection},
+		"only the attempt's deadline passed":       {t.Context(), -time.Microsecond, hookhall.CauseCanceled, hookhall.CauseDeadline},
+		"both deadlines passed":                    {canceled, -time.Microsecond, hookhall.CauseCanceled, hookhall.CauseDeadline},
+		"the client disconnected":                  {canceled, time.Second, hookhall.CauseCanceled, hookhall.CauseCanceled},
+		"the target broke off before the deadline": {t.Context(), time.Second, hookhall.CauseConnection, hookhall.CauseConnection},
+		"the target broke off after the deadline":  {t.Context(), -time.Microsecond, hookhall.CauseConnection, hookhall.CauseConnection},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := &request{end: clock.Now().Add(c.left), runs: 1}
-			got := hookhall.AsError(r.giveUp(c.ctx, hookhall.Errorf(hookhall.MayHaveRun, c.cause, "no answer")))
+			r := &request{deadline: clock.Now().Add(c.left), runs: 1}
+			got := hookhall.AsError(r.finalError(c.ctx, hookhall.Errorf(hookhall.MayHaveRun, c.cause, "no answer")))
 			if got.Cause != c.want || got.Verdict != hookhall.MayHaveRun {
-				t.Errorf("%v", got)
+				t.Errorf("got %v", got)
 			}
 		})
 	}
--- a/internal/coordination/forward/stream.go
+++ b/internal/coordination/forward/stream.go
@@ -15,144 +15,147 @@
 )
 
 const (
-	readSize = 4 << 10
-	// unreadTime is how long a client may hold up a stream before its target may break it
-	// off without having failed.
-	unreadTime = time.Second
+	// initialBufferSize is the initial size in bytes of the buffer for events; it grows for longer
+	// events.
+	initialBufferSize = 4 << 10
+	// unreadTimeLimit is how long a client may stall a stream. After that the target may break it
+	// off without a failure being counted for the target.
+	unreadTimeLimit = time.Second
 )
 
-// stream is an answer that goes on event by event.
+// stream is the answer of a streaming request. It may span several targets.
 type stream struct {
-	r     *request
-	begun bool      // the head went to the client
-	wrote time.Time // the last event went to the client
-	last  string    // id of the last whole event that the client has
+	r           *request
+	hasBegun    bool      // the head was sent to the client
+	lastWrite   time.Time // when the last event was sent to the client
+	lastEventID string    // id of the last complete event that the client has
 }
 
-// serveStream passes a stream on, over several targets where the route allows.
+// serveStream passes a stream on, from several targets in turn if the route allows it.
 func (r *request) serveStream(ctx context.Context) error {
-	s := &stream{r: r, last: r.call.LastEvent}
+	s := &stream{r: r, lastEventID: r.call.LastEvent}
 	for {
-		if err := r.remake(ctx); err != nil {
-			return s.end(ctx, hookhall.AsError(err))
+		if err := r.rerunStages(ctx); err != nil {
+			return s.finalError(ctx, hookhall.AsError(err))
 		}
-		t, none := r.choose(ctx)
-		if none != nil {
-			return s.end(ctx, none)
+		target, failure := r.chooseTarget(ctx)
+		if failure != nil {
+			return s.finalError(ctx, failure)
 		}
-		a := r.send(ctx, t, s.last)
+		a := r.send(ctx, target, s.lastEventID)
 		if a.err == nil {
 			a.err = s.forward(ctx, a)
 		}
 		if a.err == nil {
 			return nil
 		}
-		if !r.next(ctx, a, t) {
-			return s.end(ctx, a.err)
+		if !r.prepareRetry(ctx, a, target) {
+			return s.finalError(ctx, a.err)
 		}
 	}
 }
 
-// end makes the final answer after the last failure.
-func (s *stream) end(ctx context.Context, e *hookhall.Error) error {
-	if s.begun {
-		s.r.cutBy = e.Detail
+// finalError returns the error for the client after the last failure: hookhall.ErrCut if the
+// stream has begun.
+func (s *stream) finalError(ctx context.Context, failure *hookhall.Error) error {
+	if s.hasBegun {
+		s.r.cutDetail = failure.Detail
 		return hookhall.ErrCut
 	}
-	return s.r.giveUp(ctx, e)
+	return s.r.finalError(ctx, failure)
 }
 
-// forward passes one target's answer on. nil means that the client has a whole
-// answer.
+// forward passes the answer of one target on. It returns nil if the client has a complete answer.
 func (s *stream) forward(ctx context.Context, a *attempt) *hookhall.Error {
 	defer a.close()
 	if a.reply.Status >= http.StatusMultipleChoices {
-		return s.failure(a)
+		return s.passFailure(a)
 	}
 	if !a.reply.Info.Sealed {
 		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer bears no signature")
 	}
-	a.read()
+	a.recordRead()
 	if s.r.results.Released() {
-		s.r.reading.inTime()
+		s.r.readTime.recordLongEnough()
 	}
 	s.r.results.Release()
-	if !s.begun {
-		s.begun = true
+	if !s.hasBegun {
+		s.hasBegun = true
 		a.reply.Header.Del("Content-Length")
 		s.r.answer.Begin(a.reply.Status, a.reply.Header)
 	}
-	return s.events(ctx, a)
+	return s.passEvents(ctx, a)
 }
 
-// failure passes a target's own failure on, if no stream has begun.
-func (s *stream) failure(a *attempt) *hookhall.Error {
-	if s.begun {
+// passFailure passes a target's own error answer on, unless the stream has begun.
+func (s *stream) passFailure(a *attempt) *hookhall.Error {
+	if s.hasBegun {
 		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTarget, "status %d in place of a stream", a.reply.Status)
 	}
-	begun, err := s.r.readAhead(a)
+	held, err := s.r.readAhead(a)
 	if err != nil {
 		return err
 	}
-	_ = s.r.pass(begun) // a client that has gone needs nothing
+	_ = s.r.writeAnswer(held) // the client has disconnected: there is nobody to report to
 	return nil
 }
 
-// events passes whole events on as they come.
-func (s *stream) events(ctx context.Context, a *attempt) *hookhall.Error {
-	buffer := make([]byte, 0, readSize)
-	waited := clock.Now()
+// passEvents passes complete events on as they arrive. It sets a.unread if the client stalled
+// the stream.
+func (s *stream) passEvents(ctx context.Context, a *attempt) *hookhall.Error {
+	buffer := make([]byte, 0, initialBufferSize)
+	lastRead := clock.Now()
 	for {
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
 		}
-		if clock.Since(waited) >= unreadTime {
+		if clock.Since(lastRead) >= unreadTimeLimit {
 			a.unread = true
 		}
 		n, err := a.reply.Body.Read(buffer[len(buffer):cap(buffer)])
-		waited = clock.Now()
+		lastRead = clock.Now()
 		buffer = buffer[:len(buffer)+n]
 		if err == io.EOF {
-			return s.chunk(buffer)
+			return s.writeEvents(buffer)
 		}
-		if cut := wholeEvents(buffer); cut > 0 {
-			if e := s.chunk(buffer[:cut]); e != nil {
-				return e
+		if complete := completeEventsLen(buffer); complete > 0 {
+			if failure := s.writeEvents(buffer[:complete]); failure != nil {
+				return failure
 			}
-			buffer = buffer[:copy(buffer, buffer[cut:])]
+			buffer = buffer[:copy(buffer, buffer[complete:])]
 		}
 		if err != nil {
 			if ctx.Err() == nil && !a.unread {
-				a.failed(false)
+				a.recordFailure(false)
 			}
 			return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the stream broke: %v", err)
 		}
 	}
 }
 
-// chunk writes whole events and remembers the last one's id.
-func (s *stream) chunk(b []byte) *hookhall.Error {
-	if len(b) == 0 {
+// writeEvents sends complete events to the client and records the id of the last one.
+func (s *stream) writeEvents(events []byte) *hookhall.Error {
+	if len(events) == 0 {
 		return nil
 	}
-	if err := s.r.answer.Chunk(b); err != nil {
+	if err := s.r.answer.Chunk(events); err != nil {
 		return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseCanceled, "the client has gone: %v", err)
 	}
-	if id := lastID(b); id != "" {
-		s.last = id
+	if id := lastEventID(events); id != "" {
+		s.lastEventID = id
 	}
 	now := clock.Now()
-	if s.wrote.IsZero() {
-		s.r.first = now.Sub(s.r.arrived)
+	if s.lastWrite.IsZero() {
+		s.r.firstByteElapsed = now.Sub(s.r.arrived)
 	} else {
-		s.r.gap = max(s.r.gap, now.Sub(s.wrote))
+		s.r.maxEventGap = max(s.r.maxEventGap, now.Sub(s.lastWrite))
 	}
-	s.wrote = now
+	s.lastWrite = now
 	return nil
 }
 
-// wholeEvents is the length of the events in b that have come whole.
-func wholeEvents(b []byte) int {
+// completeEventsLen returns the length of the complete events at the start of b, in bytes.
+func completeEventsLen(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -163,8 +166,8 @@
 	return end
 }
 
-// lastID finds the id of the last event in b that has one.
-func lastID(b []byte) string {
+// lastEventID returns the id of the last event in b that has one, "" if none has.
+func lastEventID(b []byte) string {
 	for len(b) > 0 {
 		i := bytes.LastIndexByte(bytes.TrimRight(b, "\r\n"), '\n')
 		line := bytes.TrimRight(b[i+1:], "\r\n")
--- a/internal/coordination/forward/stream_test.go
+++ b/internal/coordination/forward/stream_test.go
@@ -8,7 +8,9 @@
 	"testing"
 )
 
-func TestWholeEvents(t *testing.T) {
+// TestCompleteEventsLen guards against events that are passed on incomplete, or with a wrong last
+// id, from which a broken stream would resume at the wrong event.
+func TestCompleteEventsLen(t *testing.T) {
 	for _, c := range []struct {
 		in   string
 		want int
@@ -24,19 +26,19 @@
 		{"id:7\ndata: id: 8\n\n", 18, "7"},
 		{": comment\n\nid: 3\n\n", 18, "3"},
 	} {
-		n := wholeEvents([]byte(c.in))
+		n := completeEventsLen([]byte(c.in))
 		if n != c.want {
-			t.Errorf("%q: %d bytes of whole events, not %d", c.in, n, c.want)
+			t.Errorf("%q: %d bytes of complete events, want %d", c.in, n, c.want)
 			continue
 		}
-		if id := lastID([]byte(c.in)[:n]); id != c.id {
-			t.Errorf("%q: last id %q, not %q", c.in, id, c.id)
+		if id := lastEventID([]byte(c.in)[:n]); id != c.id {
+			t.Errorf("%q: last id %q, want %q", c.in, id, c.id)
 		}
 	}
 }
 
-// FuzzEvents: however a stream is cut into reads, what is passed on before the cut
-// ends with an event's end, and nothing is lost or doubled.
+// FuzzEvents checks that a stream which is read in pieces of any size is passed on without loss or
+// duplication, and that what is passed on ends at the end of an event.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), 7)
 	f.Add([]byte("\r\n\r\n\n\n"), 1)
@@ -47,16 +49,16 @@
 		var buffer, passed []byte
 		for at := 0; at < len(stream); at += step {
 			buffer = append(buffer, stream[at:min(at+step, len(stream))]...)
-			n := wholeEvents(buffer)
-			lastID(buffer[:n])
+			n := completeEventsLen(buffer)
+			lastEventID(buffer[:n])
 			passed = append(passed, buffer[:n]...)
 			buffer = append([]byte(nil), buffer[n:]...)
 		}
 		if got := append(append([]byte(nil), passed...), buffer...); !bytes.Equal(got, stream) {
-			t.Fatalf("%q became %q", stream, got)
+			t.Fatalf("stream %q became %q", stream, got)
 		}
 		if len(passed) > 0 && !bytes.HasSuffix(passed, []byte("\n\n")) && !bytes.HasSuffix(passed, []byte("\r\n\r\n")) {
-			t.Fatalf("%q was passed on", passed)
+			t.Fatalf("%q was passed on, which does not end at the end of an event", passed)
 		}
 	})
 }
--- a/internal/coordination/forward/unread_test.go
+++ b/internal/coordination/forward/unread_test.go
@@ -18,7 +18,7 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// pacedClient takes each part of an answer in a time.
+// pacedClient takes a fixed time to read each part of an answer.
 type pacedClient struct{ pace time.Duration }
 
 func (c pacedClient) Begin(int, http.Header) {}
@@ -28,9 +28,9 @@
 	return nil
 }
 
-// TestUnreadStreamIsNotItsTargetsFailure: a target that breaks off a stream which its client
-// left unread has not failed.
-func TestUnreadStreamIsNotItsTargetsFailure(t *testing.T) {
+// TestUnreadStreamIsNoTargetFailure guards against failures that are counted for a target which
+// breaks off a stream because the client did not read it.
+func TestUnreadStreamIsNoTargetFailure(t *testing.T) {
 	for name, c := range map[string]struct {
 		pace   time.Duration
 		failed bool
@@ -48,7 +48,7 @@
 					reply: &hookhall.Reply{Body: io.NopCloser(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), broken))},
 				}
 				s := &stream{r: &request{answer: pacedClient{c.pace}}}
-				if e := s.events(t.Context(), a); e == nil || e.Cause != hookhall.CauseTruncated {
+				if e := s.passEvents(t.Context(), a); e == nil || e.Cause != hookhall.CauseTruncated {
 					t.Fatalf("the stream ended with %v", e)
 				}
 				if failed := tracker.Status(target.Life(), clock.Now()).FailRate > 0; failed != c.failed {
