--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -3,7 +3,7 @@
 
 // Package retry delays repeated attempts by an exponential backoff with jitter.
 //
-// The delay of a Pause doubles from First to Most. Each wait is drawn at random from the
+// The delay doubles from a minimum to a maximum. Each wait is drawn at random from the
 // upper half of the delay, so that the processes of a fleet which lost a service at the
 // same time do not all return to it at the same time.
 package retry
@@ -16,21 +16,21 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// First and Most are the smallest and the greatest delay of a Pause made by New.
+// Minimum and maximum delay of a backoff that New returns.
 const (
 	First = 100 * time.Millisecond
 	Most  = 3 * time.Second
 )
 
-// Pause is the backoff between attempts. It is not safe for concurrent use.
+// Pause computes the delays between attempts and waits for them. It is not safe for concurrent use.
 type Pause struct {
 	nextDelay, minDelay, maxDelay time.Duration
 }
 
-// New returns a Pause with delays from First to Most.
+// New returns a backoff with the default minimum and maximum delay.
 func New() *Pause { return Between(First, Most) }
 
-// Between returns a Pause whose delay starts at minDelay and doubles up to maxDelay.
+// Between returns a backoff whose delay starts at minDelay and doubles up to maxDelay.
 func Between(minDelay, maxDelay time.Duration) *Pause {
 	return &Pause{nextDelay: minDelay, minDelay: minDelay, maxDelay: maxDelay}
 }
