--- a/internal/coordination/placement/client.go
+++ b/internal/coordination/placement/client.go
@@ -17,98 +17,113 @@
 )
 
 const (
-	// placeTimeout is how long a placer may take.
+	// placeTimeout is how long the placement owner may take to choose. After it the caller
+	// chooses itself.
 	placeTimeout = 120 * time.Millisecond
-	// noteBatchDelay gathers notes.
+	// noteBatchDelay is how long notes are collected before they are sent together.
 	noteBatchDelay = 5 * time.Millisecond
-	noteTimeout    = 500 * time.Millisecond
-	// ownerKeyPrefix keeps a service's placer apart from its stage broker.
+	// noteTimeout bounds a call that sends notes.
+	noteTimeout = 500 * time.Millisecond
+	// ownerKeyPrefix keeps the key of a service's placement owner distinct from that of its
+	// stage broker, which is the service's name.
 	ownerKeyPrefix = "place/"
 )
 
-// Remote is a placer in another process.
+// Remote is a client of the placement owner in another process.
 type Remote interface {
+	// Place is Placer.Place. limits are the rate limits that the caller knows of.
 	Place(ctx context.Context, ticket, service string, w balance.Wish, limits []advisory.Report) (Choice, error)
+	// Note is Placer.Take.
 	Note(ctx context.Context, notes []Note) error
 }
 
-// Fleet finds placers.
+// Fleet finds placement owners.
 type Fleet interface {
+	// Self returns this process.
 	Self() hookhall.Member
+	// Owner returns the member that owns key, leaving out the addresses in skip.
 	Owner(key string, skip map[string]bool, now time.Time) hookhall.Member
+	// Suspect records that a member did not answer.
 	Suspect(address string, now time.Time)
 }
 
-// Client asks the placer of each service.
+// Client asks the placement owner of each service. Its exported fields must be set before
+// use; it is safe for concurrent use.
 type Client struct {
-	Local  *Placer
-	Fleet  Fleet
+	Local *Placer // that of this process
+	Fleet Fleet
+	// Remote returns the client of the placement owner at address.
 	Remote func(address string) Remote
 
 	ticketCount    atomic.Uint64
 	mu             sync.Mutex
-	notesByAddress map[string][]Note // by address
+	notesByAddress map[string][]Note // notes to send; guarded by mu
 }
 
-// Placement is where a request was placed. The zero value tells nobody.
+// Placement is the choice for a request. Notes of the zero value are not sent.
 type Placement struct {
 	Choice
 	client  *Client
-	address string
-	ticket  string
+	address string // of the placement owner
+	ticket  string // identifies the request at the placement owner
 }
 
-// Key names the placer of a service among members.
+// Key returns the key by which the placement owner of a service is found.
 func Key(service string) string { return ownerKeyPrefix + service }
 
-// Place asks for a target. An empty Target means that the caller chooses, among targets
-// without a rate limit. limits are those that the caller knows of.
+// Place asks the placement owner of a service for a target. If the Target of the result is
+// empty, the caller chooses one without a rate limit itself. limits are the rate limits that
+// the caller knows of, for an owner that has not learned them yet.
 func (c *Client) Place(ctx context.Context, service string, w balance.Wish, limits []advisory.Report) Placement {
 	owner := c.Fleet.Owner(Key(service), nil, clock.Now())
-	p := Placement{client: c, address: owner.Address}
-	p.ticket = c.Fleet.Self().Address + "/" + strconv.FormatUint(c.ticketCount.Add(1), 36)
+	placement := Placement{client: c, address: owner.Address}
+	placement.ticket = c.Fleet.Self().Address + "/" + strconv.FormatUint(c.ticketCount.Add(1), 36)
 	if owner.Address == c.Fleet.Self().Address {
-		p.Choice = c.Local.Place(p.ticket, service, w)
-		return p
+		placement.Choice = c.Local.Place(placement.ticket, service, w)
+		return placement
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	choice, err := c.Remote(owner.Address).Place(ctx, p.ticket, service, w, limits)
+	choice, err := c.Remote(owner.Address).Place(ctx, placement.ticket, service, w, limits)
 	if err != nil {
 		if ctx.Err() == context.DeadlineExceeded {
 			c.Fleet.Suspect(owner.Address, clock.Now())
 		}
 		return Placement{}
 	}
-	p.Choice = choice
-	return p
+	placement.Choice = choice
+	return placement
 }
 
-// Tell passes a note on, without waiting.
+// Tell reports an event of the request to the placement owner. It does not wait for the
+// delivery, and does nothing if no target was chosen.
 func (p Placement) Tell(k Kind) {
 	if p.Target == "" {
 		return
 	}
-	n := Note{p.ticket, k}
+	note := Note{p.ticket, k}
 	if p.address == p.client.Fleet.Self().Address {
-		p.client.Local.Take([]Note{n})
+		p.client.Local.Take([]Note{note})
 		return
 	}
-	p.client.queueNote(p.address, n)
+	p.client.queueNote(p.address, note)
 }
 
-func (c *Client) queueNote(address string, n Note) {
+// queueNote queues a note for the placement owner at address. The first one of a batch
+// schedules its delivery.
+func (c *Client) queueNote(address string, note Note) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.notesByAddress == nil {
 		c.notesByAddress = map[string][]Note{}
 	}
-	c.notesByAddress[address] = append(c.notesByAddress[address], n)
+	c.notesByAddress[address] = append(c.notesByAddress[address], note)
 	if len(c.notesByAddress[address]) == 1 {
 		time.AfterFunc(noteBatchDelay, func() { c.sendNotes(address) })
 	}
 }
 
+// sendNotes sends the queued notes to the placement owner at address.
 func (c *Client) sendNotes(address string) {
 	c.mu.Lock()
 	notes := c.notesByAddress[address]
@@ -116,5 +131,5 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
 	defer cancel()
-	_ = c.Remote(address).Note(ctx, notes) // lost notes are made up for by Tidy
+	_ = c.Remote(address).Note(ctx, notes) // Tidy makes up for lost notes
 }
--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -5,27 +5,27 @@
 //
 // # Model
 //
-// An engine that reads a long prompt holds up everything that runs beside it,
-// and its own report is old when it comes. Each gateway alone sees a part of the
-// load only. So one gateway, the placer of a service, found by rendezvous
-// hashing over the members, chooses for all: a request asks it for an engine
-// and tells it, in notes that are gathered for some milliseconds, when its answer
-// began, ended or failed. What the placer knows of failures serves everybody.
+// An engine that reads a long prompt delays everything that runs beside it, and its own
+// load report is old when it arrives. Each gateway sees a part of the load only. One
+// gateway, the placement owner of a service, therefore chooses for all; it is found by
+// rendezvous hashing over the members. A gateway asks it for an engine for each request,
+// and reports in notes when the answer began, ended or failed. Notes are batched for some
+// milliseconds. A failure that one gateway reports thus counts in the choices for all.
 //
-// Engines that are cold bear a few requests a second from the whole fleet. The
-// placer holds the one account of these; gateways that choose by themselves have a
-// small share, divided so that all of them together stay within the bound.
+// Cold engines bear a few requests a second from the whole fleet. The placement owner
+// counts the requests that it places at them; gateways that choose themselves have a small
+// share, divided so that all of them together stay within the bound.
 //
-// Targets that name a rate limit get their requests through the placer only, which
-// grants that rate to the whole fleet. A request that has to wait for its turn gets a
-// place in line, or is told when a target will be due.
+// Targets that name a rate limit get their requests through the placement owner only, which
+// grants that rate to the whole fleet. A request that has to wait gets a reservation, or
+// the time after which a target accepts another request.
 //
-// When the placer does not answer at once, a gateway chooses by what it sees
-// itself; a new placer begins with an empty account and learns within a second.
+// If the placement owner does not answer at once, a gateway chooses by the load that it sees
+// itself. A new placement owner begins without recorded load and learns it within a second.
 //
 // # Invariants
 //
-//   - A placement is advice: it is never needed to serve, and a wrong one costs
-//     time only.
-//   - A placement whose notes are lost is forgotten after a while.
+//   - A placement is advice: no request needs one to be served, and a wrong one costs time
+//     only.
+//   - A placement whose notes are lost is dropped after a limited time.
 package placement
--- a/internal/coordination/placement/limited_test.go
+++ b/internal/coordination/placement/limited_test.go
@@ -14,14 +14,16 @@
 	"github.com/hookhall/hookhall/internal/state/routetable"
 )
 
+// oneTarget is a Directory with one target and no routing table.
 type oneTarget struct{}
 
 func (oneTarget) Table() *routetable.Table { return nil }
 
 func (oneTarget) Targets(string) []hookhall.Target { return []hookhall.Target{{ID: "target"}} }
 
-// TestPlaceAtLimitedTarget: a request gets its turn if it can wait for it, and is told when
-// the next one is otherwise, unless nobody knows.
+// TestPlaceAtLimitedTarget guards against requests that are placed at a rate-limited target
+// although they can't wait for it, and against refusals without the time after which the
+// client should retry. No time is given if this process grants nothing.
 func TestPlaceAtLimitedTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		share  float64
@@ -29,11 +31,11 @@
 		placed bool
 		retry  bool
 	}{
-		"it can wait":         {1, time.Minute, true, false},
-		"it can't":            {1, time.Millisecond, false, true},
-		"past its aim":        {1, 0, false, true},
-		"the owner is not it": {0.25, time.Minute, true, false},
-		"nothing is granted":  {0, time.Minute, false, false},
+		"it can wait":                             {1, time.Minute, true, false},
+		"it can't wait":                           {1, time.Millisecond, false, true},
+		"past its latency target":                 {1, 0, false, true},
+		"another process grants most of the rate": {0.25, time.Minute, true, false},
+		"nothing is granted":                      {0, time.Minute, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			book := &advisory.Book{}
@@ -45,7 +47,7 @@
 				t.Errorf("placed at %q after %v", got.Target, got.Wait)
 			}
 			if (got.RetryAfter > 0) != c.retry || got.RetryAfter > time.Minute {
-				t.Errorf("to come back after %v", got.RetryAfter)
+				t.Errorf("retry after %v", got.RetryAfter)
 			}
 		})
 	}
--- a/internal/coordination/placement/owner.go
+++ b/internal/coordination/placement/owner.go
@@ -15,55 +15,65 @@
 )
 
 const (
-	// maxReadTime is when the placer assumes that a prompt was read, because the note
-	// that says so must have been lost: longer than engines take for the longest.
+	// maxReadTime is the time after which a prompt counts as read, as the note that reports
+	// it must have been lost. It is longer than engines take to read the longest prompts.
 	maxReadTime = 4 * time.Second
-	// maxRunTime is when the placer assumes that a request has ended, for the same
-	// reason: the longest deadline that clients use today.
+	// maxRunTime is the time after which a request counts as ended, as the note that reports
+	// it must have been lost. It is the longest deadline that clients use today.
 	maxRunTime = 20 * time.Second
 )
 
-// Kind says what became of a placed request.
+// Kind is the kind of an event of a placed request.
 type Kind int
 
 // The kinds of notes.
 const (
+	// Read reports that the answer began, hence that the target has read the prompt.
 	Read Kind = iota
+	// Ended reports that the request ended or will not be sent.
 	Ended
+	// Failed reports that the request failed at the target.
 	Failed
+	// Full reports that the target refused the request for lack of capacity.
 	Full
 )
 
-// Note tells what became of the request with a ticket.
+// Note reports an event of the request with a ticket.
 type Note struct {
 	Ticket string
 	Kind   Kind
 }
 
-// Directory is what the placer reads of the catalog.
+// Directory provides the part of the catalog that the placement owner reads.
 type Directory interface {
+	// Table returns the current routing table, nil before the first one was loaded.
 	Table() *routetable.Table
+	// Targets returns the targets of a service.
 	Targets(pool string) []hookhall.Target
 }
 
-// Placer chooses for others, and for this process when it is the placer.
+// Placer chooses targets for the whole fleet while this process is the placement owner. It
+// is safe for concurrent use.
 type Placer struct {
 	directory Directory
 	tracker   *balance.Tracker
 	limits    balance.ColdLimits
-	// Grants gives out the rates of limited targets of a service. Set before use.
+	// Grants returns the limiter of the rate-limited targets of a service. It must be set
+	// before the Placer is used.
 	Grants func(service string) advisory.Grants
 
 	mu               sync.Mutex
 	requestsByTicket map[string]*placedRequest
 }
 
+// placedRequest is a request whose end was not reported yet.
 type placedRequest struct {
 	use      *balance.Use
 	placedAt time.Time
 }
 
-// NewPlacer makes a Placer that knows of no load.
+// NewPlacer returns a Placer without recorded load and without rate limits. Cold targets get
+// no more requests than l allows.
 func NewPlacer(d Directory, l balance.ColdLimits) *Placer {
 	none := advisory.Grants{Book: &advisory.Book{}}
 	return &Placer{
@@ -72,51 +82,54 @@
 	}
 }
 
-// maxWaitShare is the part of the time until its aim that a request may wait for a target
-// with a rate limit.
+// maxWaitShare is the share of the time until its latency target that a request may wait for
+// a target with a rate limit.
 const maxWaitShare = 0.5
 
-// Choice is a placer's choice for a request.
+// Choice is the choice for a request.
 type Choice struct {
 	// Target is the id of the chosen target, "" if there is none.
 	Target string
-	// Wait is how long the request has to wait before it is sent, by the target's limit.
+	// Wait is how long the request has to wait before it is sent, because of the target's
+	// rate limit.
 	Wait time.Duration
-	// RetryAfter is when a target will be due, if only rate limits leave none now, and 0 if
-	// that is not known.
+	// RetryAfter is how long it takes until a target accepts another request, if only rate
+	// limits keep all targets from accepting one now; 0 if that is not known.
 	RetryAfter time.Duration
 }
 
-// Place chooses a target and counts the request there.
+// Place chooses a target and counts the request there. ticket identifies the request in
+// later notes; it must be unique in the fleet.
 func (p *Placer) Place(ticket, service string, w balance.Wish) Choice {
 	now := clock.Now()
 	w.Limiter = p.Grants(service)
 	if table := p.directory.Table(); table != nil {
 		if s := table.Service(service); s != nil {
 			w.Spec = s.Engine
-			most := p.limits.Placer(s)
-			w.Cold = func(string) int { return most }
+			maxRequests := p.limits.Placer(s)
+			w.Cold = func(string) int { return maxRequests }
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	targets := p.directory.Targets(service)
 	t, ok := p.tracker.Choose(targets, w, now)
-	c := Choice{}
+	choice := Choice{}
 	if !ok {
-		if t, c.Wait, ok = p.tracker.Next(targets, w, now); !ok {
-			return c
+		if t, choice.Wait, ok = p.tracker.Next(targets, w, now); !ok {
+			return choice
 		}
-		if c.Wait, ok = w.Limiter.Reserve(t.Life(), time.Duration(maxWaitShare*float64(w.Slack)), now); !ok {
-			return Choice{RetryAfter: knownWait(c.Wait)}
+		if choice.Wait, ok = w.Limiter.Reserve(t.Life(), time.Duration(maxWaitShare*float64(w.Slack)), now); !ok {
+			return Choice{RetryAfter: knownWait(choice.Wait)}
 		}
 	}
-	c.Target = t.ID
+	choice.Target = t.ID
 	p.requestsByTicket[ticket] = &placedRequest{p.tracker.Begin(t, w, now), now}
-	return c
+	return choice
 }
 
-// knownWait returns 0 for the wait for targets to which this process grants nothing.
+// knownWait returns d, or 0 if this process grants the targets no requests, so that the wait
+// is not known.
 func knownWait(d time.Duration) time.Duration {
 	if d == advisory.Never {
 		return 0
@@ -124,43 +137,43 @@
 	return d
 }
 
-// Take takes notes in.
+// Take records the events that notes report. Notes of unknown tickets are ignored.
 func (p *Placer) Take(notes []Note) {
 	now := clock.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range notes {
-		o := p.requestsByTicket[n.Ticket]
-		if o == nil {
+	for _, note := range notes {
+		request := p.requestsByTicket[note.Ticket]
+		if request == nil {
 			continue
 		}
-		switch n.Kind {
+		switch note.Kind {
 		case Read:
-			o.use.Read()
-			o.use.Succeeded(now.Sub(o.placedAt))
+			request.use.Read()
+			request.use.Succeeded(now.Sub(request.placedAt))
 			continue
 		case Failed:
-			o.use.Failed(true, now)
+			request.use.Failed(true, now)
 		case Full:
-			o.use.Refused(now)
+			request.use.Refused(now)
 		}
-		o.use.End()
-		delete(p.requestsByTicket, n.Ticket)
+		request.use.End()
+		delete(p.requestsByTicket, note.Ticket)
 	}
 }
 
-// Tidy forgets placements whose notes must have been lost, and engines that are
-// gone.
+// Tidy drops placements whose notes must have been lost, and the records of targets that
+// current does not report as current incarnations. The process calls it periodically.
 func (p *Placer) Tidy(current func(l hookhall.Life) bool, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for ticket, o := range p.requestsByTicket {
-		age := now.Sub(o.placedAt)
+	for ticket, request := range p.requestsByTicket {
+		age := now.Sub(request.placedAt)
 		if age > maxReadTime {
-			o.use.Read()
+			request.use.Read()
 		}
 		if age > maxRunTime {
-			o.use.End()
+			request.use.End()
 			delete(p.requestsByTicket, ticket)
 		}
 	}
