--- a/contract_instances_test.go
+++ b/contract_instances_test.go
@@ -17,6 +17,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestInstanceListContract guards against an instance list client that takes a failure or an
+// unrelated answer for an empty list, by which all instances would seem gone, and against one
+// that transfers the list again although it has not changed.
 func TestInstanceListContract(t *testing.T) {
 	Convey("The instance list", t, func() {
 		list := standin.NewInstances(0)
@@ -24,7 +27,7 @@
 		Reset(s.Close)
 		address := strings.TrimPrefix(s.URL, "http://")
 		c := instances.New(address)
-		Convey("is empty at first, and shows what is set and removed", func() {
+		Convey("is empty at first, and has what was set and not removed", func() {
 			all, err := c.List(context.Background())
 			So(err, ShouldBeNil)
 			So(all, ShouldBeEmpty)
@@ -39,36 +42,36 @@
 			So(err, ShouldBeNil)
 			So(all, ShouldHaveLength, 1)
 		})
-		Convey("is unavailable in an outage, when it is gone, and when it answers nonsense", func() {
+		Convey("is unavailable during an outage, when its server has stopped, and when the answer is no list", func() {
 			So(standin.Control("PUT", address, "/standin/faults", map[string]bool{"down": true}), ShouldBeNil)
 			_, err := c.List(context.Background())
 			So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 			s.Close()
 			_, err = c.List(context.Background())
 			So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
-			nonsense := httptest.NewServer(standin.NewTarget(standin.TargetSettings{Capacity: 1}))
-			defer nonsense.Close()
-			_, err = instances.New(strings.TrimPrefix(nonsense.URL, "http://")).List(context.Background())
+			unrelated := httptest.NewServer(standin.NewTarget(standin.TargetSettings{Capacity: 1}))
+			defer unrelated.Close()
+			_, err = instances.New(strings.TrimPrefix(unrelated.URL, "http://")).List(context.Background())
 			So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 		})
-		Convey("is not sent again while it has not changed", func() {
+		Convey("is not transferred again while it has not changed", func() {
 			list.Set(hookhall.Instance{ID: "a"})
 			for range 3 {
 				all, err := c.List(context.Background())
 				So(err, ShouldBeNil)
 				So(all, ShouldHaveLength, 1)
 			}
-			once := c.Bytes()
-			So(once, ShouldBeGreaterThan, 0)
+			bytesBefore := c.Bytes()
+			So(bytesBefore, ShouldBeGreaterThan, 0)
 			_, err := c.List(context.Background())
 			So(err, ShouldBeNil)
-			So(c.Bytes(), ShouldEqual, once)
+			So(c.Bytes(), ShouldEqual, bytesBefore)
 		})
-		Convey("lags", func() {
-			late := standin.NewInstances(time.Hour)
-			s := httptest.NewServer(late)
+		Convey("lags behind changes", func() {
+			lagging := standin.NewInstances(time.Hour)
+			s := httptest.NewServer(lagging)
 			defer s.Close()
-			late.Set(hookhall.Instance{ID: "a"})
+			lagging.Set(hookhall.Instance{ID: "a"})
 			all, err := instances.New(strings.TrimPrefix(s.URL, "http://")).List(context.Background())
 			So(err, ShouldBeNil)
 			So(all, ShouldBeEmpty)
--- a/contract_keyvalue_test.go
+++ b/contract_keyvalue_test.go
@@ -18,8 +18,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// keyValues are the implementations that the contract is run against, each with
-// the switches of the service behind it.
+// keyValues are the implementations that TestKeyValueContract runs against, by name. Each
+// constructor also returns a function that injects faults into the service.
 var keyValues = map[string]func(t *testing.T) (hookhall.KeyValue, func(standin.KeyValueFaults)){
 	"HTTP against the stand-in": func(t *testing.T) (hookhall.KeyValue, func(standin.KeyValueFaults)) {
 		kv := standin.NewKeyValue()
@@ -29,10 +29,13 @@
 	},
 }
 
+// TestKeyValueContract guards against a KeyValue that overwrites a value which its caller has
+// not read, misses a change while watching, or reports a failed call as an answer. A write
+// whose answer was lost has to fail with ErrUnavailable, since it may have taken effect.
 func TestKeyValueContract(t *testing.T) {
-	for name, make := range keyValues {
+	for name, newKeyValue := range keyValues {
 		Convey("A key-value service, "+name, t, func() {
-			kv, faults := make(t)
+			kv, setFaults := newKeyValue(t)
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			put := func(key, value string, index uint64) bool {
@@ -40,12 +43,12 @@
 				So(err, ShouldBeNil)
 				return ok
 			}
-			Convey("has nothing under a new key", func() {
+			Convey("returns a zero entry for a key that was never written", func() {
 				e, err := kv.Get(ctx, "new")
 				So(err, ShouldBeNil)
 				So(e, ShouldResemble, hookhall.Entry{})
 			})
-			Convey("swaps only what the writer has seen", func() {
+			Convey("writes only if the index is still the one given", func() {
 				So(put("k", "one", 0), ShouldBeTrue)
 				So(put("k", "two", 0), ShouldBeFalse)
 				e, err := kv.Get(ctx, "k")
@@ -53,32 +56,32 @@
 				So(string(e.Value), ShouldEqual, "one")
 				So(put("k", "two", e.Index), ShouldBeTrue)
 				So(put("k", "three", e.Index), ShouldBeFalse)
-				now, err := kv.Get(ctx, "k")
+				replaced, err := kv.Get(ctx, "k")
 				So(err, ShouldBeNil)
-				So(string(now.Value), ShouldEqual, "two")
-				So(now.Index, ShouldBeGreaterThan, e.Index)
+				So(string(replaced.Value), ShouldEqual, "two")
+				So(replaced.Index, ShouldBeGreaterThan, e.Index)
 			})
-			Convey("wakes a watch when the key changes, and returns when the wait is over", func() {
+			Convey("returns from a watch when the key changes or the wait has passed", func() {
 				So(put("w", "one", 0), ShouldBeTrue)
 				e, err := kv.Watch(ctx, "w", 0, time.Minute)
 				So(err, ShouldBeNil)
-				same, err := kv.Watch(ctx, "w", e.Index, 20*time.Millisecond)
+				unchanged, err := kv.Watch(ctx, "w", e.Index, 20*time.Millisecond)
 				So(err, ShouldBeNil)
-				So(same.Index, ShouldEqual, e.Index)
-				seen := waitFor(func() (hookhall.Entry, error) { return kv.Watch(ctx, "w", e.Index, time.Minute) })
+				So(unchanged.Index, ShouldEqual, e.Index)
+				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "w", e.Index, time.Minute) })
 				So(put("w", "two", e.Index), ShouldBeTrue)
-				r := <-seen
+				r := <-watch
 				So(r.err, ShouldBeNil)
 				So(string(r.entry.Value), ShouldEqual, "two")
 			})
-			Convey("wakes a watch on a key that does not exist yet", func() {
-				seen := waitFor(func() (hookhall.Entry, error) { return kv.Watch(ctx, "none", 0, time.Minute) })
+			Convey("returns from a watch of a missing key when the key is created", func() {
+				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "none", 0, time.Minute) })
 				So(put("none", "now", 0), ShouldBeTrue)
-				r := <-seen
+				r := <-watch
 				So(r.err, ShouldBeNil)
 				So(string(r.entry.Value), ShouldEqual, "now")
 			})
-			Convey("deletes, also what is not there", func() {
+			Convey("deletes a key, also one that does not exist", func() {
 				So(put("d", "one", 0), ShouldBeTrue)
 				So(kv.Delete(ctx, "d"), ShouldBeNil)
 				So(kv.Delete(ctx, "d"), ShouldBeNil)
@@ -86,14 +89,14 @@
 				So(err, ShouldBeNil)
 				So(e.Index, ShouldEqual, 0)
 			})
-			Convey("takes a megabyte and no more", func() {
+			Convey("accepts values of up to a megabyte", func() {
 				So(put("big", strings.Repeat("x", keyvalue.MaxValue), 0), ShouldBeTrue)
 				_, err := kv.CompareAndSwap(ctx, "bigger", []byte(strings.Repeat("x", keyvalue.MaxValue+1)), 0)
 				So(err, ShouldNotBeNil)
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeFalse)
 			})
-			Convey("is unavailable, not wrong, in an outage", func() {
-				faults(standin.KeyValueFaults{Down: true})
+			Convey("returns ErrUnavailable during an outage", func() {
+				setFaults(standin.KeyValueFaults{Down: true})
 				_, err := kv.Get(ctx, "k")
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 				ok, err := kv.CompareAndSwap(ctx, "k", nil, 0)
@@ -102,16 +105,16 @@
 				_, err = kv.Watch(ctx, "k", 1, time.Minute)
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 			})
-			Convey("ends a watch when an outage begins", func() {
+			Convey("ends a watch with ErrUnavailable when an outage begins", func() {
 				So(put("o", "one", 0), ShouldBeTrue)
 				e, err := kv.Get(ctx, "o")
 				So(err, ShouldBeNil)
-				seen := waitFor(func() (hookhall.Entry, error) { return kv.Watch(ctx, "o", e.Index, time.Minute) })
-				faults(standin.KeyValueFaults{Down: true})
-				So(errors.Is((<-seen).err, hookhall.ErrUnavailable), ShouldBeTrue)
+				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "o", e.Index, time.Minute) })
+				setFaults(standin.KeyValueFaults{Down: true})
+				So(errors.Is((<-watch).err, hookhall.ErrUnavailable), ShouldBeTrue)
 			})
-			Convey("may have written when its answer is lost", func() {
-				faults(standin.KeyValueFaults{LoseWrites: 1})
+			Convey("returns ErrUnavailable for a write whose answer is lost, which may have taken effect", func() {
+				setFaults(standin.KeyValueFaults{LoseWrites: 1})
 				ok, err := kv.CompareAndSwap(ctx, "lost", []byte("there"), 0)
 				So(ok, ShouldBeFalse)
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
@@ -119,34 +122,37 @@
 				So(err, ShouldBeNil)
 				So(string(e.Value), ShouldEqual, "there")
 			})
-			Convey("is unavailable when it is too slow", func() {
-				faults(standin.KeyValueFaults{SlowMS: 500})
-				short, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
+			Convey("returns ErrUnavailable when the answer takes too long", func() {
+				setFaults(standin.KeyValueFaults{SlowMS: 500})
+				shortCtx, cancel := context.WithTimeout(ctx, 20*time.Millisecond)
 				defer cancel()
-				_, err := kv.Get(short, "k")
+				_, err := kv.Get(shortCtx, "k")
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 			})
 		})
 	}
 }
 
-type watched struct {
+// watchResult is what a watch returned.
+type watchResult struct {
 	entry hookhall.Entry
 	err   error
 }
 
-// waitFor runs a watch beside the test.
-func waitFor(watch func() (hookhall.Entry, error)) <-chan watched {
-	c := make(chan watched, 1)
+// watchAsync runs a watch concurrently with the test and returns a channel for its result.
+func watchAsync(watch func() (hookhall.Entry, error)) <-chan watchResult {
+	c := make(chan watchResult, 1)
 	go func() {
 		e, err := watch()
-		c <- watched{e, err}
+		c <- watchResult{e, err}
 	}()
 	return c
 }
 
+// TestKeyValueGarbage guards against a client that takes an answer which is not in the service's
+// format for a missing key.
 func TestKeyValueGarbage(t *testing.T) {
-	Convey("A service that answers nonsense is unavailable", t, func() {
+	Convey("A service whose answers can't be decoded is unavailable", t, func() {
 		for _, answer := range []string{"", "{}", "[]", "[{},{}]", "<html>"} {
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(answer)) }))
 			_, err := keyvalue.New(strings.TrimPrefix(s.URL, "http://")).Get(context.Background(), "k")
--- a/contract_peer_test.go
+++ b/contract_peer_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/grpc"
 )
 
-// echo is a peer's handler that answers with what it was asked.
+// echo is a handler of peers' calls that answers with what it received.
 type echo struct{}
 
 func (echo) HandleProbe(_ context.Context, p hookhall.Probe) hookhall.ProbeReply {
@@ -47,16 +47,18 @@
 	return hookhall.TableDocument{Version: have + 1, Root: []byte("r"), Chunks: [][]byte{[]byte("c")}}
 }
 
+// TestPeerContract guards against a field that is lost or altered between a peer's client and
+// its server, for example because the conversion to protocol buffers omits it.
 func TestPeerContract(t *testing.T) {
-	Convey("A peer over gRPC answers with what its handler says, whole", t, func() {
+	Convey("A peer over gRPC returns the complete reply of its handler", t, func() {
 		const secret = "the-secret"
 		s := peers.NewServer(echo{}, secret, log.New(io.Discard))
-		g := grpc.NewServer(grpc.UnaryInterceptor(s.Check))
-		s.Register(g)
+		server := grpc.NewServer(grpc.UnaryInterceptor(s.Check))
+		s.Register(server)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
-		go func() { _ = g.Serve(l) }() // ends with Stop
-		Reset(g.Stop)
+		go func() { _ = server.Serve(l) }() // ends with Stop
+		Reset(server.Stop)
 		clients := peers.NewClients(secret)
 		Reset(clients.Close)
 		p := clients.Peer(l.Addr().String())
@@ -85,9 +87,9 @@
 		So(fetched.Slots[0].Slot, ShouldEqual, 11)
 		So(fetched.Slots[0].Layers, ShouldResemble, []uint64{5})
 		So(fetched.Slots[0].Records[0].Sequence, ShouldEqual, 2)
-		whole, err := p.Whole(ctx, 4)
+		complete, err := p.Whole(ctx, 4)
 		So(err, ShouldBeNil)
-		So(whole, ShouldBeTrue)
+		So(complete, ShouldBeTrue)
 		lease, err := p.Take(ctx, hookhall.TakeRequest{From: "a", Wants: []hookhall.Want{{Account: "acme", Rate: 3, Held: 1, Concurrency: 2}}})
 		So(err, ShouldBeNil)
 		So(lease.Leases[0], ShouldResemble, hookhall.ShareLease{Account: "acme", Rate: 3, Concurrency: 3, Limited: true, RetryAfter: time.Second})
@@ -95,8 +97,8 @@
 		So(err, ShouldBeNil)
 		So(table.Version, ShouldEqual, 4)
 
-		Convey("and fails, at once, when nobody listens", func() {
-			g.Stop()
+		Convey("and fails at once when no process listens", func() {
+			server.Stop()
 			_, err := p.Whole(ctx, 4)
 			So(err, ShouldNotBeNil)
 			So(ctx.Err(), ShouldBeNil)
--- a/forward.go
+++ b/forward.go
@@ -12,163 +12,165 @@
 	"github.com/pkg/errors"
 )
 
-// Call is one client's request, passed on unaltered.
+// Call is a client's request, which is forwarded unaltered.
 type Call struct {
 	Method string
-	URI    string // path and query, as sent
+	URI    string // path and query, as received
 	Host   string
 	Header http.Header
 	Body   []byte
 	CallInfo
 }
 
-// CallInfo is what the product needs to know of a call; a Dialect reads them.
+// CallInfo is what a gateway needs to know about a call. A Dialect reads it from the header.
 type CallInfo struct {
-	// ID names the call; targets echo it.
+	// ID identifies the call; targets echo it.
 	ID string
-	// Credential is the client's key, "" without one.
+	// Credential is the client's key, "" if there is none.
 	Credential string
-	// Wait is how long the client waits; 0 when it doesn't say.
+	// Wait is how long the client waits for the answer; 0 when the call doesn't specify it.
 	Wait time.Duration
-	// Prompt lists the parts of a prompt in order; the last is the request's own.
+	// Prompt lists the parts of the prompt in order. The last one is the request's own;
+	// requests may share the others.
 	Prompt []PromptPart
-	// TokensOut is the most tokens that may come out.
+	// TokensOut is the maximum number of output tokens.
 	TokensOut int
-	// Pieces has the number of pieces of each stage; 0 leaves a stage out.
+	// Pieces is the number of pieces per stage, indexed by stage; 0 skips the stage.
 	Pieces []int
-	// PieceKey goes to stages that read no results.
+	// PieceKey is passed to the stages that read no results of other stages.
 	PieceKey string
-	// LastEvent is the id of the last event that the client has.
+	// LastEvent is the ID of the last event that the client received.
 	LastEvent string
 }
 
-// PromptPart is a part of a prompt, by its content's id.
+// PromptPart is a part of a prompt, identified by its content.
 type PromptPart struct {
-	ID     string
-	Tokens int
+	ID     string // of the content
+	Tokens int    // length
 }
 
-// Attempt is what the product adds when it sends a call to a target.
+// Attempt is what a gateway adds to a call when it sends the call to a target.
 type Attempt struct {
 	Target  Target
-	Account string
-	Left    time.Duration // of the call's deadline
-	Urgency int           // 0 to 9, 0 first
-	Inputs  []string      // results that the target reads
-	// Once is set for a call that may run only once. It goes on a new connection:
-	// a kept one may be dead without a sign, and what was written to it may have
-	// run, while a connection that can't be opened proves that nothing ran.
+	Account string        // name of the client account, "" if there is none
+	Left    time.Duration // until the deadline of the call
+	Urgency int           // priority from 0, the most urgent, to 9
+	Inputs  []string      // handles of the results that the target reads
+	// Once is set for a call that may run only once. It is sent on a new connection.
+	// A kept one may be dead without a sign, and what was written to it may have run,
+	// while a connection that can't be opened proves that nothing ran.
 	Once bool
-	// After is the id of the last event that the client has, to resume a
-	// stream; "" begins it.
+	// After is the ID of the last event that the client received, to resume a
+	// stream there; "" starts the stream from its beginning.
 	After string
 }
 
-// ReplyInfo is what the product needs to know of a target's answer; a Dialect
-// reads them from its head.
+// ReplyInfo is what a gateway needs to know about a target's answer. A Dialect
+// reads it from the status and the header.
 type ReplyInfo struct {
-	// ID is the call that the answer belongs to, "" when it doesn't say.
+	// ID is the ID of the call that was answered, "" when the answer doesn't state it.
 	ID string
 	// Sealed is set when the answer bears the target's signature.
 	Sealed bool
-	// NotRun is the target's word that the call did not run.
+	// NotRun is set when the target states that the call did not run.
 	NotRun bool
-	// Misdirected is set when another target answered.
+	// Misdirected is set when a target other than the addressed one answered.
 	Misdirected bool
-	// InputGone is set when the target lacked a result it had to read.
+	// InputGone is set when the target could not get a result that it had to read.
 	InputGone bool
-	// Load is the target's report, if one came.
+	// Load is the target's load report, zero if the answer has none.
 	Load LoadReport
 	// Advisory is what the target announces about further requests.
 	Advisory Advisory
 }
 
-// Reply is a target's answer whose head has come.
+// Reply is a target's answer of which the head was received.
 type Reply struct {
 	Status int
 	Header http.Header
-	// Length is the body's, -1 when it is not announced.
+	// Length is the length of the body in bytes, -1 when it is not announced.
 	Length int64
 	Info   ReplyInfo
-	// Body must be closed. An answer that was cut ends with an error other
+	// Body must be closed. Reading a truncated answer ends with an error other
 	// than io.EOF.
 	Body io.ReadCloser
 }
 
-// Dialect translates between calls and the header fields of a platform. It
-// decides nothing and keeps nothing.
+// Dialect translates between calls and the header fields of a platform. It is
+// stateless and makes no decisions.
 type Dialect interface {
-	// Read reads a client's marks.
+	// Read reads the CallInfo of a client's request.
 	Read(h http.Header) (CallInfo, error)
-	// EndToEnd tells whether a field belongs to the platform's protocol. Such a
-	// field is passed on even when Connection names it, so that no client can have
-	// one taken off its request on the way.
+	// EndToEnd reports whether a field belongs to the platform's protocol. Such a
+	// field is forwarded even when Connection names it, so that no client can have
+	// one removed from its request on the way.
 	EndToEnd(name string) bool
-	// Outgoing returns the header of one attempt; the call's own is not changed.
+	// Outgoing returns the header of one attempt; it doesn't modify the header of c.
 	Outgoing(c *Call, a Attempt) http.Header
-	// ReadReply reads the marks of a target's answer.
+	// ReadReply reads the ReplyInfo of a target's answer.
 	ReadReply(status int, h http.Header) ReplyInfo
-	// Refusal writes when to come back.
+	// Refusal adds to the header of a refusal after which time the client may retry.
 	Refusal(h http.Header, after time.Duration)
 }
 
-// AnswerWriter is where an answer to a call is written.
+// AnswerWriter writes the answer to a call.
 type AnswerWriter interface {
-	// Begin writes the head; h is not kept.
+	// Begin writes the status and the header. It doesn't retain h.
 	Begin(status int, h http.Header)
-	// Chunk writes a part of the body and sends it.
+	// Chunk writes a part of the body and flushes it.
 	Chunk(b []byte) error
 }
 
-// ErrCut is the error of an answer that had begun and can't be ended.
+// ErrCut is returned for an answer that had begun and can't be completed.
 var ErrCut = errors.New("the answer was cut")
 
-// Sender passes calls to targets.
+// Sender forwards calls to targets.
 type Sender interface {
-	// Send returns once the head of the answer to c has come. Errors are
-	// *Error: NotRun when nothing was sent, MayHaveRun otherwise. Ending ctx
+	// Send returns once the head of the answer to c was received. Errors are
+	// *Error: NotRun when nothing was sent, MayHaveRun otherwise. Canceling ctx
 	// closes the connection.
 	Send(ctx context.Context, c *Call, a Attempt) (*Reply, error)
 }
 
-// Piece is one piece of a stage's work.
+// Piece is one item of a stage call.
 type Piece struct {
-	Call   string // the request's id
-	Stage  int
-	Index  int
-	Key    string   // for stages without inputs
-	Inputs []string // handles, for stages with inputs
-	Left   time.Duration
+	Call   string        // ID of the request
+	Stage  int           // number of the stage, from 0
+	Index  int           // of the piece within the stage of the request
+	Key    string        // for stages without inputs
+	Inputs []string      // handles, for stages with inputs
+	Left   time.Duration // until the deadline of the piece
 }
 
-// PieceFailure says why a piece was not made.
+// PieceFailure is the reason why a piece was not made.
 type PieceFailure string
 
-// The failures of pieces.
+// The reasons why a piece was not made. Targets send the values of all but
+// PieceNoTarget and PieceCrashes.
 const (
-	PieceLate   PieceFailure = "late"
-	PieceGone   PieceFailure = "gone" // an input is gone
-	PieceNoRoom PieceFailure = "room"
-	PieceError  PieceFailure = "error"
-	// PieceNoTarget is this product's own: no target may make the piece.
+	PieceLate   PieceFailure = "late"  // the deadline of the piece passed
+	PieceGone   PieceFailure = "gone"  // an input no longer exists
+	PieceNoRoom PieceFailure = "room"  // the target has no memory for the result
+	PieceError  PieceFailure = "error" // making the piece failed
+	// PieceNoTarget is set by the broker: no target may make the piece.
 	PieceNoTarget PieceFailure = "no target"
-	// PieceCrashes is this product's own: targets ended while they made pieces of the
-	// same content.
+	// PieceCrashes is set by the broker: targets crashed while they made pieces of the
+	// same request content.
 	PieceCrashes PieceFailure = "crashes targets"
 )
 
-// PieceResult is a handle, or why there is none.
+// PieceResult is the handle of a piece's result, or the reason why there is none.
 type PieceResult struct {
-	Handle  string
+	Handle  string // "" on failure
 	Failure PieceFailure
 }
 
 // StagePool makes pieces at targets.
 type StagePool interface {
-	// Make runs one call. The results are in the order of the pieces.
+	// Make runs one call with pieces at t. The results are in the order of the pieces.
 	Make(ctx context.Context, t Target, pieces []Piece) ([]PieceResult, error)
-	// Free releases results of the target at address.
+	// Free releases results that are held by the target at address.
 	Free(ctx context.Context, address string, handles []string) error
-	// Maker is the address of the target that holds a result.
+	// Maker returns the address of the target that made and holds a result.
 	Maker(handle string) string
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -17,60 +17,74 @@
 	Index uint64
 }
 
-// ErrUnavailable is returned (wrapped) by platform adapters when no answer
-// came: a write may or may not have taken effect.
+// ErrUnavailable is returned (wrapped) by platform adapters when they received
+// no answer. A write may or may not have taken effect.
 var ErrUnavailable = errors.New("platform unavailable")
 
 // KeyValue is the platform's key-value service.
 type KeyValue interface {
-	// Get reads a key; a missing key is Entry{} without error.
+	// Get reads a key. A missing key is Entry{} without an error.
 	Get(ctx context.Context, key string) (Entry, error)
-	// CompareAndSwap writes value if the key's index still is index (0: the
-	// key must not exist). An error means that the outcome is not known.
+	// CompareAndSwap writes value if the key still has the index (0: the key must
+	// not exist), and reports whether it did. After an error it is not known
+	// whether the value was written.
 	CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
-	// Delete removes a key; a missing one is no error.
+	// Delete removes a key. Deleting a missing key is not an error.
 	Delete(ctx context.Context, key string) error
-	// Watch waits until the key's index differs from index or wait has
-	// passed, and returns what the key holds then.
+	// Watch blocks until the key's index differs from index or wait has passed,
+	// and returns the value and index at that time.
 	Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Entry, error)
 }
 
-// InstanceList is the platform's list of live and leaving instances. It lags.
+// InstanceList is the platform's list of live and leaving instances. It lags
+// behind the actual state.
 type InstanceList interface {
 	List(ctx context.Context) ([]Instance, error)
 }
 
 // Backend calls targets. Errors are *Error with a verdict.
 type Backend interface {
-	// Call runs one stage call. For streaming targets emit gets each chunk
-	// in order; an error of emit cancels the call at the target. Canceling
+	// Call runs one stage call. For streaming targets emit receives the chunks in
+	// order; if it returns an error the call is canceled at the target. Canceling
 	// ctx cancels the call at the target as well.
 	Call(ctx context.Context, t Target, c StageCall, emit func([]byte) error) (StageResult, error)
-	// Load reads the target's own report.
+	// Load reads the target's load report.
 	Load(ctx context.Context, t Target) (LoadReport, error)
 }
 
-// Prober finds out whether anything listens at a target's address.
+// Prober checks whether a process listens at a target's address.
 type Prober interface {
-	// Refuses tells whether the address refuses a new connection: the process that
-	// listened there has ended. An address that does not answer says nothing.
+	// Refuses reports whether the address refuses a new connection, which shows that
+	// the process that listened there has ended. It is false for an address that does
+	// not answer, which shows nothing.
 	Refuses(ctx context.Context, address string) bool
 }
 
-// Peer is another entry process.
+// Peer is a client of another entry process.
 type Peer interface {
+	// Probe sends a heartbeat.
 	Probe(ctx context.Context, p Probe) (ProbeReply, error)
+	// ProbeFor asks the peer to probe the entry at address, and reports whether the
+	// peer reached it.
 	ProbeFor(ctx context.Context, address string) (bool, error)
+	// Claim asks the peer, as the owner of a key, for the right to run its request.
 	Claim(ctx context.Context, c ClaimRequest) (ClaimReply, error)
+	// Copy stores a record of the caller at the peer, its standby in the view of epoch.
 	Copy(ctx context.Context, epoch uint64, r Record) (CopyReply, error)
+	// Settle ends a claim at the peer, its owner.
 	Settle(ctx context.Context, s Settlement) (CopyReply, error)
+	// Fetch reads the peer's records of slots.
 	Fetch(ctx context.Context, f FetchRequest) (FetchReply, error)
+	// Whole reports whether the peer has reached epoch and has all records of its slots.
 	Whole(ctx context.Context, epoch uint64) (bool, error)
+	// Take leases shares of accounts' limits from the peer, their owner.
 	Take(ctx context.Context, t TakeRequest) (TakeReply, error)
+	// Table reads the peer's current table. have is the caller's version: the document
+	// has only chunks that are newer, and neither root nor chunks if the peer's table is not.
 	Table(ctx context.Context, have uint64) (TableDocument, error)
 }
 
-// Peers finds the client of the peer at an address.
+// Peers returns the client of the peer at an address.
 type Peers interface {
 	Peer(address string) Peer
 }
--- a/request.go
+++ b/request.go
@@ -7,7 +7,7 @@
 
 // Request is one caller's request, as admitted by an entry.
 type Request struct {
-	// ID is unique to this admission; retries by the caller get new ones.
+	// ID is unique to this admission; a retry by the caller gets a new one.
 	ID string
 	// Account is the authenticated client account.
 	Account string
@@ -15,18 +15,18 @@
 	Key string
 	// Pipeline names the pipeline to run.
 	Pipeline string
-	// Class is the class of work, "" for none.
+	// Class names a row of the classes sheet, "" for none.
 	Class string
 	// Input is the first stage's input.
 	Input []byte
-	// MaxTokens bounds what the generating stages may emit.
+	// MaxTokens limits the output of the generating stages; 0 for no limit but theirs.
 	MaxTokens int
-	// Deadline is when the answer loses its worth, by this process's clock.
+	// Deadline is the time after which the answer is worthless, by this process's clock.
 	Deadline time.Time
 	// Repeatable is false for work that must run at most once.
 	Repeatable bool
-	// Digest is the hash of pipeline, input and size: the same key with
-	// another digest is refused.
+	// Digest is the hash of pipeline, class, MaxTokens and input. A request with the
+	// same key and another digest is refused.
 	Digest uint64
 }
 
@@ -35,17 +35,17 @@
 	Stage  string  `json:"stage"`
 	Calls  int     `json:"calls"`
 	Tokens int     `json:"tokens"`
-	WaitMS float64 `json:"wait_ms"` // in hookhall's and the target's queues
+	WaitMS float64 `json:"wait_ms"` // in the queues of hookhall and of the targets
 	BusyMS float64 `json:"busy_ms"` // running at targets
 }
 
-// Answer is the whole answer to one request.
+// Answer is the complete answer to one request.
 type Answer struct {
 	// Output is the last stage's output.
 	Output []byte `json:"output"`
 	// Cost has one row per stage, in the pipeline's order.
 	Cost []StageCost `json:"cost"`
-	// Replayed is set when the answer is the stored one of an earlier run.
+	// Replayed is set when this is the stored answer of an earlier run.
 	Replayed bool `json:"replayed,omitempty"`
 	// FirstToken is the time from admission to the first streamed chunk.
 	FirstToken time.Duration `json:"first_token_ns,omitempty"`
@@ -61,18 +61,18 @@
 	Digest  uint64
 	// Input is the stage's input.
 	Input []byte
-	// MaxTokens bounds generation.
+	// MaxTokens limits the output.
 	MaxTokens int
-	// Priority is passed on to engines; higher goes first.
+	// Priority is forwarded to the target; higher values run first.
 	Priority int
-	// Deadline is passed on as remaining milliseconds.
+	// Deadline is sent as the number of milliseconds remaining.
 	Deadline time.Time
-	// Key is the key under which targets that check may drop doubles.
+	// Key is an idempotency key. Targets that check it may discard duplicates.
 	Key string
 	// Epoch and Token fence the call at targets that check them.
 	Epoch uint64
 	Token uint64
-	// Once forbids a second attempt unless the first was NotRun.
+	// Once forbids a second attempt unless the verdict on the first was NotRun.
 	Once bool
 }
 
@@ -80,9 +80,10 @@
 type StageResult struct {
 	Output []byte
 	Tokens int
-	// Queue and Busy are the target's own account of its time.
+	// Queue is the time that the call was queued, and Busy the time that it ran, both
+	// as reported by the target.
 	Queue time.Duration
 	Busy  time.Duration
-	// Load is the report that came with the answer.
+	// Load is the load report that came with the answer.
 	Load LoadReport
 }
--- a/revision_test.go
+++ b/revision_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRevisionOrder: revisions are in the order of eras first, and keep both numbers.
+// TestRevisionOrder guards against a Revision that loses a part of its era or count, and against
+// an order that puts an answer of an earlier era after one of a later era.
 func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (era, count uint64, r hookhall.Revision) {
@@ -19,7 +20,7 @@
 			count = rapid.Uint64Range(0, 1<<48-1).Draw(t, name+" count")
 			r, err := hookhall.NewRevision(era, count)
 			if err != nil || r.Era() != era || r.Count() != count {
-				t.Fatalf("%d/%d became %v: %v", era, count, r, err)
+				t.Fatalf("%d/%d resulted in %v: %v", era, count, r, err)
 			}
 			return era, count, r
 		}
@@ -32,11 +33,12 @@
 	})
 }
 
-// TestRevisionRange: what a revision can't tell is an error, and not another revision.
+// TestRevisionRange guards against an era or a count that is too large being truncated to
+// another, valid revision instead of an error.
 func TestRevisionRange(t *testing.T) {
 	for _, c := range [][2]uint64{{1 << 16, 0}, {0, 1 << 48}, {1<<64 - 1, 1<<64 - 1}} {
 		if r, err := hookhall.NewRevision(c[0], c[1]); !errors.Is(err, hookhall.ErrRevision) || r != 0 {
-			t.Errorf("%d/%d became %v: %v", c[0], c[1], r, err)
+			t.Errorf("%d/%d resulted in %v: %v", c[0], c[1], r, err)
 		}
 	}
 }
--- a/rollout.go
+++ b/rollout.go
@@ -10,23 +10,24 @@
 type Rollout struct {
 	Service string
 	Version string // of the new targets' software
-	// Time is how long after the order it should be completed, or rolled back.
+	// Time is how long after the order the rollout should be completed or rolled back.
 	Time time.Duration
-	// Revision is the store's at the order; a later one for the service takes its place.
+	// Revision is the store's revision at the order. An order with a higher one
+	// replaces this one for the same service.
 	Revision Revision
 }
 
-// RolloutState is what operators are told of a Rollout.
+// RolloutState is the state of a Rollout that is shown to operators.
 type RolloutState string
 
-// The states. One that is final does not change any more.
+// The states of a Rollout. RolloutCompleted and RolloutRolledBack are final.
 const (
 	RolloutRunning    RolloutState = "running"
 	RolloutCompleted  RolloutState = "completed"
 	RolloutRolledBack RolloutState = "rolled back"
 )
 
-// Final tells whether a Rollout has ended.
+// Final reports whether the Rollout has ended, after which its state does not change.
 func (s RolloutState) Final() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
 // RolloutStatus is the state of the Rollout to a version.
@@ -35,16 +36,19 @@
 	State   RolloutState
 }
 
-// RolloutKeys tells where Rollouts lie in a store and how they are read and written.
+// RolloutKeys defines the keys of Rollouts in a store, and how their values are decoded
+// and encoded.
 type RolloutKeys interface {
-	// Rollout reads an order; ok is false for keys of other matters. The revision is left
-	// out.
+	// Rollout decodes an order, without its Revision. ok is false if the key is not that
+	// of an order.
 	Rollout(key string, value []byte) (order Rollout, ok bool, err error)
-	// RolloutService is the service that a key orders a Rollout of; ok is false for keys
-	// of other matters.
+	// RolloutService returns the service of the order with a key. ok is false if the key
+	// is not that of an order.
 	RolloutService(key string) (service string, ok bool)
-	// StatusKey is where the state of a service's Rollout is told.
+	// StatusKey returns the key of the RolloutStatus of a service.
 	StatusKey(service string) string
+	// ReadStatus decodes the value of a StatusKey.
 	ReadStatus(value []byte) (RolloutStatus, error)
+	// WriteStatus encodes the value of a StatusKey.
 	WriteStatus(s RolloutStatus) ([]byte, error)
 }
--- a/routing.go
+++ b/routing.go
@@ -5,20 +5,20 @@
 
 import "time"
 
-// Routing is the operators' table in the form in which a gateway follows it:
-// which requests exist, who may send them, and what serves them. It is
+// Routing is the operators' table in the form that a gateway uses: which
+// requests exist, who may send them, and which targets serve them. It is
 // immutable once published.
 type Routing struct {
-	// Version is the operators' own number; it only rises.
+	// Version is assigned by the operators and only increases.
 	Version  int64
 	Routes   []Route
 	Services []Service
-	// Accounts are the client accounts; without any, no request needs a key.
+	// Accounts are the client accounts; if there are none, no request needs a key.
 	Accounts []AccountKeys
 	Limits   RequestLimits
 }
 
-// RouteKind says what may be repeated on a route.
+// RouteKind determines whether requests of a route may run more than once.
 type RouteKind string
 
 // The kinds of routes.
@@ -32,39 +32,39 @@
 	KindStreaming RouteKind = "streaming"
 )
 
-// Route is one kind of request: a host and the path's beginning.
+// Route is one kind of request, selected by a host and a path prefix.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   RouteKind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
-	// Objective is the time to the answer, or to the first event, that earns
-	// full worth.
+	// Objective is the latency up to which an answer has its full value: the time
+	// until the answer, or until its first event on a streaming route.
 	Objective time.Duration
-	// Patience is how long a client waits for the first event, or the next one;
-	// 0 for as long as it waits for the whole.
+	// Patience is the stall timeout: how long a client waits for the first event or
+	// for the next one; 0 if it waits for as long as for the complete answer.
 	Patience time.Duration
-	// Gap is the longest pause between events; 0 when none is set.
+	// Gap is the longest pause between events that meets the objective; 0 when none is set.
 	Gap time.Duration
-	// Priority is the rank, 0 being the most urgent.
+	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
-	// Backends are the services that run the request, by weight.
+	// Backends are the services that run the request, chosen by weight.
 	Backends []WeightedService
-	// MaxAttempts bounds the targets that one request may run on.
+	// MaxAttempts limits the number of targets that one request may run on.
 	MaxAttempts int
-	// Stages are the work that must be done before the request may run.
+	// Stages must be completed before the request may run.
 	Stages []StageSpec
-	// Public routes need no key.
+	// Public is set for routes whose requests need no key.
 	Public bool
-	// Resumable streams may go on at another target.
+	// Resumable is set when a stream may continue at another target.
 	Resumable bool
 	// Regions are where the route's requests may run; none means everywhere.
 	Regions []string
 }
 
-// Repeatable tells whether a request may run a second time.
+// Repeatable reports whether a request may run a second time.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindSafe || (r.Kind == KindStreaming && r.Resumable)
 }
@@ -72,49 +72,49 @@
 // WeightedService is a service with its share of a route's requests.
 type WeightedService struct {
 	Service string
-	Weight  int
+	Weight  int // relative to the sum of the route's weights
 }
 
-// StageSpec is one stage of a route. Stages are numbered from 0 and depend on
-// earlier ones.
+// StageSpec is one stage of a route. Stages are numbered from 0 and depend only
+// on earlier ones.
 type StageSpec struct {
 	Service string
-	// After lists the stages whose results this one reads.
+	// After lists the numbers of the stages whose results this one reads.
 	After []int
-	// Bytes is roughly the size of one result.
+	// Bytes is the approximate size of the result of one piece.
 	Bytes float64
 }
 
-// Service is a pool of alike targets.
+// Service is a pool of targets of the same kind.
 type Service struct {
 	Name     string
-	MaxConns int // connections a target takes from all callers together
-	// ColdRate is how many requests a second a cold target bears from the whole
-	// fleet, and ColdTime how long it stays cold after a start; 0 when the
+	MaxConns int // connections that a target accepts from all callers together
+	// ColdRate is how many requests per second from the whole fleet a cold target can
+	// serve, and ColdTime how long a target is cold after its start; 0 when the
 	// service's targets are never cold.
 	ColdRate float64
 	ColdTime time.Duration
-	// Engine is set for model engines.
+	// Engine is set for model engines, nil for other services.
 	Engine *EngineSpec
-	// Pool is set for stage pools.
+	// Pool is set for stage pools, nil for other services.
 	Pool *PoolSpec
 }
 
-// EngineSpec is what the operators tell of a model engine.
+// EngineSpec describes the targets of a model engine, as configured by the operators.
 type EngineSpec struct {
 	Slots  int // requests in one batch
-	Memory int // tokens held by running requests and cached parts
+	Memory int // tokens held by running requests and cached prompt parts
 }
 
-// PoolSpec is what the operators tell of a stage pool's targets.
+// PoolSpec describes the targets of a stage pool, as configured by the operators.
 type PoolSpec struct {
-	Slots    int           // calls at work at once
-	Queue    int           // calls that may wait
-	Batch    int           // most pieces in a call
-	CallTime time.Duration // a call's own time
-	ItemTime time.Duration // a piece's time, roughly
-	Room     float64       // bytes for results
-	Keep     time.Duration // how long an unclaimed result is kept
+	Slots    int           // calls that run at the same time
+	Queue    int           // calls that may be queued
+	Batch    int           // maximum number of pieces in a call
+	CallTime time.Duration // fixed duration of a call, to which ItemTime is added per piece
+	ItemTime time.Duration // approximate duration of a piece
+	Room     float64       // memory for results, in bytes
+	Keep     time.Duration // how long the target keeps an unclaimed result
 }
 
 // AccountKeys is a client account with its credentials.
@@ -126,7 +126,7 @@
 	Regions []string
 }
 
-// RequestLimits bound what a client may send. Zero means no limit.
+// RequestLimits limit what a client may send. Zero means no limit.
 type RequestLimits struct {
 	MaxHeader     int // bytes
 	MaxBody       int // bytes
--- a/table.go
+++ b/table.go
@@ -16,15 +16,16 @@
 	SheetTargets  Sheet = "targets"
 )
 
-// Row is one row of the table as operators see it: cells by column name.
+// Row is one row of the table as shown to operators.
 type Row struct {
 	Sheet Sheet             `json:"sheet"`
 	Name  string            `json:"name"`
-	Cells map[string]string `json:"cells"`
+	Cells map[string]string `json:"cells"` // column name to value
 }
 
-// Edit changes one cell. An edit is applied only if the cell still holds Base,
-// unless Force is set; an empty Value with Delete removes the row.
+// Edit changes one cell. It is applied only if the cell still holds Base, unless
+// Force is set. An Edit with Delete has an empty Value and removes the whole row,
+// without regard to Base.
 type Edit struct {
 	Sheet  Sheet  `json:"sheet"`
 	Row    string `json:"row"`
@@ -42,24 +43,26 @@
 	KeyHash string
 	// Weight is the share among accounts of the same priority.
 	Weight float64
-	// Priority is 0 (lowest) to 9.
+	// Priority is from 0 (lowest) to 9.
 	Priority int
-	// Deadline applies when the caller names none; it is also the longest.
+	// Deadline is the time from a request's arrival to its deadline, when the caller
+	// requests no shorter one.
 	Deadline time.Duration
-	// Rate is requests a second over the whole fleet, 0 for no limit.
+	// Rate is the limit in requests per second for the whole fleet, 0 for no limit.
 	Rate float64
-	// Concurrency is requests at once over the whole fleet, 0 for no limit.
+	// Concurrency is the maximum number of simultaneous requests in the whole fleet,
+	// 0 for no limit.
 	Concurrency int
 }
 
-// Class is a compiled row of the classes sheet; zero cells leave the
-// account's value in force.
+// Class is a compiled row of the classes sheet. Empty cells leave the account's
+// values in effect.
 type Class struct {
 	Name       string
-	Weight     float64
-	Priority   int
-	Deadline   time.Duration
-	Repeatable bool
+	Weight     float64       // factor of the account's weight, 0 for an empty cell
+	Priority   int           // from 0 (lowest) to 9, -1 for an empty cell
+	Deadline   time.Duration // as Account.Deadline, 0 for an empty cell
+	Repeatable bool          // whether requests may run more than once
 }
 
 // Stage is one step of a pipeline, a compiled row of the stages sheet. The
@@ -67,13 +70,13 @@
 type Stage struct {
 	Name string
 	Pool string
-	// Pure stages have no effect outside and may always be retried.
+	// Pure is set for stages without external effects, which may always be retried.
 	Pure bool
-	// MaxTokens bounds the stage's output; 0 takes the request's.
+	// MaxTokens limits the stage's output; 0 applies the request's limit.
 	MaxTokens int
 }
 
-// Pipeline is the ordered stages of one pipeline.
+// Pipeline is a named sequence of stages.
 type Pipeline struct {
 	Name   string
 	Stages []Stage
--- a/target.go
+++ b/target.go
@@ -5,55 +5,58 @@
 
 import "time"
 
-// Target is one back end as the instance list and the table name it.
+// Target is one back end, as listed by the instance list and the table.
 type Target struct {
 	ID      string `json:"id"`
 	Pool    string `json:"pool"`
 	Hall    string `json:"hall"`
 	Address string `json:"address"`
-	// Streams is set for engines, whose answers come chunk by chunk.
+	// Streams is set for engines, whose answers are streamed in chunks.
 	Streams bool `json:"streams"`
-	// Leaving is set by the list, by the target itself, by its refusal or by
-	// the operator's cell; the first to say so wins.
+	// Leaving is set by the list, by the target itself, by its refusal or by the
+	// operator's cell; one of them is enough.
 	Leaving bool `json:"leaving"`
-	// Version is that of the target's software, "" when it doesn't say.
+	// Version is the version of the target's software, "" when it doesn't state it.
 	Version string `json:"version,omitempty"`
-	// Slots is how many calls it works on at once, 0 when it doesn't say.
+	// Slots is the number of calls that the target runs at the same time, 0 when it
+	// doesn't state it.
 	Slots int `json:"slots,omitempty"`
-	// Born tells the lives of a target apart that starts again under its id: the Unix
-	// millisecond of its start by its own clock, 0 when it doesn't say. A target knows
-	// nothing of its earlier lives.
+	// Born distinguishes the incarnations of a target that restarts under the same ID.
+	// It is the time of its start by its own clock, in Unix milliseconds, and 0 when it
+	// doesn't state it. A target has no state of its earlier incarnations.
 	Born int64 `json:"born,omitempty"`
-	// Beat counts the target's own heartbeats, 0 when it has none.
+	// Beat is the number of the target's own heartbeats, 0 when it has none.
 	Beat uint64 `json:"beat,omitempty"`
-	// ColdLeft is for how long the target stayed cold when it last wrote, by its
-	// own word: it works, but falls over under more than its service's ColdRate.
+	// ColdLeft is how long the target would remain cold when it last wrote its key, as
+	// reported by the target. A cold target works, but fails under more than its
+	// service's ColdRate.
 	ColdLeft time.Duration `json:"cold_left,omitempty"`
-	// ColdUntil is until when this process holds it to be cold, by this process's
-	// steady clock; zero for a target that is warm. It never travels.
+	// ColdUntil is when the target stops being cold, by this process's monotonic clock;
+	// zero for a target that is warm. It is never sent.
 	ColdUntil time.Time `json:"-"`
 }
 
-// Cold tells whether the target is held to be cold at a time.
+// Cold reports whether the target is cold at now.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// Life is one life of a target, from the start of its process to its end. What is
-// believed of a target by its id holds for one life: another one knows nothing of what
-// the target held, did or said before.
+// Life identifies an incarnation of a target, from the start of its process to its end.
+// State that is kept about a target is valid for one incarnation only: the next one has
+// no knowledge of what the earlier one held, did or reported.
 type Life struct {
 	ID   string
-	Born int64
+	Born int64 // Target.Born
 }
 
-// Life is the target's present one. Two lives of an id differ in their start; which came
-// later is told by the revision of the store at which each was listed, since the clocks
-// of targets jump.
+// Life returns the target's current incarnation. Two incarnations of an ID differ in Born,
+// which doesn't order them, since the clocks of targets jump. The later one is that which
+// was listed at the higher revision of the store.
 func (t Target) Life() Life { return Life{t.ID, t.Born} }
 
-// Software is what the target runs: its service and the version of that.
+// Software returns the target's service and the version of its software.
 func (t Target) Software() string { return t.Pool + " " + t.Version }
 
-// LoadReport is what a target says of itself, late.
+// LoadReport is a target's own report of its load. It is out of date by the time it
+// took to arrive.
 type LoadReport struct {
 	Running  int  `json:"running"`
 	Waiting  int  `json:"waiting"`
@@ -61,10 +64,10 @@
 	Leaving  bool `json:"leaving"`
 }
 
-// InstanceState is what the platform knows of an instance.
+// InstanceState is the state of an instance in the platform's list.
 type InstanceState string
 
-// The states of the platform's list. An instance that is not listed is gone.
+// The states of the platform's list. An instance that is not listed no longer exists.
 const (
 	InstanceLive    InstanceState = "live"
 	InstanceLeaving InstanceState = "leaving"
@@ -85,5 +88,5 @@
 	Address string        `json:"address"`
 	Streams bool          `json:"streams,omitempty"`
 	State   InstanceState `json:"state"`
-	Seen    time.Time     `json:"seen"`
+	Seen    time.Time     `json:"seen"` // when the instance was last reported to the list
 }
