--- a/advisory.go
+++ b/advisory.go
@@ -22,7 +22,7 @@
 // AdvisoryObserver receives the advisories of targets.
 type AdvisoryObserver interface {
 	// Advised is called with the advisory of each answer, also with the zero one. t sent
-	// the answer to a call that was sent to it at sent. Advised must not block.
+	// the answer to a call that was sent to it at sent. It must not block.
 	Advised(t Target, a Advisory, sent time.Time)
 }
 
--- a/peer.go
+++ b/peer.go
@@ -156,7 +156,7 @@
 	Concurrency int64
 }
 
-// ShareLease is what the account's owner granted for a Want.
+// ShareLease is what an account's owner granted in reply to a TakeRequest.
 type ShareLease struct {
 	Account string
 	// Rate is the number of requests granted from the rate limit.
@@ -175,7 +175,7 @@
 	Wants []Want
 }
 
-// TakeReply answers a TakeRequest, with the leases in the order of its wants.
+// TakeReply answers a TakeRequest, with one lease per account in the same order.
 type TakeReply struct {
 	Epoch  uint64
 	Leases []ShareLease
--- a/request.go
+++ b/request.go
@@ -80,10 +80,10 @@
 type StageResult struct {
 	Output []byte
 	Tokens int
-	// Queue is the time that the call was queued, and Busy the time that it ran, both
-	// as reported by the target.
+	// Queue is the time that the call was queued at the target, as reported by the target.
 	Queue time.Duration
-	Busy  time.Duration
+	// Busy is the time that the call ran, as reported by the target.
+	Busy time.Duration
 	// Load is the load report that came with the answer.
 	Load LoadReport
 }
--- a/routing.go
+++ b/routing.go
@@ -43,8 +43,8 @@
 	// Objective is the latency up to which an answer has its full value: the time
 	// until the answer, or until its first event on a streaming route.
 	Objective time.Duration
-	// Patience is the stall timeout: how long a client waits for the first event or
-	// for the next one; 0 if it waits for as long as for the complete answer.
+	// Patience is how long a client waits for the first event or for the next one before it
+	// gives up; 0 if it waits for as long as for the complete answer.
 	Patience time.Duration
 	// Gap is the longest pause between events that meets the objective; 0 when none is set.
 	Gap time.Duration
--- a/target.go
+++ b/target.go
@@ -39,17 +39,17 @@
 // Cold reports whether the target is cold at now.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// Life identifies an incarnation of a target, from the start of its process to its end.
-// State that is kept about a target is valid for one incarnation only: the next one has
-// no knowledge of what the earlier one held, did or reported.
+// Life identifies one run of a target, from the start of its process to its end.
+// State that is kept about a target is valid for one run only: the next one has no
+// knowledge of what the earlier one held, did or reported.
 type Life struct {
 	ID   string
 	Born int64 // Target.Born
 }
 
-// Life returns the target's current incarnation. Two incarnations of an ID differ in Born,
-// which doesn't order them, since the clocks of targets jump. The later one is that which
-// was listed at the higher revision of the store.
+// Life identifies the target's current incarnation. Two incarnations of an ID differ in
+// Target.Born, which doesn't order them, since the clocks of targets jump. The later one is
+// that which was listed at the higher revision of the store.
 func (t Target) Life() Life { return Life{t.ID, t.Born} }
 
 // Software returns the target's service and the version of its software.
