--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -59,51 +59,51 @@
 // fakeStore has one table and a list of targets; it can fail and forget.
 type fakeStore struct {
 	hookhall.Store
-	mu      sync.Mutex
-	at      hookhall.Revision
-	table   hookhall.Item
-	halls   map[string]hookhall.Revision // evacuated, with their keys' revisions
-	events  []hookhall.Item              // of the operators' keys
-	targets map[string]string
-	down    bool
-	horizon hookhall.Revision // history before it is gone
-	gets    int
-	ranges  int               // readings of the targets themselves
-	copied  map[string]string // what a copy has of them
-	forgot  int
-	seen    map[hookhall.Revision]map[string]string // the targets at revisions that were told
-	watches int                                     // of the targets
-	changed chan struct{}
+	mu                sync.Mutex
+	revision          hookhall.Revision
+	table             hookhall.Item
+	hallRevisions     map[string]hookhall.Revision // evacuated, with their keys' revisions
+	events            []hookhall.Item              // of the operators' keys
+	targets           map[string]string
+	down              bool
+	oldestRevision    hookhall.Revision // history before it is gone
+	operatorReads     int
+	targetReads       int               // readings of the targets themselves
+	staleTargets      map[string]string // what a copy has of them
+	historyGoneCount  int
+	targetsByRevision map[hookhall.Revision]map[string]string // the targets at revisions that were told
+	targetWatches     int                                     // of the targets
+	changed           chan struct{}
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{targets: map[string]string{}, halls: map[string]hookhall.Revision{}, seen: map[hookhall.Revision]map[string]string{}, changed: make(chan struct{})}
+	return &fakeStore{targets: map[string]string{}, hallRevisions: map[string]hookhall.Revision{}, targetsByRevision: map[hookhall.Revision]map[string]string{}, changed: make(chan struct{})}
 }
 
-func (s *fakeStore) change(f func()) {
+func (s *fakeStore) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at++
+	s.revision++
 	f()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *fakeStore) setTable(version int64) {
-	s.change(func() {
+	s.update(func() {
 		b, _ := json.Marshal(hookhall.Routing{Version: version})
-		s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.at}
+		s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.revision}
 		s.events = append(s.events, s.table)
 	})
 }
 
 // evacuate writes or removes a hall's key.
-func (s *fakeStore) evacuate(hall string, on bool) {
-	s.change(func() {
-		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.at, Gone: !on})
-		delete(s.halls, hall)
+func (s *fakeStore) setEvacuated(hall string, on bool) {
+	s.update(func() {
+		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.revision, Gone: !on})
+		delete(s.hallRevisions, hall)
 		if on {
-			s.halls[hall] = s.at
+			s.hallRevisions[hall] = s.revision
 		}
 	})
 }
@@ -112,16 +112,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if prefix == "op/" {
-		return s.operators()
+		return s.operatorItems()
 	}
-	s.ranges++
-	s.seen[s.at] = maps.Clone(s.targets)
-	return s.list(s.targets, s.at)
+	s.targetReads++
+	s.targetsByRevision[s.revision] = maps.Clone(s.targets)
+	return s.targetItems(s.targets, s.revision)
 }
 
 // operators lists their keys. The caller holds s.mu.
-func (s *fakeStore) operators() ([]hookhall.Item, hookhall.Revision, error) {
-	s.gets++
+func (s *fakeStore) operatorItems() ([]hookhall.Item, hookhall.Revision, error) {
+	s.operatorReads++
 	if s.down {
 		return nil, 0, hookhall.ErrUnavailable
 	}
@@ -129,15 +129,15 @@
 	if s.table.Revision > 0 {
 		list = append(list, s.table)
 	}
-	for hall, revision := range s.halls {
+	for hall, revision := range s.hallRevisions {
 		list = append(list, hookhall.Item{Key: "op/out/" + hall, Revision: revision})
 	}
-	return list, s.at, nil
+	return list, s.revision, nil
 }
 
 // since lists the events of the operators' keys after a revision. The caller holds
 // s.mu.
-func (s *fakeStore) since(revision hookhall.Revision) []hookhall.Item {
+func (s *fakeStore) eventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
 	for _, i := range s.events {
 		if i.Revision > revision {
@@ -151,10 +151,10 @@
 func (s *fakeStore) RangeStale(context.Context, string) ([]hookhall.Item, hookhall.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(s.copied, max(s.at, 1)-1)
+	return s.targetItems(s.staleTargets, max(s.revision, 1)-1)
 }
 
-func (s *fakeStore) list(targets map[string]string, at hookhall.Revision) ([]hookhall.Item, hookhall.Revision, error) {
+func (s *fakeStore) targetItems(targets map[string]string, at hookhall.Revision) ([]hookhall.Item, hookhall.Revision, error) {
 	if s.down {
 		return nil, 0, hookhall.ErrUnavailable
 	}
@@ -165,22 +165,22 @@
 	return list, at, nil
 }
 
-// targetsSince lists how the targets differ from those at a revision that was told.
+// targetEventsSince lists how the targets differ from those at a revision that was told.
 // The caller holds s.mu.
-func (s *fakeStore) targetsSince(revision hookhall.Revision) []hookhall.Item {
+func (s *fakeStore) targetEventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
-	old := s.seen[revision]
+	old := s.targetsByRevision[revision]
 	for id, v := range s.targets {
 		if was, ok := old[id]; !ok || was != v {
-			list = append(list, hookhall.Item{Key: "t/" + id, Value: []byte(v), Revision: s.at})
+			list = append(list, hookhall.Item{Key: "t/" + id, Value: []byte(v), Revision: s.revision})
 		}
 	}
 	for id := range old {
 		if _, ok := s.targets[id]; !ok {
-			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.at, Gone: true})
+			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.revision, Gone: true})
 		}
 	}
-	s.seen[s.at] = maps.Clone(s.targets)
+	s.targetsByRevision[s.revision] = maps.Clone(s.targets)
 	return list
 }
 
@@ -189,13 +189,13 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		events, at, down, gone, changed := s.since(since), s.at, s.down, since < s.horizon, s.changed
+		events, at, down, gone, changed := s.eventsSince(since), s.revision, s.down, since < s.oldestRevision, s.changed
 		if prefix == "t/" {
-			events = s.targetsSince(since)
-			s.watches++
+			events = s.targetEventsSince(since)
+			s.targetWatches++
 		}
 		if gone {
-			s.forgot++
+			s.historyGoneCount++
 		}
 		s.mu.Unlock()
 		switch {
@@ -221,7 +221,7 @@
 }
 
 // follow runs a catalog in virtual time.
-func follow(t *testing.T, s *fakeStore, f func(c *Catalog)) {
+func runCatalog(t *testing.T, s *fakeStore, f func(c *Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
 		s.changed = make(chan struct{}) // of this bubble
 		c := newCatalog(s)
@@ -236,7 +236,7 @@
 
 func TestTableIsFollowed(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(3)
 		time.Sleep(time.Second)
 		if c.Table().Version() != 3 {
@@ -254,18 +254,18 @@
 // force.
 func TestTwoChangesAtOnce(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		for version := 2; version <= 3; version++ {
-			s.at++
+			s.revision++
 			b, _ := json.Marshal(hookhall.Routing{Version: int64(version)})
-			s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.at}
+			s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.revision}
 			s.events = append(s.events, s.table)
 		}
 		s.mu.Unlock()
-		s.change(func() {})
+		s.update(func() {})
 		time.Sleep(time.Second)
 		if v := c.Table().Version(); v != 3 {
 			t.Errorf("version %d", v)
@@ -273,23 +273,23 @@
 	})
 }
 
-// TestForgottenHistoryIsNoTrouble: a table that was written long ago lies before the
+// TestForgottenHistoryIsNoOutage: a table that was written long ago lies before the
 // history that the store keeps. A watch from the key's own revision in place of the
 // store's reads the table again without a pause.
-func TestForgottenHistoryIsNoTrouble(t *testing.T) {
+func TestForgottenHistoryIsNoOutage(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
-		s.change(func() {})
-		s.change(func() { s.horizon = s.at })
+		s.update(func() {})
+		s.update(func() { s.oldestRevision = s.revision })
 		time.Sleep(20 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.forgot > 2 || s.gets > 20 {
-			t.Fatalf("%d reads after %d forgotten watches", s.gets, s.forgot)
+		if s.historyGoneCount > 2 || s.operatorReads > 20 {
+			t.Fatalf("%d reads after %d forgotten watches", s.operatorReads, s.historyGoneCount)
 		}
-		if c.failing.Load() {
+		if c.isFailing.Load() {
 			t.Fatal("a forgotten history is held for an outage")
 		}
 	})
@@ -322,13 +322,13 @@
 	}
 }
 
-func TestOutageKeepsWhatIsBelieved(t *testing.T) {
+func TestOutageKeepsKnownState(t *testing.T) {
 	s := newFakeStore()
 	s.targets["a"] = "ready"
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
-		s.change(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(10 * time.Second)
 		if c.Table() == nil || len(c.Targets("pool")) != 1 {
 			t.Fatal("an outage took away what was believed")
@@ -336,7 +336,7 @@
 		if age := c.Picture().Age(time.Now()); age < 9*time.Second {
 			t.Fatalf("the age is %v after ten seconds of outage", age)
 		}
-		s.change(func() { s.down = false })
+		s.update(func() { s.down = false })
 		s.setTable(2)
 		time.Sleep(time.Second)
 		if c.Table().Version() != 2 {
@@ -363,7 +363,7 @@
 		read(c, 1, "a", "b", "c", "d", "e")
 		So(usable(c), ShouldEqual, 5)
 		Convey("one that goes missing after an outage gets nothing new", func() {
-			c.noteCall(t.Context(), hookhall.ErrUnavailable)
+			c.recordCall(t.Context(), hookhall.ErrUnavailable)
 			read(c, 2, "a", "b", "c", "d")
 			So(usable(c), ShouldEqual, 4)
 		})
@@ -401,9 +401,9 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		s.targets[id] = "ready"
 	}
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		time.Sleep(time.Second)
-		s.change(func() { s.targets = map[string]string{} })
+		s.update(func() { s.targets = map[string]string{} })
 		time.Sleep(1900 * time.Millisecond)
 		if n := len(c.Targets("pool")); n != 4 {
 			t.Fatalf("%d targets 1.9 s after a lapse", n)
--- a/internal/coordination/catalog/follow_test.go
+++ b/internal/coordination/catalog/follow_test.go
@@ -22,79 +22,79 @@
 	begun := func() *fakeStore {
 		s := newFakeStore()
 		s.targets = map[string]string{"a": "", "b": "", "c": "", "d": "", "e": ""}
-		s.copied = maps.Clone(s.targets)
-		s.change(func() {})
+		s.staleTargets = maps.Clone(s.targets)
+		s.update(func() {})
 		return s
 	}
 	t.Run("a change is known in a moment", func(t *testing.T) {
 		s := begun()
-		follow(t, s, func(c *Catalog) {
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(2 * time.Second)
-			s.change(func() { s.targets["b"] = "leaving"; delete(s.targets, "c"); s.targets["new"] = "" })
+			s.update(func() { s.targets["b"] = "leaving"; delete(s.targets, "c"); s.targets["new"] = "" })
 			time.Sleep(time.Millisecond)
-			knows(t, c, "a", "d", "e", "new")
+			expectUsable(t, c, "a", "d", "e", "new")
 		})
 	})
 	t.Run("in calm, all are read every ten seconds, and the age stays low", func(t *testing.T) {
 		s := begun()
-		follow(t, s, func(c *Catalog) {
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
-			s.ranges, s.watches = 0, 0
+			s.targetReads, s.targetWatches = 0, 0
 			s.mu.Unlock()
 			for range 60 {
 				time.Sleep(time.Second)
-				if age := c.TargetsAge(time.Now()); age > readEvery+look {
+				if age := c.TargetsAge(time.Now()); age > readInterval+pollInterval {
 					t.Fatalf("the targets' age is %v", age)
 				}
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if s.ranges > 7 || s.watches > 160 {
-				t.Errorf("%d readings and %d watches in a minute", s.ranges, s.watches)
+			if s.targetReads > 7 || s.targetWatches > 160 {
+				t.Errorf("%d readings and %d watches in a minute", s.targetReads, s.targetWatches)
 			}
 		})
 	})
 	t.Run("what a watch hides is known with the next reading", func(t *testing.T) {
 		s := begun()
-		follow(t, s, func(c *Catalog) {
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
 			delete(s.targets, "c")
-			s.seen[s.at] = maps.Clone(s.targets) // as if the watch had told it
-			s.at++
-			s.seen[s.at] = s.seen[s.at-1]
+			s.targetsByRevision[s.revision] = maps.Clone(s.targets) // as if the watch had told it
+			s.revision++
+			s.targetsByRevision[s.revision] = s.targetsByRevision[s.revision-1]
 			s.mu.Unlock()
 			time.Sleep(2 * time.Second)
-			knows(t, c, "a", "b", "c", "d", "e")
-			time.Sleep(readAllEvery)
-			knows(t, c, "a", "b", "d", "e")
+			expectUsable(t, c, "a", "b", "c", "d", "e")
+			time.Sleep(fullReadInterval)
+			expectUsable(t, c, "a", "b", "d", "e")
 		})
 	})
 	t.Run("a store that forgets its history is read whole at once", func(t *testing.T) {
 		s := begun()
-		follow(t, s, func(c *Catalog) {
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
-			s.at += 5
+			s.revision += 5
 			delete(s.targets, "c")
-			s.horizon = s.at
+			s.oldestRevision = s.revision
 			s.mu.Unlock()
 			time.Sleep(time.Second)
-			knows(t, c, "a", "b", "d", "e")
+			expectUsable(t, c, "a", "b", "d", "e")
 		})
 	})
 	t.Run("those that lapsed in an outage stay for two seconds", func(t *testing.T) {
 		s := begun()
-		follow(t, s, func(c *Catalog) {
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
-			s.change(func() { s.down = true })
+			s.update(func() { s.down = true })
 			time.Sleep(3 * time.Second)
-			s.change(func() { s.down = false; s.targets = map[string]string{"a": ""} })
+			s.update(func() { s.down = false; s.targets = map[string]string{"a": ""} })
 			time.Sleep(1500 * time.Millisecond)
-			knows(t, c, "a", "b", "c", "d", "e")
+			expectUsable(t, c, "a", "b", "c", "d", "e")
 			time.Sleep(3 * time.Second)
-			knows(t, c, "a")
+			expectUsable(t, c, "a")
 		})
 	})
 }
@@ -104,16 +104,16 @@
 func TestRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(reading(1, "x0"), "store")
-		follower.Learn(reading(1, "x0"), "store")
+		reader.Learn(readyReading(1, "x0"), "store")
+		follower.Learn(readyReading(1, "x0"), "store")
 		summed := func(c *Catalog) {
 			var want Digests
-			for key, e := range c.known {
-				if e.missing.IsZero() {
-					want[bucketOf(key)] ^= e.sum
+			for key, e := range c.entriesByKey {
+				if e.missingSince.IsZero() {
+					want[bucketOf(key)] ^= e.digest
 				}
 			}
-			if want != c.buckets {
+			if want != c.bucketDigests {
 				t.Fatal("the digests are not those of what is listed")
 			}
 		}
@@ -146,11 +146,11 @@
 // TestBadRepair: a repair that does not fit changes neither age nor revision.
 func TestBadRepair(t *testing.T) {
 	c := newCatalog(newFakeStore())
-	c.Learn(reading(5, "a", "b"), "store")
+	c.Learn(readyReading(5, "a", "b"), "store")
 	for name, r := range map[string]Repair{
-		"older":               {Reading: reading(4, "a"), Buckets: []int{0}},
-		"an unknown bucket":   {Reading: reading(6, "a"), Buckets: []int{Buckets}},
-		"another digest":      {Reading: reading(6, "a", "c"), Buckets: []int{bucketOf("t/c")}, Digest: 1},
+		"older":               {Reading: readyReading(4, "a"), Buckets: []int{0}},
+		"an unknown bucket":   {Reading: readyReading(6, "a"), Buckets: []int{Buckets}},
+		"another digest":      {Reading: readyReading(6, "a", "c"), Buckets: []int{bucketOf("t/c")}, Digest: 1},
 		"nothing from nobody": {},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestNoTableIsAskedForSeldom: while operators have written no table, those that others
+// TestNoTableRetryDelay: while operators have written no table, those that others
 // tell leave the store alone.
-func TestNoTableIsAskedForSeldom(t *testing.T) {
-	for rank, most := range map[int]int{0: 60, rankMost: 15} {
+func TestNoTableRetryDelay(t *testing.T) {
+	for rank, most := range map[int]int{0: 60, maxRank: 15} {
 		t.Run(fmt.Sprint("rank ", rank), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
@@ -198,8 +198,8 @@
 				run.Go(func() { c.Run(ctx) })
 				time.Sleep(14 * time.Second)
 				s.mu.Lock()
-				if s.gets > most || s.gets < 5 {
-					t.Errorf("asked %d times in 14 s", s.gets)
+				if s.operatorReads > most || s.operatorReads < 5 {
+					t.Errorf("asked %d times in 14 s", s.operatorReads)
 				}
 				s.mu.Unlock()
 				s.setTable(1)
--- a/internal/coordination/catalog/halls.go
+++ b/internal/coordination/catalog/halls.go
@@ -12,10 +12,10 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// coldDefault is for how long targets of a hall that operators have taken back into
+// defaultColdTime is for how long targets of a hall that operators have taken back into
 // service are held to be cold when the table does not say how long a cold start
 // takes: the seconds that it takes where it is said.
-const coldDefault = 3 * time.Second
+const defaultColdTime = 3 * time.Second
 
 // Halls is which halls operators have evacuated, as the store had it.
 type Halls struct {
@@ -27,7 +27,7 @@
 }
 
 // has tells whether a hall is evacuated.
-func (h Halls) has(hall string) bool {
+func (h Halls) contains(hall string) bool {
 	_, found := slices.BinarySearch(h.Evacuated, hall)
 	return found
 }
@@ -41,8 +41,8 @@
 	return Halls{}
 }
 
-// readHalls finds the evacuated halls among all keys of the operators.
-func (c *Catalog) readHalls(items []hookhall.Item) []string {
+// evacuatedHalls finds the evacuated halls among all keys of the operators.
+func (c *Catalog) evacuatedHalls(items []hookhall.Item) []string {
 	var list []string
 	for _, i := range items {
 		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
@@ -53,17 +53,17 @@
 	return list
 }
 
-// followHalls takes in events of the operators' keys up to a revision of the store.
-func (c *Catalog) followHalls(events []hookhall.Item, revision hookhall.Revision) bool {
+// applyHallEvents takes in events of the operators' keys up to a revision of the store.
+func (c *Catalog) applyHallEvents(events []hookhall.Item, revision hookhall.Revision) bool {
 	evacuated := map[string]bool{}
 	c.mu.Lock()
-	for _, hall := range c.toldHalls {
+	for _, hall := range c.storedHalls {
 		evacuated[hall] = true
 	}
 	for _, i := range events {
 		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
 			evacuated[hall] = !i.Gone
-			delete(c.heldHalls, hall)
+			delete(c.heldUntil, hall)
 		}
 	}
 	c.mu.Unlock()
@@ -85,27 +85,27 @@
 	if old != nil && h.Revision.Era() > old.Revision.Era() {
 		c.holdHalls(*old, now)
 	}
-	c.toldHalls = h.Evacuated
-	h.Evacuated = c.withHeld(h.Evacuated, now)
+	c.storedHalls = h.Evacuated
+	h.Evacuated = c.withHeldHalls(h.Evacuated, now)
 	c.halls.Store(&h)
 	if old != nil && slices.Equal(old.Evacuated, h.Evacuated) {
 		return false
 	}
-	c.noteHalls(old, h, from)
-	if p := c.picture.Load(); p != nil {
+	c.recordHallChanges(old, h, from)
+	if p := c.snapshot.Load(); p != nil {
 		c.markAllDirty()
 		c.publish(p.Revision, p.Began, clock.Now())
 	}
 	return true
 }
 
-// noteHalls logs what changed, and remembers when halls were taken back: their
+// recordHallChanges logs what changed, and remembers when halls were taken back: their
 // targets may have turned cold meanwhile, and say so only with their next
 // heartbeat. The caller holds c.mu.
-func (c *Catalog) noteHalls(old *Halls, h Halls, from string) {
+func (c *Catalog) recordHallChanges(old *Halls, h Halls, from string) {
 	for _, hall := range h.Evacuated {
-		if old == nil || !old.has(hall) {
-			delete(c.returned, hall)
+		if old == nil || !old.contains(hall) {
+			delete(c.readmittedAt, hall)
 			c.log.Warn("A hall is evacuated; its targets get nothing new.", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
@@ -113,22 +113,22 @@
 		return
 	}
 	for _, hall := range old.Evacuated {
-		if !h.has(hall) {
-			c.returned[hall] = clock.Now()
+		if !h.contains(hall) {
+			c.readmittedAt[hall] = clock.Now()
 			c.log.Info("A hall is taken back; its targets are used as cold ones at first.", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
 }
 
-// coldUntil is until when a target is held to be cold. The caller holds c.mu.
-func (c *Catalog) coldUntil(e *entry) time.Time {
+// coldDeadline is until when a target is held to be cold. The caller holds c.mu.
+func (c *Catalog) coldDeadline(e *entry) time.Time {
 	until := e.coldUntil
-	if taken, ok := c.returned[e.target.Hall]; ok {
+	if taken, ok := c.readmittedAt[e.target.Hall]; ok {
 		if t := c.Table(); t != nil {
 			if s := t.Service(e.target.Pool); s != nil && s.ColdRate > 0 {
 				stays := s.ColdTime
 				if stays <= 0 {
-					stays = coldDefault
+					stays = defaultColdTime
 				}
 				until = latest(until, taken.Add(stays))
 			}
--- a/internal/coordination/catalog/halls_test.go
+++ b/internal/coordination/catalog/halls_test.go
@@ -13,7 +13,7 @@
 )
 
 // cold checks which of the usable targets are held to be cold now.
-func cold(t *testing.T, c *Catalog, want ...string) {
+func expectCold(t *testing.T, c *Catalog, want ...string) {
 	t.Helper()
 	var got []string
 	for _, o := range c.Targets("pool") {
@@ -26,112 +26,112 @@
 	}
 }
 
-// coldTable is a table whose targets take three seconds to warm up.
-func (s *fakeStore) coldTable() {
+// setColdTable is a table whose targets take three seconds to warm up.
+func (s *fakeStore) setColdTable() {
 	s.setTable(1)
-	s.change(func() {
+	s.update(func() {
 		s.table.Value = []byte(`{"Version":1,"Services":[{"Name":"pool","ColdRate":9.1,"ColdTime":3000000000}]}`)
 		s.events[len(s.events)-1] = s.table
 	})
 }
 
-func threeHalls() *fakeStore {
+func newStoreWithThreeHalls() *fakeStore {
 	s := newFakeStore()
-	s.coldTable()
+	s.setColdTable()
 	s.targets = map[string]string{"a@north": "", "b@south": "", "c@west": ""}
-	s.copied = s.targets
+	s.staleTargets = s.targets
 	return s
 }
 
 func TestEvacuation(t *testing.T) {
 	t.Run("a hall that is evacuated gets nothing new, and is taken back cold", func(t *testing.T) {
-		s := threeHalls()
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
-			knows(t, c, "a@north", "b@south", "c@west")
-			s.evacuate("south", true)
+			expectUsable(t, c, "a@north", "b@south", "c@west")
+			s.setEvacuated("south", true)
 			time.Sleep(time.Millisecond)
-			knows(t, c, "a@north", "c@west")
+			expectUsable(t, c, "a@north", "c@west")
 			if len(c.Known()) != 3 || c.Evacuated("pool") {
 				t.Error("the hall's targets are forgotten, or all are held to be out")
 			}
-			s.evacuate("south", false)
+			s.setEvacuated("south", false)
 			time.Sleep(time.Millisecond)
-			knows(t, c, "a@north", "b@south", "c@west")
-			cold(t, c, "b@south")
+			expectUsable(t, c, "a@north", "b@south", "c@west")
+			expectCold(t, c, "b@south")
 			time.Sleep(3100 * time.Millisecond)
-			cold(t, c)
+			expectCold(t, c)
 		})
 	})
 	t.Run("all halls at once: the service has no target, and says why", func(t *testing.T) {
-		s := threeHalls()
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			for _, h := range []string{"north", "south", "west"} {
-				s.evacuate(h, true)
+				s.setEvacuated(h, true)
 			}
 			time.Sleep(time.Millisecond)
-			knows(t, c)
+			expectUsable(t, c)
 			if !c.Evacuated("pool") || c.Evacuated("another") {
 				t.Error("it does not tell a service that is evacuated from one without targets")
 			}
 		})
 	})
 	t.Run("one that stands when a process starts is known before the process is ready", func(t *testing.T) {
-		s := threeHalls()
-		s.evacuate("south", true)
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		s.setEvacuated("south", true)
+		runCatalog(t, s, func(c *Catalog) {
 			for !c.Ready() {
 				time.Sleep(time.Millisecond)
 			}
-			knows(t, c, "a@north", "c@west")
+			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
 	t.Run("one that began while the store was silent is known at its return", func(t *testing.T) {
-		s := threeHalls()
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
-			s.change(func() { s.down = true })
+			s.update(func() { s.down = true })
 			time.Sleep(3 * time.Second)
-			s.evacuate("south", true)
-			s.change(func() { s.down = false })
+			s.setEvacuated("south", true)
+			s.update(func() { s.down = false })
 			time.Sleep(time.Second)
-			knows(t, c, "a@north", "c@west")
+			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
 	t.Run("a store that forgets its history does not hide one", func(t *testing.T) {
-		s := threeHalls()
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
-			s.evacuate("north", true)
+			s.setEvacuated("north", true)
 			time.Sleep(time.Second)
 			s.mu.Lock()
-			s.at++ // changes that no watch hears of
-			s.halls = map[string]hookhall.Revision{"south": s.at}
-			s.horizon, s.events = s.at, nil
+			s.revision++ // changes that no watch hears of
+			s.hallRevisions = map[string]hookhall.Revision{"south": s.revision}
+			s.oldestRevision, s.events = s.revision, nil
 			s.mu.Unlock()
 			time.Sleep(time.Second)
-			knows(t, c, "a@north", "c@west")
+			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
 	t.Run("twice in quick succession", func(t *testing.T) {
-		s := threeHalls()
-		follow(t, s, func(c *Catalog) {
+		s := newStoreWithThreeHalls()
+		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			for range 2 {
-				s.evacuate("south", true)
-				s.evacuate("south", false)
+				s.setEvacuated("south", true)
+				s.setEvacuated("south", false)
 			}
-			s.evacuate("south", true)
+			s.setEvacuated("south", true)
 			time.Sleep(time.Millisecond)
-			knows(t, c, "a@north", "c@west")
+			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
 }
 
-// TestOldHalls: what was read before does not take back what was read after it,
+// TestOlderHallsChangeNothing: what was read before does not take back what was read after it,
 // whoever tells it; and a picture that is confirmed or changed keeps halls out.
-func TestOldHalls(t *testing.T) {
+func TestOlderHallsChangeNothing(t *testing.T) {
 	c := newCatalog(newFakeStore())
 	c.Learn(Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
 	steps := []struct {
@@ -152,9 +152,9 @@
 			if changed := c.LearnHalls(s.halls, "peer"); changed != s.changed {
 				t.Errorf("changed: %v", changed)
 			}
-			knows(t, c, s.usable...)
+			expectUsable(t, c, s.usable...)
 			c.Learn(Reading{Revision: s.halls.Revision + 100, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
-			knows(t, c, s.usable...)
+			expectUsable(t, c, s.usable...)
 		})
 	}
 }
@@ -174,14 +174,14 @@
 			c.Learn(r, "store")
 		}
 		learn(map[string]string{"a": "cold 1 3000", "b": "cold 1 0"})
-		cold(t, c, "a")
+		expectCold(t, c, "a")
 		time.Sleep(2 * time.Second)
 		learn(map[string]string{"a": "cold 1 3000", "b": "cold 1 0"})
-		cold(t, c, "a")
+		expectCold(t, c, "a")
 		time.Sleep(1100 * time.Millisecond)
 		learn(map[string]string{"a": "cold 1 3000", "b": "cold 2 2000"})
-		cold(t, c, "b")
+		expectCold(t, c, "b")
 		learn(map[string]string{"a": "cold 2 0", "b": "cold 3 0"})
-		cold(t, c)
+		expectCold(t, c)
 	})
 }
--- a/internal/coordination/catalog/incarnations_test.go
+++ b/internal/coordination/catalog/incarnations_test.go
@@ -13,12 +13,12 @@
 )
 
 // word is what the target t/a says of itself at a revision: its start, and how it is.
-func word(revision hookhall.Revision, value string) hookhall.Item {
+func targetItem(revision hookhall.Revision, value string) hookhall.Item {
 	return hookhall.Item{Key: "t/a", Value: []byte(value), Revision: revision}
 }
 
 // usable tells whether the catalog offers the target a, and whether as a cold one.
-func usable(c *Catalog) (listed, cold bool) {
+func targetStatus(c *Catalog) (listed, cold bool) {
 	for _, t := range c.Targets("pool") {
 		if t.ID == "a" {
 			return true, t.Cold(time.Now())
@@ -27,9 +27,9 @@
 	return false, false
 }
 
-// TestTargetReborn: what a target said in an earlier life holds for that life only. Its
+// TestTargetRestart: what a target said in an earlier life holds for that life only. Its
 // clock may have been set back, and its heartbeats count from the start.
-func TestTargetReborn(t *testing.T) {
+func TestTargetRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		words  []string
 		listed bool
@@ -62,9 +62,9 @@
 					catalog := newCatalog(newFakeStore())
 					catalog.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
 					for n, value := range c.words {
-						learn(catalog, word(hookhall.Revision(n+2), value))
+						learn(catalog, targetItem(hookhall.Revision(n+2), value))
 					}
-					if listed, cold := usable(catalog); listed != c.listed || cold != c.cold {
+					if listed, cold := targetStatus(catalog); listed != c.listed || cold != c.cold {
 						t.Errorf("listed %v, cold %v; want %v, %v", listed, cold, c.listed, c.cold)
 					}
 				})
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestNewsOfLivesInAnyOrder: whatever order news takes, by whichever detours, the last
+// TestUpdatesOfIncarnationsInAnyOrder: whatever order news takes, by whichever detours, the last
 // word of the last life stands in the end.
-func TestNewsOfLivesInAnyOrder(t *testing.T) {
+func TestUpdatesOfIncarnationsInAnyOrder(t *testing.T) {
 	words := []string{"born 5 ready", "born 5 leaving", "", "born 2 ready", "born 2 cold", "born 2 leaving", "", "born 9 ready"}
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 0))
@@ -88,7 +88,7 @@
 			if value == "" {
 				news.Gone = []string{"t/a"}
 			} else {
-				news.Changed = []hookhall.Item{word(news.Revision, value)}
+				news.Changed = []hookhall.Item{targetItem(news.Revision, value)}
 			}
 			list = append(list, news)
 		}
@@ -98,7 +98,7 @@
 			c.LearnNews(n, "peer")
 		}
 		want := strings.HasSuffix(words[last-1], "ready") || strings.HasSuffix(words[last-1], "cold")
-		if listed, cold := usable(c); listed != want || cold != strings.HasSuffix(words[last-1], "cold") {
+		if listed, cold := targetStatus(c); listed != want || cold != strings.HasSuffix(words[last-1], "cold") {
 			t.Fatalf("seed %d: after %q, listed %v, cold %v", seed, words[:last], listed, cold)
 		}
 	}
--- a/internal/coordination/catalog/leaving.go
+++ b/internal/coordination/catalog/leaving.go
@@ -23,25 +23,25 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
-	e := c.livesAs(l)
+	e := c.findIncarnation(l)
 	if e == nil {
-		c.depart(l, now)
+		c.rememberDeparted(l, now)
 		return
 	}
-	if e.left {
+	if e.isLeaving {
 		return
 	}
-	e.left = true
-	c.touch(e)
+	e.isLeaving = true
+	c.markDirty(e)
 	c.log.Info("A target is leaving.", "target", l.ID, "service", e.target.Pool, "from", from)
-	if p := c.picture.Load(); p != nil {
+	if p := c.snapshot.Load(); p != nil {
 		c.publish(p.Revision, p.Began, now)
 	}
 }
 
-// livesAs returns the entry whose present life is l, or nil. c.mu must be held.
-func (c *Catalog) livesAs(l hookhall.Life) *entry {
-	for _, e := range c.known {
+// findIncarnation returns the entry whose present life is l, or nil. c.mu must be held.
+func (c *Catalog) findIncarnation(l hookhall.Life) *entry {
+	for _, e := range c.entriesByKey {
 		if e.target.Life() == l {
 			return e
 		}
@@ -50,18 +50,18 @@
 }
 
 // depart remembers a life that is leaving and not known here. c.mu must be held.
-func (c *Catalog) depart(l hookhall.Life, now time.Time) {
-	for o, at := range c.departed {
-		if now.Sub(at) > departedTTL || len(c.departed) >= maxDeparted {
-			delete(c.departed, o)
+func (c *Catalog) rememberDeparted(l hookhall.Life, now time.Time) {
+	for o, at := range c.departedAt {
+		if now.Sub(at) > departedTTL || len(c.departedAt) >= maxDeparted {
+			delete(c.departedAt, o)
 		}
 	}
-	c.departed[l] = now
+	c.departedAt[l] = now
 }
 
 // hasDeparted reports whether a life has said that it is leaving while it was not listed
 // here, or before it was forgotten. c.mu must be held.
 func (c *Catalog) hasDeparted(l hookhall.Life, now time.Time) bool {
-	at, ok := c.departed[l]
+	at, ok := c.departedAt[l]
 	return ok && now.Sub(at) <= departedTTL
 }
--- a/internal/coordination/catalog/leaving_test.go
+++ b/internal/coordination/catalog/leaving_test.go
@@ -11,9 +11,9 @@
 	"github.com/hookhall/hookhall"
 )
 
-// TestLeaveByAnswer: the word of a target in an answer holds for the life that gave it,
+// TestLeavingByAnswer: the word of a target in an answer holds for the life that gave it,
 // before and after its key says that it is ready.
-func TestLeaveByAnswer(t *testing.T) {
+func TestLeavingByAnswer(t *testing.T) {
 	const left = "leave" // the life 5 says in an answer that it is leaving
 	for name, c := range map[string]struct {
 		words  []string
@@ -40,20 +40,20 @@
 				}
 				r := Reading{Revision: hookhall.Revision(n + 2), Began: time.Now()}
 				if value != "" {
-					r.Items = []hookhall.Item{word(r.Revision, value)}
+					r.Items = []hookhall.Item{targetItem(r.Revision, value)}
 				}
 				catalog.Learn(r, "store")
 			}
-			if listed, _ := usable(catalog); listed != c.listed {
+			if listed, _ := targetStatus(catalog); listed != c.listed {
 				t.Errorf("listed %v, want %v", listed, c.listed)
 			}
 		})
 	}
 }
 
-// TestLeaveIsRemembered: a target that left, was missing until it was forgotten, and is
+// TestLeavingIsRemembered: a target that left, was missing until it was forgotten, and is
 // listed again in the same life, gets nothing.
-func TestLeaveIsRemembered(t *testing.T) {
+func TestLeavingIsRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCatalog(newFakeStore())
 		revision := hookhall.Revision(0)
@@ -65,17 +65,17 @@
 			c.Learn(Reading{Revision: revision, Items: items, Began: time.Now()}, "store")
 		}
 		other := hookhall.Item{Key: "t/other", Value: []byte("ready")}
-		learn(word(0, "born 5 ready"), other)
+		learn(targetItem(0, "born 5 ready"), other)
 		c.Leave(hookhall.Life{ID: "a", Born: 5}, "answer")
 		learn(other)
-		time.Sleep(forgetAfter + time.Second)
+		time.Sleep(missingTTL + time.Second)
 		learn() // something else goes missing, and those that are gone for long are forgotten
-		learn(word(0, "born 5 ready"))
-		if listed, _ := usable(c); listed {
+		learn(targetItem(0, "born 5 ready"))
+		if listed, _ := targetStatus(c); listed {
 			t.Error("it is used again")
 		}
-		learn(word(0, "born 9 ready"))
-		if listed, _ := usable(c); !listed {
+		learn(targetItem(0, "born 9 ready"))
+		if listed, _ := targetStatus(c); !listed {
 			t.Error("its next life is not used")
 		}
 	})
--- a/internal/coordination/catalog/pack.go
+++ b/internal/coordination/catalog/pack.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// mostUnpacked bounds a table, or a list, in bytes.
-const mostUnpacked = 16 << 20
+// maxUnpackedBytes bounds a table, or a list, in bytes.
+const maxUnpackedBytes = 16 << 20
 
 // A writer's tables are some 800 KB, a reader's 40 KB; both are used again.
 var (
@@ -46,12 +46,12 @@
 	if err := r.Reset(bytes.NewReader(packed)); err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
-	b, err := io.ReadAll(io.LimitReader(r, mostUnpacked+1))
+	b, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack")
 	}
-	if len(b) > mostUnpacked {
-		return nil, errors.Errorf("unpack: more than %d bytes", mostUnpacked)
+	if len(b) > maxUnpackedBytes {
+		return nil, errors.Errorf("unpack: more than %d bytes", maxUnpackedBytes)
 	}
 	return b, nil
 }
--- a/internal/coordination/catalog/pools.go
+++ b/internal/coordination/catalog/pools.go
@@ -13,59 +13,59 @@
 )
 
 // changes are what the next picture has to take in of one service.
-type changes struct {
-	all     bool // the service has to be looked through
-	entries map[*entry]bool
+type poolChanges struct {
+	needsRebuild bool // the service has to be looked through
+	entries      map[*entry]bool
 }
 
 // touch has the next picture take in a target of its present service. The caller holds
 // c.mu.
-func (c *Catalog) touch(e *entry) {
-	d := c.dirty[e.target.Pool]
+func (c *Catalog) markDirty(e *entry) {
+	d := c.changesByPool[e.target.Pool]
 	if d == nil {
-		d = &changes{entries: map[*entry]bool{}}
-		c.dirty[e.target.Pool] = d
+		d = &poolChanges{entries: map[*entry]bool{}}
+		c.changesByPool[e.target.Pool] = d
 	}
 	d.entries[e] = true
 }
 
 // markAllDirty has all pools made anew. The caller holds c.mu.
 func (c *Catalog) markAllDirty() {
-	for pool := range c.pools {
-		c.dirty[pool] = &changes{all: true}
+	for pool := range c.entriesByPool {
+		c.changesByPool[pool] = &poolChanges{needsRebuild: true}
 	}
 }
 
 // remake has a picture take in what changed. The caller holds c.mu.
-func (c *Catalog) remake(p *Picture, now time.Time) {
+func (c *Catalog) rebuild(p *Picture, now time.Time) {
 	p.ByPool, p.Evacuated = maps.Clone(p.ByPool), maps.Clone(p.Evacuated)
 	if p.ByPool == nil {
 		p.ByPool, p.Evacuated = map[string][]hookhall.Target{}, map[string]bool{}
 	}
 	halls := c.Halls()
-	for pool, d := range c.dirty {
-		if d.all || len(halls.Evacuated) > 0 {
-			p.ByPool[pool], p.Evacuated[pool] = c.usable(pool, halls, now)
+	for pool, d := range c.changesByPool {
+		if d.needsRebuild || len(halls.Evacuated) > 0 {
+			p.ByPool[pool], p.Evacuated[pool] = c.usableTargets(pool, halls, now)
 			continue
 		}
-		p.ByPool[pool] = c.changed(pool, p.ByPool[pool], d.entries, now)
+		p.ByPool[pool] = c.mergeChanges(pool, p.ByPool[pool], d.entries, now)
 	}
-	clear(c.dirty)
+	clear(c.changesByPool)
 }
 
 // usable lists the usable targets of a pool, sorted by id, and tells whether an
 // evacuation keeps others out. The caller holds c.mu.
-func (c *Catalog) usable(pool string, halls Halls, now time.Time) (list []hookhall.Target, evacuated bool) {
-	for _, e := range c.pools[pool] {
+func (c *Catalog) usableTargets(pool string, halls Halls, now time.Time) (list []hookhall.Target, evacuated bool) {
+	for _, e := range c.entriesByPool[pool] {
 		switch {
 		case !e.usable(now):
-		case halls.has(e.target.Hall):
+		case halls.contains(e.target.Hall):
 			evacuated = true
 		default:
-			list = append(list, c.published(e))
+			list = append(list, c.publishedTarget(e))
 		}
 	}
-	slices.SortFunc(list, byID)
+	slices.SortFunc(list, compareIDs)
 	return list, evacuated
 }
 
@@ -73,17 +73,17 @@
 // copy of the list, not a look at all targets: thousands of them are replaced at tens a
 // second, and every gateway takes each change in. No hall is evacuated. The caller holds
 // c.mu.
-func (c *Catalog) changed(pool string, before []hookhall.Target, entries map[*entry]bool, now time.Time) []hookhall.Target {
+func (c *Catalog) mergeChanges(pool string, before []hookhall.Target, entries map[*entry]bool, now time.Time) []hookhall.Target {
 	touched := make([]string, 0, len(entries))
 	var fresh []hookhall.Target
 	for e := range entries {
 		touched = append(touched, e.target.ID)
-		if c.pools[pool][e.key] == e && e.usable(now) {
-			fresh = append(fresh, c.published(e))
+		if c.entriesByPool[pool][e.key] == e && e.usable(now) {
+			fresh = append(fresh, c.publishedTarget(e))
 		}
 	}
 	slices.Sort(touched)
-	slices.SortFunc(fresh, byID)
+	slices.SortFunc(fresh, compareIDs)
 	list := make([]hookhall.Target, 0, len(before)+len(fresh))
 	for _, id := range touched {
 		at, found := slices.BinarySearchFunc(before, id, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
@@ -101,10 +101,10 @@
 }
 
 // published is a target as pictures have it. The caller holds c.mu.
-func (c *Catalog) published(e *entry) hookhall.Target {
+func (c *Catalog) publishedTarget(e *entry) hookhall.Target {
 	t := e.target
-	t.ColdUntil = c.coldUntil(e)
+	t.ColdUntil = c.coldDeadline(e)
 	return t
 }
 
-func byID(a, b hookhall.Target) int { return strings.Compare(a.ID, b.ID) }
+func compareIDs(a, b hookhall.Target) int { return strings.Compare(a.ID, b.ID) }
--- a/internal/coordination/catalog/pools_test.go
+++ b/internal/coordination/catalog/pools_test.go
@@ -13,9 +13,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestPictureByChanges: over any series of changes, a picture that only takes them in has
+// TestSnapshotByChanges: over any series of changes, a picture that only takes them in has
 // the targets that a look through all gives, and pictures before it stay as they were.
-func TestPictureByChanges(t *testing.T) {
+func TestSnapshotByChanges(t *testing.T) {
 	values := []string{"ready", "leaving", "born 3", "bad"}
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCatalog(newFakeStore())
@@ -39,7 +39,7 @@
 			c.Follow(events, hookhall.Revision(step+2), time.Now())
 			for pool, list := range c.Picture().ByPool {
 				c.mu.Lock()
-				all, _ := c.usable(pool, Halls{}, time.Now())
+				all, _ := c.usableTargets(pool, Halls{}, time.Now())
 				c.mu.Unlock()
 				if !slices.Equal(list, all) {
 					t.Fatalf("%s: %v by changes, %v by a look through all", pool, list, all)
--- a/internal/coordination/catalog/restored_test.go
+++ b/internal/coordination/catalog/restored_test.go
@@ -18,7 +18,7 @@
 )
 
 // in is a revision of an era.
-func in(era, count uint64) hookhall.Revision {
+func revisionIn(era, count uint64) hookhall.Revision {
 	r, err := hookhall.NewRevision(era, count)
 	if err != nil {
 		panic(err) // the tests' own numbers
@@ -46,19 +46,19 @@
 		at      hookhall.Revision
 		want    int64
 	}{
-		"the same table, at an earlier count": {7, in(2, 3), 7},
-		"a later table, at an earlier count":  {8, in(2, 3), 8},
-		"the copy's older table":              {6, in(2, 90), 7},
-		"an older era's later table":          {9, in(0, 200), 7},
+		"the same table, at an earlier count": {7, revisionIn(2, 3), 7},
+		"a later table, at an earlier count":  {8, revisionIn(2, 3), 8},
+		"the copy's older table":              {6, revisionIn(2, 90), 7},
+		"an older era's later table":          {9, revisionIn(0, 200), 7},
 	} {
 		t.Run(name, func(t *testing.T) {
 			catalog := quietCatalog()
-			learnTable(catalog, 7, in(1, 100))
+			learnTable(catalog, 7, revisionIn(1, 100))
 			learnTable(catalog, c.version, c.at)
 			if v := catalog.Table().Version(); v != c.want {
 				t.Errorf("version %d, not %d", v, c.want)
 			}
-			learnTable(catalog, 9, in(2, 95))
+			learnTable(catalog, 9, revisionIn(2, 95))
 			if v := catalog.Table().Version(); v != 9 {
 				t.Errorf("version %d after operators wrote 9", v)
 			}
@@ -71,9 +71,9 @@
 func TestRestoredAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCatalog()
-		learnTable(c, 7, in(1, 100))
+		learnTable(c, 7, revisionIn(1, 100))
 		time.Sleep(time.Minute)
-		learnTable(c, 6, in(2, 90))
+		learnTable(c, 6, revisionIn(2, 90))
 		if _, age := c.TableAge(time.Now()); age != 0 {
 			t.Errorf("the table is %s old", age)
 		}
@@ -90,25 +90,25 @@
 		says []say
 		want bool // it is used
 	}{
-		"listed in both":                            {[]say{{in(1, 10), "born 5 ready"}, {in(2, 4), "born 5 ready"}}, true},
-		"leaving since the copy":                    {[]say{{in(1, 10), "born 5 leaving"}, {in(2, 4), "born 5 ready"}}, false},
-		"gone since the copy":                       {[]say{{in(1, 10), "born 5 ready"}, {in(1, 11), ""}, {in(2, 4), "born 5 ready"}}, false},
-		"gone since, and written again":             {[]say{{in(1, 10), "born 5 ready"}, {in(1, 11), ""}, {in(2, 4), "born 5 ready"}, {in(2, 9), "born 5 ready"}}, true},
-		"gone since, and back in another life":      {[]say{{in(1, 10), "born 5 ready"}, {in(1, 11), ""}, {in(2, 4), "born 9 ready"}}, true},
-		"left in its second life, the copy's first": {[]say{{in(1, 10), "born 5 ready"}, {in(1, 11), "born 9 leaving"}, {in(2, 4), "born 5 ready"}}, false},
-		"started since the copy":                    {[]say{{in(1, 10), "born 5 ready"}, {in(2, 4), ""}}, true},
-		"an answer that was under way":              {[]say{{in(1, 10), "born 5 ready"}, {in(2, 4), "born 5 leaving"}, {in(1, 11), "born 5 ready"}}, false},
+		"listed in both":                            {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 ready"}}, true},
+		"leaving since the copy":                    {[]say{{revisionIn(1, 10), "born 5 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"gone since the copy":                       {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"gone since, and written again":             {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}, {revisionIn(2, 9), "born 5 ready"}}, true},
+		"gone since, and back in another life":      {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 9 ready"}}, true},
+		"left in its second life, the copy's first": {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), "born 9 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"started since the copy":                    {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), ""}}, true},
+		"an answer that was under way":              {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 leaving"}, {revisionIn(1, 11), "born 5 ready"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			catalog := quietCatalog()
 			for _, s := range c.says {
 				r := Reading{Revision: s.at, Began: time.Now()}
 				if s.value != "" {
-					r.Items = []hookhall.Item{word(s.at, s.value)}
+					r.Items = []hookhall.Item{targetItem(s.at, s.value)}
 				}
 				catalog.Learn(r, "store")
 			}
-			if listed, _ := usable(catalog); listed != c.want {
+			if listed, _ := targetStatus(catalog); listed != c.want {
 				t.Errorf("used: %v", listed)
 			}
 		})
@@ -126,13 +126,13 @@
 				t.Errorf("%s: %v, not %v", when, got, want)
 			}
 		}
-		c.LearnHalls(Halls{Revision: in(1, 10), Evacuated: []string{"north", "south"}}, "store")
-		c.LearnHalls(Halls{Revision: in(2, 4), Evacuated: []string{"south"}}, "store")
+		c.LearnHalls(Halls{Revision: revisionIn(1, 10), Evacuated: []string{"north", "south"}}, "store")
+		c.LearnHalls(Halls{Revision: revisionIn(2, 4), Evacuated: []string{"south"}}, "store")
 		hold("the copy lacks one", "north", "south")
-		c.followHalls([]hookhall.Item{{Key: "op/out/south", Revision: in(2, 5), Gone: true}}, in(2, 5))
+		c.applyHallEvents([]hookhall.Item{{Key: "op/out/south", Revision: revisionIn(2, 5), Gone: true}}, revisionIn(2, 5))
 		hold("operators take one back", "north")
-		time.Sleep(rewriteTime + time.Millisecond)
-		c.followHalls(nil, in(2, 5))
+		time.Sleep(evacuationHoldTime + time.Millisecond)
+		c.applyHallEvents(nil, revisionIn(2, 5))
 		hold("operators have not written the other again")
 	})
 }
@@ -156,13 +156,13 @@
 		latest := state{version: 1, born: 1} // by those who wrote it
 		stored, copied := latest, latest
 		era, count, copiedCount := uint64(1), uint64(2), uint64(2)
-		wrote := [2]hookhall.Revision{in(1, 1), in(1, 2)}
+		wrote := [2]hookhall.Revision{revisionIn(1, 1), revisionIn(1, 2)}
 		copiedWrote := wrote
 		catalogs := []*Catalog{quietCatalog(), quietCatalog(), quietCatalog()}
 		under := make([][]answer, len(catalogs)) // way
 		versions := make([]int64, len(catalogs))
 		left := make([]int, len(catalogs)) // the latest life that a gateway knows to have left
-		read := func(i int) { under[i] = append(under[i], answer{in(era, count), stored, wrote}) }
+		read := func(i int) { under[i] = append(under[i], answer{revisionIn(era, count), stored, wrote}) }
 		deliver := func(i int, a answer) {
 			c := catalogs[i]
 			learnTable(c, a.state.version, a.wrote[0])
@@ -170,7 +170,7 @@
 			if a.state.leaving {
 				value = fmt.Sprintf("born %d leaving", a.state.born)
 			}
-			newer := c.Learn(Reading{Revision: a.at, Items: []hookhall.Item{word(a.wrote[1], value)}, Began: time.Now()}, "store")
+			newer := c.Learn(Reading{Revision: a.at, Items: []hookhall.Item{targetItem(a.wrote[1], value)}, Began: time.Now()}, "store")
 			if newer && a.state.leaving {
 				left[i] = max(left[i], a.state.born)
 			}
@@ -187,7 +187,7 @@
 		change := func() {
 			count++
 			stored = latest
-			wrote = [2]hookhall.Revision{in(era, count), in(era, count)}
+			wrote = [2]hookhall.Revision{revisionIn(era, count), revisionIn(era, count)}
 		}
 		restores := 0
 		for range rapid.IntRange(20, 200).Draw(t, "steps") {
@@ -208,7 +208,7 @@
 					restores++
 					era++
 					stored, count = copied, copiedCount
-					wrote = [2]hookhall.Revision{in(era, copiedWrote[0].Count()), in(era, copiedWrote[1].Count())}
+					wrote = [2]hookhall.Revision{revisionIn(era, copiedWrote[0].Count()), revisionIn(era, copiedWrote[1].Count())}
 				}
 			case 5:
 				change() // written again
@@ -233,7 +233,7 @@
 			if v := catalogs[i].Table().Version(); v != latest.version {
 				t.Fatalf("gateway %d has table %d, and the store %d", i, v, latest.version)
 			}
-			if listed, _ := usable(catalogs[i]); listed == latest.leaving {
+			if listed, _ := targetStatus(catalogs[i]); listed == latest.leaving {
 				t.Fatalf("gateway %d uses the target: %v, and it leaves: %v", i, listed, latest.leaving)
 			}
 		}
--- a/internal/coordination/catalog/start_test.go
+++ b/internal/coordination/catalog/start_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// beginsWithCopy runs a catalog, one of many, whose copy of the targets lacks the
+// startWithCopy runs a catalog, one of many, whose copy of the targets lacks the
 // last change: "new" was listed, and "old" left.
-func beginsWithCopy(t *testing.T, rank int, f func(s *fakeStore, c *Catalog)) {
+func startWithCopy(t *testing.T, rank int, f func(s *fakeStore, c *Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.setTable(1)
-		s.change(func() {
-			s.copied = map[string]string{"a": "", "old": ""}
+		s.update(func() {
+			s.staleTargets = map[string]string{"a": "", "old": ""}
 			s.targets = map[string]string{"a": "", "new": ""}
 		})
 		c := newCatalog(s)
@@ -34,7 +34,7 @@
 }
 
 // knows checks which targets are usable.
-func knows(t *testing.T, c *Catalog, want ...string) {
+func expectUsable(t *testing.T, c *Catalog, want ...string) {
 	t.Helper()
 	got := map[string]bool{}
 	for _, o := range c.Targets("pool") {
@@ -51,52 +51,52 @@
 
 func TestStartWithCopy(t *testing.T) {
 	t.Run("it is ready with the copy, and news brings it up to date without a reading", func(t *testing.T) {
-		beginsWithCopy(t, rankMost, func(s *fakeStore, c *Catalog) {
+		startWithCopy(t, maxRank, func(s *fakeStore, c *Catalog) {
 			time.Sleep(100 * time.Millisecond)
 			if !c.Ready() {
 				t.Fatal("it is not ready")
 			}
-			knows(t, c, "a", "old")
+			expectUsable(t, c, "a", "old")
 			reader := newCatalog(s)
 			copied, at, _ := s.RangeStale(t.Context(), "t/")
 			reader.Learn(Reading{at, copied, time.Now()}, "store")
 			for range 8 {
-				time.Sleep(readEvery)
+				time.Sleep(readInterval)
 				reader.Learn(readingOf(t, s), "store")
 				c.LearnNews(reader.News(time.Now()), "reader")
 			}
-			knows(t, c, "a", "new")
-			if s.ranges != 8 {
-				t.Errorf("%d readings, of which the reader made 8", s.ranges)
+			expectUsable(t, c, "a", "new")
+			if s.targetReads != 8 {
+				t.Errorf("%d readings, of which the reader made 8", s.targetReads)
 			}
 		})
 	})
 	t.Run("it reads for itself when nobody tells it", func(t *testing.T) {
-		beginsWithCopy(t, rankMost, func(s *fakeStore, c *Catalog) {
-			time.Sleep(confirmWait + 2*look)
-			knows(t, c, "a", "new")
+		startWithCopy(t, maxRank, func(s *fakeStore, c *Catalog) {
+			time.Sleep(confirmTimeout + 2*pollInterval)
+			expectUsable(t, c, "a", "new")
 		})
 	})
 	t.Run("who reads for all does so at once", func(t *testing.T) {
-		beginsWithCopy(t, 0, func(s *fakeStore, c *Catalog) {
-			time.Sleep(3 * look)
-			knows(t, c, "a", "new")
+		startWithCopy(t, 0, func(s *fakeStore, c *Catalog) {
+			time.Sleep(3 * pollInterval)
+			expectUsable(t, c, "a", "new")
 		})
 	})
 }
 
-// TestNewcomersNews: a reader that has just begun tells what changed since then, not
+// TestFirstReadingIsNoChange: a reader that has just begun tells what changed since then, not
 // all that it has learned. When all of 295 gateways before 285 targets start at once,
 // telling all of it for three seconds would take half of a link of 20 Mbit/s.
-func TestNewcomersNews(t *testing.T) {
+func TestFirstReadingIsNoChange(t *testing.T) {
 	s := newFakeStore()
-	s.change(func() { s.targets = map[string]string{"a": "", "b": ""} })
+	s.update(func() { s.targets = map[string]string{"a": "", "b": ""} })
 	c := newCatalog(s)
 	c.Learn(readingOf(t, s), "store")
 	if n := c.News(time.Now()); len(n.Changed) != 0 || n.Digest == 0 {
 		t.Errorf("%d targets are told after the first reading, digest %x", len(n.Changed), n.Digest)
 	}
-	s.change(func() { s.targets["c"] = "" })
+	s.update(func() { s.targets["c"] = "" })
 	c.Learn(readingOf(t, s), "store")
 	if n := c.News(time.Now()); len(n.Changed) != 1 || n.Changed[0].Key != "t/c" {
 		t.Errorf("%v is told after the second", n.Changed)
--- a/internal/coordination/catalog/table.go
+++ b/internal/coordination/catalog/table.go
@@ -38,12 +38,12 @@
 // followTable watches the table if this process reads for all, and else reads it when
 // others have not confirmed it for a while.
 func (c *Catalog) followTable(ctx context.Context) {
-	pause := retry.Between(pauseFirst, pauseMost)
+	pause := retry.Between(minRetryDelay, maxRetryDelay)
 	at := hookhall.Revision(0)
 	for ctx.Err() == nil {
-		if s := c.table.Load(); s != nil && c.Rank() > 0 && !c.due(s.confirmed, clock.Now()) {
+		if s := c.table.Load(); s != nil && c.Rank() > 0 && !c.needsRead(s.confirmed, clock.Now()) {
 			at = 0 // whoever was told by others may be ahead of an old watch
-			retry.Sleep(ctx, look)
+			retry.Sleep(ctx, pollInterval)
 			continue
 		}
 		since := at
@@ -58,16 +58,16 @@
 			continue
 		}
 		if errors.Is(err, errNoTable) {
-			c.noteCall(ctx, nil)
-			c.noteNoTable()
-			if c.Rank() == rankMost {
-				retry.Sleep(ctx, retry.Jitter(noTablePause))
+			c.recordCall(ctx, nil)
+			c.logNoTable()
+			if c.Rank() == maxRank {
+				retry.Sleep(ctx, retry.Jitter(noTableRetryDelay))
 			} else {
 				pause.Wait(ctx)
 			}
 			continue
 		}
-		c.noteCall(ctx, err)
+		c.recordCall(ctx, err)
 		if err != nil {
 			pause.Wait(ctx)
 			continue
@@ -76,9 +76,9 @@
 	}
 }
 
-// noteNoTable writes one line while operators have not written a table.
-func (c *Catalog) noteNoTable() {
-	if !c.empty.Swap(true) {
+// logNoTable writes one line while operators have not written a table.
+func (c *Catalog) logNoTable() {
+	if !c.isTableMissing.Swap(true) {
 		c.log.Info("The store answers, but has no table yet.")
 	}
 }
@@ -92,9 +92,9 @@
 	}
 	// The halls come first: a process is ready with its first table, and must not
 	// send anything into a hall that was evacuated before it started.
-	fresh := c.LearnHalls(Halls{at, c.readHalls(items)}, "store")
+	fresh := c.LearnHalls(Halls{at, c.evacuatedHalls(items)}, "store")
 	fresh = c.Orders(items, at, true) || fresh
-	found := c.learnStored(items, began)
+	found := c.applyStoredTable(items, began)
 	if fresh {
 		c.Read()
 	}
@@ -107,20 +107,20 @@
 
 func (c *Catalog) watchTable(ctx context.Context, since hookhall.Revision) (hookhall.Revision, error) {
 	began := clock.Now()
-	events, at, err := c.store.Watch(ctx, c.platform.OperatorPrefix(), since, watchTime)
+	events, at, err := c.store.Watch(ctx, c.platform.OperatorPrefix(), since, tableWatchTimeout)
 	if err != nil {
 		// Whatever was missed is read whole.
 		return 0, err
 	}
-	changed := c.followHalls(events, at)
+	changed := c.applyHallEvents(events, at)
 	if changed = c.Orders(events, at, false) || changed; changed {
 		c.Read()
 	}
-	if c.learnStored(events, began) {
+	if c.applyStoredTable(events, began) {
 		return at, nil
 	}
-	if clock.Since(began) >= watchTime {
-		began = began.Add(watchTime) // the store waited before it said that there is nothing
+	if clock.Since(began) >= tableWatchTimeout {
+		began = began.Add(tableWatchTimeout) // the store waited before it said that there is nothing
 	}
 	if s := c.table.Load(); s != nil {
 		c.ConfirmTable(s.revision, began)
@@ -128,10 +128,10 @@
 	return at, nil
 }
 
-// learnStored takes in the newest table among keys that the store had when a call
+// applyStoredTable takes in the newest table among keys that the store had when a call
 // began, and passes it on if it is new. It tells whether there was one. One answer of
 // a watch may hold several: the first alone would stay in force until the next change.
-func (c *Catalog) learnStored(items []hookhall.Item, began time.Time) bool {
+func (c *Catalog) applyStoredTable(items []hookhall.Item, began time.Time) bool {
 	var newest hookhall.Item
 	for _, i := range items {
 		if i.Key == c.platform.RoutingKey() && !i.Gone && i.Revision > newest.Revision {
@@ -183,7 +183,7 @@
 		c.log.Error("The table can't be packed.", "revision", revision, "error", err.Error())
 		return false
 	}
-	return c.learn(value, packed, revision, from, began)
+	return c.installTable(value, packed, revision, from, began)
 }
 
 // LearnPacked is LearnTable of what a peer's PackedTable gave.
@@ -196,10 +196,10 @@
 		c.log.Error("A peer's table can't be unpacked.", "revision", revision, "from", from, "error", err.Error())
 		return false
 	}
-	return c.learn(value, packed, revision, from, began)
+	return c.installTable(value, packed, revision, from, began)
 }
 
-func (c *Catalog) learn(value, packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
+func (c *Catalog) installTable(value, packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	r, err := c.platform.ReadRouting(value)
 	if err != nil {
 		c.log.Error("The table can't be read; the one in force stays.", "revision", revision, "error", err.Error())
@@ -212,8 +212,8 @@
 	if s != nil && s.revision >= revision {
 		return false
 	}
-	if c.copiedTable(s, r.Version, revision) {
-		c.noteCopiedTable(s, r.Version, revision, began)
+	if c.isOlderTable(s, r.Version, revision) {
+		c.keepNewerTable(s, r.Version, revision, began)
 		return false
 	}
 	c.table.Store(&tableState{table: compiled, revision: revision, packed: packed, confirmed: began})
--- a/internal/coordination/catalog/takeover_test.go
+++ b/internal/coordination/catalog/takeover_test.go
@@ -21,12 +21,12 @@
 	slow atomic.Bool
 }
 
-const slowRange = 3 * time.Second
+const slowRangeDelay = 3 * time.Second
 
 func (s *slowStore) Range(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
 	items, at, err := s.fakeStore.Range(ctx, prefix)
 	if s.slow.Load() && prefix != "op/" {
-		time.Sleep(slowRange)
+		time.Sleep(slowRangeDelay)
 	}
 	return items, at, err
 }
@@ -45,11 +45,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &slowStore{fakeStore: newFakeStore()}
 				s.targets = map[string]string{"a": "", "b": "", "c": ""}
-				s.copied = maps.Clone(s.targets)
-				s.change(func() {})
+				s.staleTargets = maps.Clone(s.targets)
+				s.update(func() {})
 				reader, follower := newCatalog(s), newCatalog(s)
 				var rank atomic.Int64
-				rank.Store(rankMost)
+				rank.Store(maxRank)
 				follower.Rank = func() int { return int(rank.Load()) }
 				reader.Read = func() {
 					if c.told {
@@ -66,11 +66,11 @@
 				stopReader()
 				rank.Store(0)
 				time.Sleep(100 * time.Millisecond)
-				s.change(func() { s.targets["b"] = "leaving" })
+				s.update(func() { s.targets["b"] = "leaving" })
 				time.Sleep(time.Second)
-				knows(t, follower, c.wants...)
-				time.Sleep(2 * slowRange)
-				knows(t, follower, "a", "c")
+				expectUsable(t, follower, c.wants...)
+				time.Sleep(2 * slowRangeDelay)
+				expectUsable(t, follower, "a", "c")
 				stop()
 				run.Wait()
 			})
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -57,16 +57,16 @@
 // followTargets reads the targets whenever what is believed of them has grown old. The
 // process that reads for all watches them, and reads all of them now and then.
 func (c *Catalog) followTargets(ctx context.Context) {
-	f := targetsFollower{Catalog: c, pause: retry.Between(pauseFirst, pauseMost)}
+	f := targetsFollower{Catalog: c, pause: retry.Between(minRetryDelay, maxRetryDelay)}
 	for ctx.Err() == nil {
-		if !f.wanted(clock.Now()) {
-			f.at = 0 // whoever was told by others may be ahead of an old watch
-			f.follows = true
-			retry.Sleep(ctx, look)
+		if !f.isDue(clock.Now()) {
+			f.watchRevision = 0 // whoever was told by others may be ahead of an old watch
+			f.isFollower = true
+			retry.Sleep(ctx, pollInterval)
 			continue
 		}
-		if f.follows {
-			f.follows = false
+		if f.isFollower {
+			f.isFollower = false
 			f.takeOver(clock.Now())
 		}
 		f.step(ctx)
@@ -76,14 +76,14 @@
 // targetsFollower is the loop of followTargets.
 type targetsFollower struct {
 	*Catalog
-	pause *retry.Pause
-	first time.Time         // when the copy that this process began with was made, at least
-	at    hookhall.Revision // the revision to watch from, 0 to read all targets
-	read  time.Time         // when all were last read
+	pause         *retry.Pause
+	copyBegan     time.Time         // when the copy that this process began with was made, at least
+	watchRevision hookhall.Revision // the revision to watch from, 0 to read all targets
+	lastFullRead  time.Time         // when all were last read
 	// gather is set when a watch told of changes: others may come with them.
-	gather bool
+	hasEvents bool
 	// follows is set while this process relies on updates of peers.
-	follows bool
+	isFollower bool
 }
 
 // takeOver lets a new first reader watch from the revision up to which its peers have updated
@@ -94,39 +94,39 @@
 		return
 	}
 	f.mu.Lock()
-	synced := f.synced
+	synced := f.syncedRevision
 	f.mu.Unlock()
-	if p := f.picture.Load(); synced > 0 && p.Revision == synced && p.Age(now) < takeOverAge {
-		f.at, f.read = synced, now
+	if p := f.snapshot.Load(); synced > 0 && p.Revision == synced && p.Age(now) < maxTakeoverAge {
+		f.watchRevision, f.lastFullRead = synced, now
 		f.log.Info("This process takes over as first reader.", "revision", synced, "age", p.Age(now))
 	}
 }
 
 // wanted tells whether it is this process's turn to ask the store.
-func (f *targetsFollower) wanted(now time.Time) bool {
-	p := f.picture.Load()
+func (f *targetsFollower) isDue(now time.Time) bool {
+	p := f.snapshot.Load()
 	switch {
 	case p == nil:
 		return true
-	case p.Began.Equal(f.first) && f.awaitsNews(f.first, now):
+	case p.Began.Equal(f.copyBegan) && f.awaitsUpdates(f.copyBegan, now):
 		return false
 	}
-	return f.Rank() == 0 || f.due(p.Began, now)
+	return f.Rank() == 0 || f.needsRead(p.Began, now)
 }
 
 // step makes one call of the store and takes its answer in.
 func (f *targetsFollower) step(ctx context.Context) {
 	now := clock.Now()
-	began := f.picture.Load() == nil
-	fresh, err := f.ask(ctx, began)
+	began := f.snapshot.Load() == nil
+	fresh, err := f.readOrWatch(ctx, began)
 	if errors.Is(err, hookhall.ErrHistoryGone) {
-		f.noteCall(ctx, nil)
-		f.at = 0
+		f.recordCall(ctx, nil)
+		f.watchRevision = 0
 		return
 	}
-	f.noteCall(ctx, err)
+	f.recordCall(ctx, err)
 	if err != nil {
-		f.at = 0 // whatever was missed is read whole
+		f.watchRevision = 0 // whatever was missed is read whole
 		f.pause.Wait(ctx)
 		return
 	}
@@ -134,18 +134,18 @@
 	if fresh && !began {
 		f.Read()
 	}
-	if f.gather {
-		retry.Sleep(ctx, gatherEvents)
-	} else if f.at == 0 || !f.read.Before(now) {
-		retry.Sleep(ctx, look) // a reading does not wait in the store, as a watch does
+	if f.hasEvents {
+		retry.Sleep(ctx, eventGatherDelay)
+	} else if f.watchRevision == 0 || !f.lastFullRead.Before(now) {
+		retry.Sleep(ctx, pollInterval) // a reading does not wait in the store, as a watch does
 	}
 }
 
 // ask watches the targets, or reads all of them. It tells whether anything was newer
 // than what is known.
-func (f *targetsFollower) ask(ctx context.Context, begins bool) (fresh bool, err error) {
-	f.gather = false
-	if f.at > 0 && f.Rank() == 0 && clock.Since(f.read) < readAllEvery {
+func (f *targetsFollower) readOrWatch(ctx context.Context, begins bool) (fresh bool, err error) {
+	f.hasEvents = false
+	if f.watchRevision > 0 && f.Rank() == 0 && clock.Since(f.lastFullRead) < fullReadInterval {
 		return f.watch(ctx)
 	}
 	r, err := f.readTargets(ctx, begins)
@@ -153,32 +153,32 @@
 		return false, err
 	}
 	if begins {
-		f.first = r.Began
+		f.copyBegan = r.Began
 		return f.Learn(r, "store's copy"), nil
 	}
-	f.at, f.read = r.Revision, clock.Now()
+	f.watchRevision, f.lastFullRead = r.Revision, clock.Now()
 	return f.Learn(r, "store"), nil
 }
 
 // watch waits for changes.
 func (f *targetsFollower) watch(ctx context.Context) (fresh bool, err error) {
 	began := clock.Now()
-	events, at, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.at, readEvery)
+	events, at, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.watchRevision, readInterval)
 	if err != nil {
 		return false, err
 	}
-	f.at = at
-	if len(events) == 0 && clock.Since(began) >= readEvery {
-		began = began.Add(readEvery) // the store waited before it said that there is nothing
+	f.watchRevision = at
+	if len(events) == 0 && clock.Since(began) >= readInterval {
+		began = began.Add(readInterval) // the store waited before it said that there is nothing
 	}
-	f.gather = len(events) > 0
+	f.hasEvents = len(events) > 0
 	return f.Follow(events, at, began), nil
 }
 
-// awaitsNews tells whether a process that began with a copy leaves the store to
+// awaitsUpdates tells whether a process that began with a copy leaves the store to
 // others for the moment.
-func (c *Catalog) awaitsNews(first, now time.Time) bool {
-	return c.Rank() == rankMost && now.Before(first.Add(staleMost+confirmWait))
+func (c *Catalog) awaitsUpdates(first, now time.Time) bool {
+	return c.Rank() == maxRank && now.Before(first.Add(maxCopyAge+confirmTimeout))
 }
 
 // readTargets reads the targets. A process that knows none begins with a copy of
@@ -188,7 +188,7 @@
 	list := c.store.Range
 	if copied {
 		list = c.store.RangeStale
-		began = began.Add(-staleMost)
+		began = began.Add(-maxCopyAge)
 	}
 	items, at, err := list(ctx, c.platform.TargetPrefix())
 	return Reading{at, items, began}, err
@@ -198,22 +198,22 @@
 func (c *Catalog) Learn(r Reading, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.picture.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
+	if p := c.snapshot.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
 		return false
 	}
 	now := clock.Now()
-	restored := c.restored(r.Revision)
+	restored := c.isLaterEra(r.Revision)
 	if restored {
-		c.base = r.Revision
+		c.eraBaseRevision = r.Revision
 	}
 	listed := make(map[string]bool, len(r.Items))
 	for _, i := range r.Items {
-		c.take(i, from, now)
+		c.applyItem(i, from, now)
 		listed[i.Key] = true
 	}
-	c.miss(c.unlisted(listed, r.Revision, func(string) bool { return true }), r.Revision, restored, from, now)
-	if c.picture.Load() == nil {
-		c.log.Info("The targets are known.", "count", len(c.known), "revision", r.Revision, "from", from)
+	c.markMissing(c.unlisted(listed, r.Revision, func(string) bool { return true }), r.Revision, restored, from, now)
+	if c.snapshot.Load() == nil {
+		c.log.Info("The targets are known.", "count", len(c.entriesByKey), "revision", r.Revision, "from", from)
 	}
 	c.publish(r.Revision, r.Began, now)
 	return true
@@ -224,7 +224,7 @@
 func (c *Catalog) Follow(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.picture.Load() == nil || c.older(revision, began) {
+	if c.snapshot.Load() == nil || c.isOlder(revision, began) {
 		return false
 	}
 	now := clock.Now()
@@ -234,43 +234,43 @@
 	}
 	var lost []*entry
 	for key, i := range last {
-		if e := c.known[key]; i.Gone && e != nil && e.missing.IsZero() {
+		if e := c.entriesByKey[key]; i.Gone && e != nil && e.missingSince.IsZero() {
 			lost = append(lost, e)
 		} else if !i.Gone {
-			c.take(i, "store", now)
+			c.applyItem(i, "store", now)
 		}
 	}
-	c.miss(lost, revision, false, "store", now)
+	c.markMissing(lost, revision, false, "store", now)
 	c.publish(revision, began, now)
 	return true
 }
 
 // restored tells whether a revision is of a later era of the store than what is known. The
 // caller holds c.mu.
-func (c *Catalog) restored(revision hookhall.Revision) bool {
-	p := c.picture.Load()
+func (c *Catalog) isLaterEra(revision hookhall.Revision) bool {
+	p := c.snapshot.Load()
 	return p != nil && revision.Era() > p.Revision.Era()
 }
 
 // older tells whether what was read at a revision is no news.
-func (c *Catalog) older(revision hookhall.Revision, began time.Time) bool {
-	p := c.picture.Load()
+func (c *Catalog) isOlder(revision hookhall.Revision, began time.Time) bool {
+	p := c.snapshot.Load()
 	return p != nil && (revision < p.Revision || (revision == p.Revision && !began.After(p.Began)))
 }
 
 // publish makes the picture of what is known, as confirmed at a revision. The
 // caller holds c.mu.
 func (c *Catalog) publish(revision hookhall.Revision, began, now time.Time) {
-	p := &Picture{Revision: revision, Began: began, Digest: c.buckets.whole()}
-	old := c.picture.Load()
-	if old == nil || c.lapsing(old.Began) {
+	p := &Picture{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
+	old := c.snapshot.Load()
+	if old == nil || c.hasLapsed(old.Began) {
 		c.markAllDirty()
 	}
 	if old != nil {
 		p.ByPool, p.Evacuated = old.ByPool, old.Evacuated
 	}
-	if len(c.dirty) > 0 {
-		c.remake(p, now)
+	if len(c.changesByPool) > 0 {
+		c.rebuild(p, now)
 	}
-	c.picture.Store(p)
+	c.snapshot.Store(p)
 }
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -12,9 +12,9 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// tellFor is for how long a change is told again with each piece of news: twice or
+// changeResendTime is for how long a change is told again with each piece of news: twice or
 // three times. A process that has missed all of them repairs the buckets that differ.
-const tellFor = time.Second
+const changeResendTime = time.Second
 
 // Buckets is how many buckets the targets are divided into, by their keys. With 3,000
 // targets, a bucket has some 50, and is repaired in some 2 KB.
@@ -27,7 +27,7 @@
 type Digests [Buckets]uint64
 
 // whole sums up all targets.
-func (d *Digests) whole() uint64 {
+func (d *Digests) combined() uint64 {
 	sum := uint64(0)
 	for _, s := range d {
 		sum ^= s
@@ -49,15 +49,15 @@
 func (c *Catalog) News(now time.Time) News {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.picture.Load()
+	p := c.snapshot.Load()
 	if p == nil {
 		return News{}
 	}
 	n := News{Revision: p.Revision, Began: p.Began, Digest: p.Digest}
-	for key, e := range c.known {
+	for key, e := range c.entriesByKey {
 		switch {
-		case now.Sub(e.changed) > tellFor:
-		case e.missing.IsZero():
+		case now.Sub(e.changedAt) > changeResendTime:
+		case e.missingSince.IsZero():
 			n.Changed = append(n.Changed, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
 		default:
 			n.Gone = append(n.Gone, key)
@@ -74,23 +74,23 @@
 func (c *Catalog) LearnNews(n News, from string) (fresh, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.picture.Load()
-	if p == nil || c.older(n.Revision, n.Began) {
+	p := c.snapshot.Load()
+	if p == nil || c.isOlder(n.Revision, n.Began) {
 		return false, false
 	}
 	now := clock.Now()
 	for _, i := range n.Changed {
-		c.take(i, from, now)
+		c.applyItem(i, from, now)
 	}
 	var lost []*entry
 	for _, key := range n.Gone {
-		if e := c.known[key]; e != nil && e.missing.IsZero() && e.revision <= n.Revision {
+		if e := c.entriesByKey[key]; e != nil && e.missingSince.IsZero() && e.revision <= n.Revision {
 			lost = append(lost, e)
 		}
 	}
-	c.miss(lost, n.Revision, c.restored(n.Revision), from, now)
-	if c.buckets.whole() == n.Digest {
-		c.synced = n.Revision
+	c.markMissing(lost, n.Revision, c.isLaterEra(n.Revision), from, now)
+	if c.bucketDigests.combined() == n.Digest {
+		c.syncedRevision = n.Revision
 		c.publish(n.Revision, n.Began, now)
 		return true, false
 	}
@@ -103,7 +103,7 @@
 func (c *Catalog) Digests() Digests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.buckets
+	return c.bucketDigests
 }
 
 // Repair is what a process believes of the buckets in which another one differs.
@@ -119,20 +119,20 @@
 func (c *Catalog) Differing(theirs Digests) Repair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.picture.Load()
+	p := c.snapshot.Load()
 	if p == nil {
 		return Repair{}
 	}
-	r := Repair{Reading: Reading{Revision: p.Revision, Began: p.Began}, Digest: c.buckets.whole()}
+	r := Repair{Reading: Reading{Revision: p.Revision, Began: p.Began}, Digest: c.bucketDigests.combined()}
 	differs := [Buckets]bool{}
 	for b := range Buckets {
-		if c.buckets[b] != theirs[b] {
+		if c.bucketDigests[b] != theirs[b] {
 			differs[b] = true
 			r.Buckets = append(r.Buckets, b)
 		}
 	}
-	for key, e := range c.known {
-		if e.missing.IsZero() && differs[bucketOf(key)] {
+	for key, e := range c.entriesByKey {
+		if e.missingSince.IsZero() && differs[bucketOf(key)] {
 			r.Items = append(r.Items, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
 		}
 	}
@@ -143,13 +143,13 @@
 func (c *Catalog) Reading() Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.picture.Load()
+	p := c.snapshot.Load()
 	if p == nil {
 		return Reading{}
 	}
 	r := Reading{Revision: p.Revision, Began: p.Began}
-	for key, e := range c.known {
-		if e.missing.IsZero() {
+	for key, e := range c.entriesByKey {
+		if e.missingSince.IsZero() {
 			r.Items = append(r.Items, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
 		}
 	}
@@ -161,8 +161,8 @@
 func (c *Catalog) LearnRepair(r Repair, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.picture.Load()
-	if p == nil || c.older(r.Revision, r.Began) {
+	p := c.snapshot.Load()
+	if p == nil || c.isOlder(r.Revision, r.Began) {
 		return false
 	}
 	now := clock.Now()
@@ -175,16 +175,16 @@
 	}
 	listed := map[string]bool{}
 	for _, i := range r.Items {
-		c.take(i, from, now)
+		c.applyItem(i, from, now)
 		listed[i.Key] = true
 	}
-	c.miss(c.unlisted(listed, r.Revision, func(key string) bool { return told[bucketOf(key)] }), r.Revision, c.restored(r.Revision), from, now)
-	if c.buckets.whole() != r.Digest {
+	c.markMissing(c.unlisted(listed, r.Revision, func(key string) bool { return told[bucketOf(key)] }), r.Revision, c.isLaterEra(r.Revision), from, now)
+	if c.bucketDigests.combined() != r.Digest {
 		c.publish(p.Revision, p.Began, now)
 		return false
 	}
 	c.log.Info("A gap is repaired.", "from", from, "buckets", len(r.Buckets), "targets", len(r.Items), "revision", r.Revision)
-	c.synced = r.Revision
+	c.syncedRevision = r.Revision
 	c.publish(r.Revision, r.Began, now)
 	return true
 }
@@ -193,8 +193,8 @@
 // revision, but not in a reading of that. The caller holds c.mu.
 func (c *Catalog) unlisted(listed map[string]bool, revision hookhall.Revision, which func(key string) bool) []*entry {
 	var lost []*entry
-	for key, e := range c.known {
-		if !listed[key] && e.missing.IsZero() && e.revision <= revision && which(key) {
+	for key, e := range c.entriesByKey {
+		if !listed[key] && e.missingSince.IsZero() && e.revision <= revision && which(key) {
 			lost = append(lost, e)
 		}
 	}
@@ -202,4 +202,4 @@
 }
 
 // lapsing tells whether a target's time to come back was running at a time.
-func (c *Catalog) lapsing(at time.Time) bool { return c.lapseEnds.After(at) }
+func (c *Catalog) hasLapsed(at time.Time) bool { return c.lastLapseEnd.After(at) }
--- a/internal/coordination/catalog/updates_test.go
+++ b/internal/coordination/catalog/updates_test.go
@@ -16,7 +16,7 @@
 )
 
 // reading lists targets, all ready.
-func reading(at hookhall.Revision, ids ...string) Reading {
+func readyReading(at hookhall.Revision, ids ...string) Reading {
 	r := Reading{Revision: at, Began: time.Now()}
 	for _, id := range ids {
 		r.Items = append(r.Items, hookhall.Item{Key: "t/" + id, Value: []byte("ready")})
@@ -24,61 +24,61 @@
 	return r
 }
 
-func TestNews(t *testing.T) {
+func TestUpdates(t *testing.T) {
 	Convey("Given a reader and a follower with the same targets", t, func() {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(reading(1, "a", "b", "c"), "store")
-		follower.Learn(reading(1, "a", "b", "c"), "store")
+		reader.Learn(readyReading(1, "a", "b", "c"), "store")
+		follower.Learn(readyReading(1, "a", "b", "c"), "store")
 		began := follower.Picture().Began
 		Convey("news without changes confirms what the follower has", func() {
-			reader.Learn(reading(2, "a", "b", "c"), "store")
-			So(fresh(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
+			reader.Learn(readyReading(2, "a", "b", "c"), "store")
+			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
 			So(follower.Picture().Revision, ShouldEqual, 2)
 			So(follower.Picture().Began.After(began), ShouldBeTrue)
 		})
 		Convey("changes arrive, and the age with them", func() {
-			reader.Learn(reading(2, "a", "b", "d"), "store")
-			So(fresh(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
+			reader.Learn(readyReading(2, "a", "b", "d"), "store")
+			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
 			So(follower.Picture().Digest, ShouldEqual, reader.Picture().Digest)
 			So(follower.Picture().Revision, ShouldEqual, 2)
 			So(len(follower.Targets("pool")), ShouldEqual, 3)
 		})
 		Convey("a gap leaves the picture as old as it was", func() {
-			reader.Learn(reading(2, "a", "b", "d"), "store")
+			reader.Learn(readyReading(2, "a", "b", "d"), "store")
 			n := reader.News(time.Now())
 			n.Gone = nil // the news that told of c's end was lost long ago
-			So(gap(follower.LearnNews(n, "reader")), ShouldBeTrue)
+			So(hasGap(follower.LearnNews(n, "reader")), ShouldBeTrue)
 			So(follower.Picture().Revision, ShouldEqual, 1)
 			So(follower.Picture().Began, ShouldEqual, began)
 			So(follower.Known(), ShouldContainKey, "d")
 		})
 		Convey("old news is no news", func() {
 			old := reader.News(time.Now())
-			follower.Learn(reading(3, "a"), "store")
-			So(fresh(follower.LearnNews(old, "reader")), ShouldBeFalse)
+			follower.Learn(readyReading(3, "a"), "store")
+			So(isNewer(follower.LearnNews(old, "reader")), ShouldBeFalse)
 		})
 		Convey("a process without a picture reads first", func() {
-			So(fresh(newCatalog(newFakeStore()).LearnNews(reader.News(time.Now()), "reader")), ShouldBeFalse)
+			So(isNewer(newCatalog(newFakeStore()).LearnNews(reader.News(time.Now()), "reader")), ShouldBeFalse)
 		})
 	})
 }
 
 // fresh and gap are the two results of LearnNews.
-func fresh(fresh, _ bool) bool { return fresh }
-func gap(_, gap bool) bool     { return gap }
+func isNewer(fresh, _ bool) bool { return fresh }
+func hasGap(_, gap bool) bool    { return gap }
 
-func lists(c *Catalog, id string) bool {
-	e := c.known["t/"+id]
-	return e != nil && e.missing.IsZero()
+func isListed(c *Catalog, id string) bool {
+	e := c.entriesByKey["t/"+id]
+	return e != nil && e.missingSince.IsZero()
 }
 
-// TestRandomNews: whatever news is lost, a follower whose digest agrees has the
+// TestRandomUpdates: whatever news is lost, a follower whose digest agrees has the
 // reader's list, and one whose digest does not keeps its age.
-func TestRandomNews(t *testing.T) {
+func TestRandomUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(reading(1, "x0"), "store")
-		follower.Learn(reading(1, "x0"), "store")
+		reader.Learn(readyReading(1, "x0"), "store")
+		follower.Learn(readyReading(1, "x0"), "store")
 		for at := hookhall.Revision(2); at < 30; at++ {
 			var ids []string
 			for i := range 6 {
@@ -86,7 +86,7 @@
 					ids = append(ids, fmt.Sprint("x", i))
 				}
 			}
-			reader.Learn(reading(at, ids...), "store")
+			reader.Learn(readyReading(at, ids...), "store")
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
@@ -100,7 +100,7 @@
 				continue
 			}
 			for id := range reader.Known() {
-				if lists(reader, id) != lists(follower, id) {
+				if isListed(reader, id) != isListed(follower, id) {
 					t.Fatalf("%s differs under equal digests", id)
 				}
 			}
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestOneReads: of processes that are told, only the first reads the store; when
+// TestOnlyFirstReaderReads: of processes that are told, only the first reads the store; when
 // it falls silent, the others read before what they know is too old.
-func TestOneReads(t *testing.T) {
+func TestOnlyFirstReaderReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.targets["a"] = "ready"
