--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -19,49 +19,52 @@
 )
 
 const (
-	// tableWatchTimeout is how long a watch of the table waits.
+	// tableWatchTimeout is how long a watch of the operators' keys waits for a change.
 	tableWatchTimeout = 300 * time.Millisecond
-	// readInterval is how old the first reader lets its beliefs get.
+	// readInterval is the age of the targets' state at which the first reader asks the store
+	// again, and how long its watch of the targets waits for a change.
 	readInterval = 400 * time.Millisecond
-	// fullReadInterval is how often the first reader reads all targets beside its watch, in
-	// case a watch has missed a change without saying so.
+	// fullReadInterval is the interval at which the first reader lists all targets in addition
+	// to its watch, in case the watch missed a change without an error.
 	fullReadInterval = 10 * time.Second
-	// eventGatherDelay is how long it lets further changes gather after some: when all
-	// targets start at once, each of them is one. A tenth of a second is little of
-	// the three in which they have to be in force.
+	// eventGatherDelay is the pause after a watch that returned events, so that further changes
+	// arrive with the next call: when all targets start at once, each of them is one change.
+	// A tenth of a second is a small part of the three seconds in which a change must be in force.
 	eventGatherDelay = 100 * time.Millisecond
-	// rankDelayStep is how much older they get at the second reader, and, twice that
-	// and some chance, at all others. What others are told of the table is up to a
-	// watch and the reader's interval old.
+	// rankDelayStep is added to readInterval once for the second reader, and twice plus a random
+	// part for all others. The table's state that peers send is already as old as a watch and
+	// the reader's interval together.
 	rankDelayStep = 350 * time.Millisecond
-	// maxRank is the last rank that counts.
+	// maxRank is the highest rank that is told apart; higher ones are treated like it.
 	maxRank = 2
-	// fleetDelayStep spreads them further in a large fleet, by this much for each
-	// gateway: a reading takes some tenths of a second to get around there, and the
-	// first that reads for itself tells all others. With maxFleetDelay, beliefs stay
-	// well within the three seconds in which a change has to be in force.
+	// fleetDelayStep widens the random part for each gateway of the fleet, up to maxFleetDelay:
+	// in a large fleet an update takes some tenths of a second to reach everybody, and the first
+	// process that reads the store updates all others. With maxFleetDelay, the state stays well
+	// within the three seconds in which a change must be in force.
 	fleetDelayStep = 4 * time.Millisecond
 	maxFleetDelay  = 1200 * time.Millisecond
 	// maxTakeoverAge is the maximum age of the state from which a new first reader watches. An
 	// older state comes from an outage, after which many leases may have expired at once.
 	maxTakeoverAge = 2 * time.Second
-	// maxCopyAge is how old the copy of the targets may be that a process begins with.
+	// maxCopyAge is the maximum age of the copy of the targets that a process starts with.
 	maxCopyAge = 3 * time.Second
-	// confirmTimeout is how long such a process waits for news to bring its beliefs up
-	// to date, before it reads the targets itself: news comes each readInterval.
+	// confirmTimeout is how long a process that started with a copy waits for an update from a
+	// peer before it reads the targets itself: updates arrive every readInterval.
 	confirmTimeout = 2 * readInterval
-	// look is how often it looks whether they are.
+	// pollInterval is the interval at which a process that relies on peers checks whether it
+	// must read the store itself, and the pause after a call that does not wait in the store.
 	pollInterval = 40 * time.Millisecond
-	// noTableRetryDelay is how often a process that others tell asks for the table while
-	// there is none: 89 gateways that started before the operators' first table asked
-	// for it 418 times in 14 s, a third of their calls in a day.
+	// noTableRetryDelay is the delay, before jitter, between reads of the table by a process of
+	// maxRank while the store has none. With the delays below, 89 gateways that started before
+	// the operators' first table asked for it 418 times in 14 s, a third of their calls in a day.
 	noTableRetryDelay = 2 * time.Second
-	// minRetryDelay and maxRetryDelay bound the pauses after failures of the store.
+	// minRetryDelay and maxRetryDelay bound the delays after failures of the store.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
 )
 
-// Catalog follows the store.
+// Catalog mirrors the operators' keys and the targets of the platform's store. The fields that
+// are functions must be set before Run; all methods may be called concurrently.
 type Catalog struct {
 	store    hookhall.Store
 	platform hookhall.Platform
@@ -70,64 +73,66 @@
 	table             atomic.Pointer[tableState]
 	snapshot          atomic.Pointer[Picture]
 	halls             atomic.Pointer[Halls]
-	listingsByAddress sync.Map // address to resident
-	// Rank tells which reader this process is: 0 reads for all, 1 stands by, and
-	// others read only what they have not been told. Set before Run.
+	listingsByAddress sync.Map // address to listing
+	// Rank returns the reader rank of this process: 0 reads the store for all, 1 stands by, and
+	// higher ranks read only what peers have not updated in time. Set before Run.
 	Rank func() int
-	// Fleet is how many gateways there are. Set before Run.
+	// Fleet returns the number of gateways. Set before Run.
 	Fleet func() int
-	// Read is called after this process has learned something from the store
-	// itself. Set before Run.
+	// Read is called after a read or watch of the store brought something new, so that peers
+	// can be updated. Set before Run.
 	Read func()
-	// Orders takes in keys that operators have written, as of a revision of the store;
-	// whole tells that there are no others. It tells whether anything changed that others
-	// should know. Set before Run.
+	// Orders applies keys that operators have written, as of a revision of the store, and
+	// reports whether anything changed that peers need. whole is true if items has all of the
+	// operators' keys. Set before Run.
 	Orders func(items []hookhall.Item, at hookhall.Revision, whole bool) bool
-	// Reborn is called when a target is listed in another life, with what was and what is
-	// listed. It must not block, nor call the catalog. Set before Run.
+	// Reborn is called with the previous and the new listing when a target is listed in another
+	// incarnation. It must not block or call the catalog: c.mu is held. Set before Run.
 	Reborn func(before, after hookhall.Target)
 
-	// place is this process's among those that read for themselves, 0 for the first
-	// and 1 for the last.
+	// readJitter is the part of the random delay that this process waits before it reads for
+	// itself at maxRank, in [0, 1).
 	readJitter float64
 
-	mu           sync.Mutex        // held while pictures and tables change
-	entriesByKey map[string]*entry // by key
-	// pools has them by service, and dirty what changed in the services whose part of the next
-	// picture has to be made anew.
+	mu           sync.Mutex // held while snapshots and tables change
+	entriesByKey map[string]*entry
+	// entriesByPool has the same entries by service and key. changesByPool has the changes since
+	// the last snapshot by service.
 	entriesByPool map[string]map[string]*entry
 	changesByPool map[string]*poolChanges
-	listedCount   int       // how many of known are listed
-	lastSweep     time.Time // when those that are gone were last looked for
-	// rejected has the keys that name no target, with the hash of their values.
+	listedCount   int       // number of entries that are listed
+	lastSweep     time.Time // when missing entries were last checked for expiry
+	// rejectedHashes maps keys that hold no valid target to the hash of their values.
 	rejectedHashes map[string]uint64
-	// departed has the lives that are leaving and not known here, with the time since when
-	// that is so.
+	// departedAt maps incarnations that are leaving and have no entry to the time at which this
+	// was recorded.
 	departedAt map[hookhall.Life]time.Time
-	// buckets sums up those that are listed.
+	// bucketDigests has the digests of the listed targets.
 	bucketDigests Digests
-	// lastLapseEnd is when the last target that lapsed has to be back.
+	// lastLapseEnd is the latest time until which a lapsed target stays usable.
 	lastLapseEnd time.Time
-	// returned is when halls that were evacuated were taken back.
+	// readmittedAt maps halls to the time at which their evacuation ended.
 	readmittedAt map[string]time.Time
-	// storedHalls are the evacuated halls as last told, and heldUntil those that stay so, until
-	// when, after the store came back from a copy.
+	// storedHalls has the evacuated halls of the last reading or update. heldUntil maps halls
+	// that stay evacuated after the store was restored from an older copy to the end of that.
 	storedHalls []string
 	heldUntil   map[string]time.Time
-	// synced is the revision up to which the updates of peers were complete, as their digest
-	// proved.
+	// syncedRevision is the latest revision up to which updates of peers were complete, as shown
+	// by their digest.
 	syncedRevision hookhall.Revision
-	// base is the store's revision when this process first read all targets after the store
-	// had come back from a copy, and olderTableEra the era of that in which the copy had an older
+	// eraBaseRevision is the store's revision at the first full reading of the targets after a
+	// restore from an older copy. olderTableEra is the last era in which the store had an older
 	// table than the one in force.
 	eraBaseRevision hookhall.Revision
 	olderTableEra   uint64
 
 	isFailing      atomic.Bool               // the last call of the store failed
-	lastAnswer     atomic.Pointer[time.Time] // when the store last answered, or the start
-	isTableMissing atomic.Bool               // the store answered that it has no table
+	lastAnswer     atomic.Pointer[time.Time] // when the store last answered; initially the start
+	isTableMissing atomic.Bool               // the store has answered that it has no table
 }
 
+// New returns a Catalog without a table and targets; Run fills it.
+
 // New makes a Catalog; Run follows the store.
 func New(s hookhall.Store, p hookhall.Platform, l *log.Logger) *Catalog {
 	c := &Catalog{store: s, platform: p, log: l, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Life]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, Rank: func() int { return 0 }, Fleet: func() int { return 1 }, Read: func() {}, Orders: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, Reborn: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
@@ -135,7 +140,7 @@
 	return c
 }
 
-// Table is the table in force, nil before the first.
+// Table returns the table in force, or nil before the first.
 func (c *Catalog) Table() *routetable.Table {
 	if s := c.table.Load(); s != nil {
 		return s.table
@@ -143,10 +148,10 @@
 	return nil
 }
 
-// Picture is what is believed of the targets, nil before the first reading.
+// Picture returns the current snapshot of the targets, or nil before the first reading.
 func (c *Catalog) Picture() *Picture { return c.snapshot.Load() }
 
-// Targets are the usable targets of a service.
+// Targets returns the usable targets of a service, sorted by id. The caller must not modify them.
 func (c *Catalog) Targets(pool string) []hookhall.Target {
 	if p := c.snapshot.Load(); p != nil {
 		return p.ByPool[pool]
@@ -154,14 +159,14 @@
 	return nil
 }
 
-// Evacuated tells whether a service has targets, and all that it could use stand in
-// halls that operators have evacuated.
+// Evacuated reports whether a service has targets that would be usable, all of them in halls
+// that operators have evacuated.
 func (c *Catalog) Evacuated(pool string) bool {
 	p := c.snapshot.Load()
 	return p != nil && len(p.ByPool[pool]) == 0 && p.Evacuated[pool]
 }
 
-// HallAt is the hall of the target at an address, "" when none is known there.
+// HallAt returns the hall of the target at an address, or "" if the address is unknown.
 func (c *Catalog) HallAt(address string) string {
 	if hall, ok := c.listingsByAddress.Load(address); ok {
 		return hall.(listing).hall
@@ -169,7 +174,7 @@
 	return ""
 }
 
-// ServiceAt is the service of the target at an address, "" when none is known there.
+// ServiceAt returns the service of the target at an address, or "" if the address is unknown.
 func (c *Catalog) ServiceAt(address string) string {
 	if t, ok := c.listingsByAddress.Load(address); ok {
 		return t.(listing).pool
@@ -177,8 +182,8 @@
 	return ""
 }
 
-// Over tells whether what is listed shows that the life of a target is over: it lists
-// itself with another start, or another target has its address.
+// Over reports whether the list of targets shows that the incarnation of t has ended: t is
+// listed with another start time, or another target has its address.
 func (c *Catalog) Over(t hookhall.Target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,7 +195,7 @@
 	return e != nil && e.missingSince.IsZero() && (e.target.Life() != t.Life())
 }
 
-// Known has the targets that are known, by id, leaving and missing ones too.
+// Known returns all known targets by id, including those that are leaving or missing.
 func (c *Catalog) Known() map[string]hookhall.Target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,14 +206,14 @@
 	return known
 }
 
-// Rejected lists the keys among those of targets that name none, sorted.
+// Rejected returns the keys below the targets' prefix that hold no valid target, sorted.
 func (c *Catalog) Rejected() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.rejectedHashes))
 }
 
-// TargetsAge is how old the picture of the targets is.
+// TargetsAge returns the age of the targets' snapshot, or 0 before the first reading.
 func (c *Catalog) TargetsAge(now time.Time) time.Duration {
 	if p := c.snapshot.Load(); p != nil {
 		return p.Age(now)
@@ -216,10 +221,10 @@
 	return 0
 }
 
-// Ready tells whether both the table and the targets are known.
+// Ready reports whether both the table and the targets are known.
 func (c *Catalog) Ready() bool { return c.table.Load() != nil && c.snapshot.Load() != nil }
 
-// Run follows the store until ctx ends.
+// Run mirrors the store until ctx ends.
 func (c *Catalog) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -228,28 +233,28 @@
 	wg.Wait()
 }
 
-// due tells whether this process must read for itself what it has last heard of
-// at a time.
-func (c *Catalog) needsRead(heard, now time.Time) bool {
+// needsRead reports whether state that was confirmed at a given time is so old that this
+// process must read the store itself.
+func (c *Catalog) needsRead(confirmed, now time.Time) bool {
 	rank := min(c.Rank(), maxRank)
-	most := readInterval + time.Duration(rank)*rankDelayStep
+	maxAge := readInterval + time.Duration(rank)*rankDelayStep
 	if rank == maxRank {
 		spread := rankDelayStep/2 + min(time.Duration(c.Fleet())*fleetDelayStep, maxFleetDelay)
-		most += time.Duration(c.readJitter * float64(spread))
+		maxAge += time.Duration(c.readJitter * float64(spread))
 	}
-	return now.Sub(heard) >= most
+	return now.Sub(confirmed) >= maxAge
 }
 
-// Failing tells whether the store did not answer this process's last call.
+// Failing reports whether this process's last call of the store failed.
 func (c *Catalog) Failing() bool { return c.isFailing.Load() }
 
-// Silence is how long the store has not answered this process, which may not have
-// asked all the while.
+// Silence returns the time since the store last answered this process, which may not have made
+// a call in the meantime.
 func (c *Catalog) Silence(now time.Time) time.Duration { return now.Sub(*c.lastAnswer.Load()) }
 
 func (c *Catalog) recordAnswer(now time.Time) { c.lastAnswer.Store(&now) }
 
-// recordCall takes in how a call of the store ended.
+// recordCall records the result of a call of the store, and logs the start and end of an outage.
 func (c *Catalog) recordCall(ctx context.Context, err error) {
 	if err == nil {
 		c.recordAnswer(clock.Now())
@@ -258,8 +263,8 @@
 		return
 	}
 	if err != nil {
-		c.log.Warn("The store does not answer.", "error", err.Error())
+		c.log.Warn("store unavailable", "error", err.Error())
 		return
 	}
-	c.log.Info("The store answers again.")
+	c.log.Info("store available again")
 }
--- a/internal/coordination/catalog/doc.go
+++ b/internal/coordination/catalog/doc.go
@@ -1,41 +1,41 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package catalog holds what a process believes of the platform's store: the
-// operators' table and the targets, each with a revision and an age.
+// Package catalog mirrors the platform's store in each process: the operators' table, the
+// evacuated halls, and the targets, each with a revision and an age.
 //
 // # Model
 //
-// One process, the first reader, reads for all: it follows the table by short
-// waiting watches, so that a silent cut is noticed well inside the bound of a
-// change. It follows the targets in the same way, and reads all of them every ten
-// seconds: a watch is silent while heartbeats alone change their keys. The others are told what changed (News, ConfirmTable,
-// LearnPacked) and read for themselves when what they were told has grown old:
-// the second reader first, then everybody. A first reader that takes over watches from the
-// revision up to which its peers have updated it, and lists everything within ten seconds. What counts is the moment at which
-// the reading that confirmed a belief began, by the steady clock.
+// One process, the first reader, reads the store for all. It follows the table with watches
+// that wait only briefly, so that a connection that was cut silently is noticed well within the
+// time in which a change must be in force. It watches the targets in the same way, and lists
+// all of them every ten seconds: a watch returns nothing while heartbeats alone change their
+// keys. The other processes receive updates from peers (News, ConfirmTable, LearnPacked) and
+// read the store themselves when the last update is too old: the second reader first, then
+// all others. A new first reader watches from the revision up to which its peers have
+// updated it, and lists all targets within ten seconds. Ages count from the moment at which the
+// reading that confirmed the state began, by the monotonic clock.
 //
-// News names what changed lately, and a digest of everything: a process that
-// lacks an earlier change gets another digest, and asks the teller for the buckets
-// of targets in which their digests differ.
+// An update has the recent changes and a digest of all targets. A process that lacks an
+// earlier change gets another digest, and asks the sender for the buckets of targets in which
+// their digests differ.
 //
-// A target that states that it is leaving, in its key or in an answer to any gateway, gets
-// nothing new in that life, ever. One that goes
-// missing gets nothing new, unless many went missing in one reading: then keys
-// have run out because nobody could renew them, and the targets stay usable, as
-// lapsed, for the two seconds in which they come back if they live. Trouble of the store alone says
-// nothing of one target: a process that was cut off for a while finds a target
-// gone that left in the meantime.
+// A target that announces that it is leaving, in its key or in an answer to any gateway, gets
+// no new requests in that incarnation. A target that goes missing gets no new requests
+// either, unless many went missing in one reading: then their leases have expired because
+// nobody could renew them, and these targets stay usable, as lapsed, for the two seconds in
+// which those that still run are listed again. A failing store alone is no evidence about a
+// single target: a process that was cut off for a while may find that a target left in the
+// meantime.
 //
-// Halls that operators have evacuated are read and watched with the table, one
-// call for both, and told whole with each piece of news: they are few. Their
-// targets are left out of what may get work, and are used as cold ones for a while
-// when their hall is taken back.
+// The evacuated halls are read and watched together with the table, in one call, and every
+// update has all of them, as they are few. Targets of evacuated halls are not usable, and count
+// as cold for a while after their hall is readmitted.
 //
 // # Invariants
 //
-//   - Revisions only rise: neither the store nor a peer brings an older table or
-//     an older list of targets back, nor does old news take a hall back.
-//   - An age is counted from before the call that confirmed it.
-//   - Readers take one immutable picture and need no lock.
+//   - Revisions only rise: no store and no peer can restore an older table or an older list of
+//     targets, and an older update cannot readmit a hall.
+//   - Ages count from before the call that confirmed the state.
+//   - Readers use one immutable snapshot and need no lock.
 package catalog
--- a/internal/coordination/catalog/entry.go
+++ b/internal/coordination/catalog/entry.go
@@ -13,50 +13,51 @@
 )
 
 const (
-	// lapseTimeout is how long targets that went missing together have to come back:
-	// the platform promises that those which live and reach the store are listed
-	// again about two seconds after its return.
+	// lapseTimeout is how long targets that went missing together stay usable: the platform
+	// promises that those which run and reach the store are listed again about two seconds
+	// after its return.
 	lapseTimeout = 2 * time.Second
-	// massLossShare is the share of all targets that must go missing in one reading, and
-	// minMassLoss their least number, to be put down to leases that expired while the
-	// store was away rather than to targets that left.
+	// massLossShare is the share of all listed targets, and minMassLoss the number, that must go
+	// missing in one reading for the loss to count as leases that expired during an outage of
+	// the store rather than as targets that left.
 	massLossShare = 0.4
 	minMassLoss   = 3
-	// missingTTL is for how long a target that is gone is remembered, so that an
-	// older reading can't bring it back.
+	// missingTTL is how long a missing target is remembered, so that an older reading cannot
+	// list it again.
 	missingTTL = 30 * time.Second
-	// sweepInterval is how often all targets are looked through for those: each change
-	// would be too often among thousands.
+	// sweepInterval is the minimum interval between checks of all entries for expiry: a check at
+	// each change would be too frequent with thousands of targets.
 	sweepInterval = time.Second
-	// maxRejected bounds the keys that are remembered as naming no target, so that each
-	// is logged once: as many as targets.
+	// maxRejected bounds the rejected keys that are remembered so that each is logged once. It
+	// allows for as many as there may be targets.
 	maxRejected = 4096
 )
 
-// entry is what is known of one target.
+// entry is the known state of one target.
 type entry struct {
 	key    string
 	target hookhall.Target
-	// sum is the digest of target.
+	// digest is the targetDigest of target.
 	digest uint64
-	// missing is when a reading first lacked it, zero while it is listed.
+	// missingSince is when a reading first lacked the target; zero while it is listed.
 	missingSince time.Time
-	// lapsed is until when a missing target is used all the same.
+	// lapsesAt is the time until which a missing target stays usable; zero if it does not.
 	lapsesAt time.Time
-	// value is the key's value as last read, and changed when it, or its absence,
-	// last became known; heartbeats don't count.
+	// value is the key's value as last read. changedAt is when this process last learned of a
+	// change of the target or of its absence; heartbeats do not count.
 	value     []byte
 	changedAt time.Time
-	// revision is the store's at the key's last change that is known, 0 when whoever told
-	// of it did not say.
+	// revision is the store's revision at the key's last known change, 0 if the sender of the
+	// change did not give it.
 	revision hookhall.Revision
-	// left is set once its present life said that it leaves.
+	// isLeaving is set once the present incarnation has announced that it is leaving.
 	isLeaving bool
-	// coldDeadline is until when it is cold by its own word, counted from when this
-	// process heard it, which is later than when it was said.
+	// coldUntil is the end of the cold time that the target reported, counted from when this
+	// process received the report, which is later than when the target wrote it.
 	coldUntil time.Time
 }
 
+// usable reports whether the target may get requests, its hall aside.
 func (e *entry) usable(now time.Time) bool {
 	if e.isLeaving || e.target.Leaving {
 		return false
@@ -64,8 +65,8 @@
 	return e.missingSince.IsZero() || now.Before(e.lapsesAt)
 }
 
-// digest sums up what matters of a target; its heartbeats don't, nor does a countdown
-// that each of them moves.
+// targetDigest returns a hash of the fields of a target that matter to others. It leaves out the
+// heartbeat count and the remaining cold time, which change with each heartbeat.
 func targetDigest(t *hookhall.Target) uint64 {
 	var b [512]byte
 	text := b[:0]
@@ -84,10 +85,10 @@
 	return xxhash.Sum64(text)
 }
 
-// reject takes in a key that names no target: another writer left it, or wrote over a
-// target's own. That target gets nothing until its own is back. What is rejected is logged
-// once. The caller holds c.mu.
-func (c *Catalog) rejectItem(i hookhall.Item, e *entry, why error, from string, now time.Time) {
+// rejectItem handles a key that holds no valid target: another writer has left it, or has
+// overwritten a target's own key. That target gets no new requests until its own value is
+// back. Each rejected value is logged once. c.mu must be held.
+func (c *Catalog) rejectItem(i hookhall.Item, e *entry, cause error, from string, now time.Time) {
 	if e != nil {
 		e.lapsesAt = time.Time{}
 		c.markDirty(e)
@@ -103,15 +104,15 @@
 		clear(c.rejectedHashes)
 	}
 	c.rejectedHashes[i.Key] = sum
-	c.log.Warn("A key names no target.", "key", i.Key, "bytes", len(i.Value), "from", from, "error", why.Error())
+	c.log.Warn("key holds no valid target", "key", i.Key, "bytes", len(i.Value), "from", from, "error", cause.Error())
 }
 
-// take takes in a key that is listed. The value of most is the one that is known, and
-// costs nothing to take in again. The caller holds c.mu.
+// applyItem applies a key that is listed. Most values are already known and return early.
+// c.mu must be held.
 func (c *Catalog) applyItem(i hookhall.Item, from string, now time.Time) {
 	e := c.entriesByKey[i.Key]
 	if e != nil && i.Revision > 0 && i.Revision < e.revision {
-		return // news of an earlier life, or of an earlier word, that took a longer way
+		return // a delayed report of an earlier incarnation or an earlier value
 	}
 	if e != nil && e.missingSince.IsZero() && bytes.Equal(e.value, i.Value) {
 		e.revision = max(e.revision, i.Revision)
@@ -129,27 +130,27 @@
 	if e == nil {
 		e = c.addEntry(i.Key, t, from, now)
 	} else if !e.missingSince.IsZero() {
-		c.log.Info("A target is listed again.", "target", t.ID, "service", t.Pool, "after", now.Sub(e.missingSince))
+		c.log.Info("target listed again", "target", t.ID, "service", t.Pool, "after", now.Sub(e.missingSince))
 		e.changedAt = now
 	}
 	c.updateEntry(e, t, i.Value, from, now)
 	e.revision = max(e.revision, i.Revision)
 }
 
-// add begins to know a target. The caller holds c.mu.
+// addEntry adds an entry for a target, as missing until updateEntry. c.mu must be held.
 func (c *Catalog) addEntry(key string, t hookhall.Target, from string, now time.Time) *entry {
 	e := &entry{key: key, target: t, missingSince: now}
 	c.entriesByKey[key] = e
 	c.index(e)
 	if c.snapshot.Load() != nil {
-		// What is news to a newcomer is none to the others, and is told in one line.
+		// The first reading is no change to peers, and is logged as one line.
 		e.changedAt = now
-		c.log.Info("A target is listed.", "target", t.ID, "service", t.Pool, "address", t.Address, "hall", t.Hall, "leaving", t.Leaving, "from", from)
+		c.log.Info("target listed", "target", t.ID, "service", t.Pool, "address", t.Address, "hall", t.Hall, "leaving", t.Leaving, "from", from)
 	}
 	return e
 }
 
-// list takes in what a listed target's key says. The caller holds c.mu.
+// updateEntry sets an entry to what the key of a listed target holds. c.mu must be held.
 func (c *Catalog) updateEntry(e *entry, t hookhall.Target, value []byte, from string, now time.Time) {
 	sum := targetDigest(&t)
 	if t.Life() != e.target.Life() {
@@ -168,7 +169,7 @@
 	if !e.isLeaving && (t.Leaving || c.hasDeparted(t.Life(), now)) {
 		e.isLeaving = true
 		c.markDirty(e)
-		c.log.Info("A target is leaving.", "target", t.ID, "service", t.Pool, "from", from)
+		c.log.Info("target leaving", "target", t.ID, "service", t.Pool, "from", from)
 	}
 	if t.Pool != e.target.Pool || t.Address != e.target.Address {
 		c.unindex(e)
@@ -182,19 +183,18 @@
 	e.target, e.digest, e.value = t, sum, value
 }
 
-// begin takes in that a target is in another life, of which nothing is known: one that was
-// leaving takes work again. The caller holds c.mu.
+// startIncarnation handles a target that is listed in another incarnation: nothing is known of
+// the new one, so a target that was leaving gets requests again. c.mu must be held.
 func (c *Catalog) startIncarnation(e *entry, t hookhall.Target, from string) {
-	c.log.Info("A target is in another life.", "target", t.ID, "service", t.Pool, "born", t.Born, "before", e.target.Born, "left", e.isLeaving, "from", from)
+	c.log.Info("target restarted", "target", t.ID, "service", t.Pool, "born", t.Born, "before", e.target.Born, "left", e.isLeaving, "from", from)
 	e.isLeaving = false
 	c.Reborn(e.target, t)
 }
 
-// toggle changes the digest of a target's bucket. The caller holds c.mu.
+// toggleDigest adds sum to the digest of a target's bucket, or removes it. c.mu must be held.
 func (c *Catalog) toggleDigest(e *entry, sum uint64) { c.bucketDigests[bucketOf(e.key)] ^= sum }
 
-// index has a target found by its service and its address from now on. The caller holds
-// c.mu.
+// index makes an entry accessible by its service and its address. c.mu must be held.
 func (c *Catalog) index(e *entry) {
 	if c.entriesByPool[e.target.Pool] == nil {
 		c.entriesByPool[e.target.Pool] = map[string]*entry{}
@@ -204,18 +204,18 @@
 	c.listingsByAddress.Store(e.target.Address, listingOf(e))
 }
 
-// resident is the target that was last listed at an address.
+// listing is the hall, the service and the key of the target last listed at an address.
 type listing struct{ hall, pool, key string }
 
 func listingOf(e *entry) listing { return listing{e.target.Hall, e.target.Pool, e.key} }
 
-// unindex ends that. The caller holds c.mu.
+// unindex removes an entry from the index by service. c.mu must be held.
 func (c *Catalog) unindex(e *entry) {
 	delete(c.entriesByPool[e.target.Pool], e.key)
 	c.markDirty(e)
 }
 
-// coldUntil is until when a target is cold that has just written its key.
+// coldUntil returns the end of a target's cold time, counted from now, when its value arrived.
 func coldUntil(t hookhall.Target, now time.Time) time.Time {
 	if t.ColdLeft <= 0 {
 		return time.Time{}
@@ -223,9 +223,9 @@
 	return now.Add(t.ColdLeft)
 }
 
-// miss takes in targets that are not listed any more, as of a revision. restored tells that
-// the store has come back from a copy, which lacks those that started later. The caller
-// holds c.mu.
+// markMissing marks entries as missing, as of a revision. restored is true if the store was
+// restored from an older copy, which lacks the targets that started later: they stay usable for
+// lapseTimeout. c.mu must be held.
 func (c *Catalog) markMissing(lost []*entry, revision hookhall.Revision, restored bool, from string, now time.Time) {
 	if len(lost) == 0 {
 		return
@@ -241,7 +241,8 @@
 	}
 }
 
-// forget drops targets that have been gone for long. The caller holds c.mu.
+// removeExpired removes entries that have been missing for longer than missingTTL. c.mu must be
+// held.
 func (c *Catalog) removeExpired(now time.Time) {
 	if now.Sub(c.lastSweep) < sweepInterval {
 		return
@@ -259,12 +260,12 @@
 	}
 }
 
-// drop takes a target off the list, as of a revision. The caller holds c.mu.
+// unlist marks one entry as missing, as of a revision. c.mu must be held.
 func (c *Catalog) unlist(e *entry, revision hookhall.Revision, from string, now time.Time) {
 	c.listedCount--
 	e.missingSince, e.changedAt = now, now
 	e.revision = max(e.revision, revision)
 	c.toggleDigest(e, e.digest)
 	c.markDirty(e)
-	c.log.Info("A target is missing.", "target", e.target.ID, "service", e.target.Pool, "from", from, "lapse", !e.lapsesAt.IsZero(), "left", e.isLeaving)
+	c.log.Info("target missing", "target", e.target.ID, "service", e.target.Pool, "from", from, "lapse", !e.lapsesAt.IsZero(), "left", e.isLeaving)
 }
--- a/internal/coordination/catalog/halls.go
+++ b/internal/coordination/catalog/halls.go
@@ -12,28 +12,26 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// defaultColdTime is for how long targets of a hall that operators have taken back into
-// service are held to be cold when the table does not say how long a cold start
-// takes: the seconds that it takes where it is said.
+// defaultColdTime is how long targets of a readmitted hall count as cold when the table does not
+// give the duration of a cold start: the 3 seconds that tables give where they do.
 const defaultColdTime = 3 * time.Second
 
-// Halls is which halls operators have evacuated, as the store had it.
+// Halls is the set of halls that operators have evacuated, as of a revision of the store.
 type Halls struct {
-	// Revision is the store's at the reading, not that of a key: a hall that is
-	// taken back leaves no key behind.
+	// Revision is the store's revision at the reading, not that of a key: the end of an
+	// evacuation removes the key.
 	Revision hookhall.Revision `json:"revision"`
-	// Evacuated lists them, sorted. Their targets get nothing new.
+	// Evacuated has the names of the evacuated halls, sorted. Their targets get no new requests.
 	Evacuated []string `json:"evacuated"`
 }
 
-// has tells whether a hall is evacuated.
+// contains reports whether a hall is evacuated.
 func (h Halls) contains(hall string) bool {
 	_, found := slices.BinarySearch(h.Evacuated, hall)
 	return found
 }
 
-// Halls is what this process believes of the halls; Revision is 0 before it has
-// heard of them.
+// Halls returns the evacuated halls that are in force; Revision is 0 before the first reading.
 func (c *Catalog) Halls() Halls {
 	if h := c.halls.Load(); h != nil {
 		return *h
@@ -41,7 +39,7 @@
 	return Halls{}
 }
 
-// evacuatedHalls finds the evacuated halls among all keys of the operators.
+// evacuatedHalls returns the evacuated halls among all keys of the operators, sorted.
 func (c *Catalog) evacuatedHalls(items []hookhall.Item) []string {
 	var list []string
 	for _, i := range items {
@@ -53,7 +51,8 @@
 	return list
 }
 
-// applyHallEvents takes in events of the operators' keys up to a revision of the store.
+// applyHallEvents applies events of the operators' keys up to a revision of the store, and
+// reports whether the evacuated halls changed.
 func (c *Catalog) applyHallEvents(events []hookhall.Item, revision hookhall.Revision) bool {
 	evacuated := map[string]bool{}
 	c.mu.Lock()
@@ -71,9 +70,9 @@
 	return c.LearnHalls(Halls{revision, slices.Sorted(maps.Keys(evacuated))}, "store")
 }
 
-// LearnHalls takes in what the store or a peer told of the halls, and puts it in
-// force. It tells whether anything changed. What was read at an earlier revision
-// than the one known changes nothing, so that no hall is served again by old news.
+// LearnHalls applies the evacuated halls as read from the store or received from a peer, and
+// reports whether anything changed. Halls of an earlier revision than the known one change
+// nothing, so that an old update cannot readmit a hall.
 func (c *Catalog) LearnHalls(h Halls, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,14 +98,14 @@
 	return true
 }
 
-// recordHallChanges logs what changed, and remembers when halls were taken back: their
-// targets may have turned cold meanwhile, and say so only with their next
-// heartbeat. The caller holds c.mu.
+// recordHallChanges logs evacuations and their ends, and records when halls were readmitted:
+// their targets may have turned cold in the meantime, and report that only with their next
+// heartbeat. c.mu must be held.
 func (c *Catalog) recordHallChanges(old *Halls, h Halls, from string) {
 	for _, hall := range h.Evacuated {
 		if old == nil || !old.contains(hall) {
 			delete(c.readmittedAt, hall)
-			c.log.Warn("A hall is evacuated; its targets get nothing new.", "hall", hall, "revision", h.Revision, "from", from)
+			c.log.Warn("hall evacuated; its targets receive no new requests", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
 	if old == nil {
@@ -115,28 +114,30 @@
 	for _, hall := range old.Evacuated {
 		if !h.contains(hall) {
 			c.readmittedAt[hall] = clock.Now()
-			c.log.Info("A hall is taken back; its targets are used as cold ones at first.", "hall", hall, "revision", h.Revision, "from", from)
+			c.log.Info("hall readmitted; its targets are treated as cold at first", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
 }
 
-// coldDeadline is until when a target is held to be cold. The caller holds c.mu.
+// coldDeadline returns the time until which a target counts as cold, by its own report or
+// because its hall was readmitted. c.mu must be held.
 func (c *Catalog) coldDeadline(e *entry) time.Time {
 	until := e.coldUntil
-	if taken, ok := c.readmittedAt[e.target.Hall]; ok {
+	if readmitted, ok := c.readmittedAt[e.target.Hall]; ok {
 		if t := c.Table(); t != nil {
 			if s := t.Service(e.target.Pool); s != nil && s.ColdRate > 0 {
-				stays := s.ColdTime
-				if stays <= 0 {
-					stays = defaultColdTime
+				coldTime := s.ColdTime
+				if coldTime <= 0 {
+					coldTime = defaultColdTime
 				}
-				until = latest(until, taken.Add(stays))
+				until = latest(until, readmitted.Add(coldTime))
 			}
 		}
 	}
 	return until
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/coordination/catalog/leaving.go
+++ b/internal/coordination/catalog/leaving.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// departedTTL is how long a life is remembered that is leaving and not known here.
+	// departedTTL is how long a leaving incarnation without an entry is remembered, so that it
+	// gets no requests if it is listed later.
 	departedTTL = 10 * time.Minute
-	// maxDeparted bounds those lives.
+	// maxDeparted bounds the number of those incarnations.
 	maxDeparted = 4096
 )
 
-// Leave marks a life of a target as leaving, whatever its key in the store says. The target
-// gets no new requests in that life.
+// Leave marks an incarnation of a target as leaving, whatever its key in the store says. The
+// target gets no new requests in that incarnation.
 func (c *Catalog) Leave(l hookhall.Life, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,13 +34,13 @@
 	}
 	e.isLeaving = true
 	c.markDirty(e)
-	c.log.Info("A target is leaving.", "target", l.ID, "service", e.target.Pool, "from", from)
+	c.log.Info("target leaving", "target", l.ID, "service", e.target.Pool, "from", from)
 	if p := c.snapshot.Load(); p != nil {
 		c.publish(p.Revision, p.Began, now)
 	}
 }
 
-// findIncarnation returns the entry whose present life is l, or nil. c.mu must be held.
+// findIncarnation returns the entry whose present incarnation is l, or nil. c.mu must be held.
 func (c *Catalog) findIncarnation(l hookhall.Life) *entry {
 	for _, e := range c.entriesByKey {
 		if e.target.Life() == l {
@@ -49,7 +50,7 @@
 	return nil
 }
 
-// depart remembers a life that is leaving and not known here. c.mu must be held.
+// rememberDeparted records an incarnation that is leaving and has no entry. c.mu must be held.
 func (c *Catalog) rememberDeparted(l hookhall.Life, now time.Time) {
 	for o, at := range c.departedAt {
 		if now.Sub(at) > departedTTL || len(c.departedAt) >= maxDeparted {
@@ -59,8 +60,8 @@
 	c.departedAt[l] = now
 }
 
-// hasDeparted reports whether a life has said that it is leaving while it was not listed
-// here, or before it was forgotten. c.mu must be held.
+// hasDeparted reports whether an incarnation has announced that it is leaving while it had no
+// entry, or before its entry was removed. c.mu must be held.
 func (c *Catalog) hasDeparted(l hookhall.Life, now time.Time) bool {
 	at, ok := c.departedAt[l]
 	return ok && now.Sub(at) <= departedTTL
--- a/internal/coordination/catalog/pack.go
+++ b/internal/coordination/catalog/pack.go
@@ -12,19 +12,19 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpackedBytes bounds a table, or a list, in bytes.
+// maxUnpackedBytes bounds the size of an unpacked table or list of targets.
 const maxUnpackedBytes = 16 << 20
 
-// A writer's tables are some 800 KB, a reader's 40 KB; both are used again.
+// writers and readers reuse the buffers of gzip: some 800 KB for a writer, 40 KB for a reader.
 var (
 	writers = sync.Pool{New: func() any {
-		w, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // a known level is no error
+		w, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // fails only for an unknown level
 		return w
 	}}
 	readers = sync.Pool{New: func() any { return new(gzip.Reader) }}
 )
 
-// Pack compresses a value.
+// Pack compresses a value with gzip.
 func Pack(value []byte) ([]byte, error) {
 	var b bytes.Buffer
 	w := writers.Get().(*gzip.Writer)
@@ -39,7 +39,8 @@
 	return b.Bytes(), nil
 }
 
-// Unpack is the inverse of Pack.
+// Unpack decompresses a value that Pack returned. It fails if the result is larger than
+// maxUnpackedBytes.
 func Unpack(packed []byte) ([]byte, error) {
 	r := readers.Get().(*gzip.Reader)
 	defer readers.Put(r)
@@ -51,7 +52,7 @@
 		return nil, errors.Wrap(err, "unpack")
 	}
 	if len(b) > maxUnpackedBytes {
-		return nil, errors.Errorf("unpack: more than %d bytes", maxUnpackedBytes)
+		return nil, errors.Errorf("unpack: value exceeds the limit of %d bytes", maxUnpackedBytes)
 	}
 	return b, nil
 }
--- a/internal/coordination/catalog/pools.go
+++ b/internal/coordination/catalog/pools.go
@@ -12,14 +12,14 @@
 	"github.com/hookhall/hookhall"
 )
 
-// changes are what the next picture has to take in of one service.
+// poolChanges are the changes of one service since the last snapshot.
 type poolChanges struct {
-	needsRebuild bool // the service has to be looked through
+	needsRebuild bool // all targets of the service must be checked, not only entries
 	entries      map[*entry]bool
 }
 
-// touch has the next picture take in a target of its present service. The caller holds
-// c.mu.
+// markDirty makes the next snapshot include a change of an entry, in its present service. c.mu
+// must be held.
 func (c *Catalog) markDirty(e *entry) {
 	d := c.changesByPool[e.target.Pool]
 	if d == nil {
@@ -29,14 +29,14 @@
 	d.entries[e] = true
 }
 
-// markAllDirty has all pools made anew. The caller holds c.mu.
+// markAllDirty makes the next snapshot rebuild all services. c.mu must be held.
 func (c *Catalog) markAllDirty() {
 	for pool := range c.entriesByPool {
 		c.changesByPool[pool] = &poolChanges{needsRebuild: true}
 	}
 }
 
-// remake has a picture take in what changed. The caller holds c.mu.
+// rebuild applies the pending changes to a snapshot that is not yet published. c.mu must be held.
 func (c *Catalog) rebuild(p *Picture, now time.Time) {
 	p.ByPool, p.Evacuated = maps.Clone(p.ByPool), maps.Clone(p.Evacuated)
 	if p.ByPool == nil {
@@ -53,8 +53,8 @@
 	clear(c.changesByPool)
 }
 
-// usable lists the usable targets of a pool, sorted by id, and tells whether an
-// evacuation keeps others out. The caller holds c.mu.
+// usableTargets returns the usable targets of a service, sorted by id, and reports whether it
+// has others that only an evacuation keeps out. c.mu must be held.
 func (c *Catalog) usableTargets(pool string, halls Halls, now time.Time) (list []hookhall.Target, evacuated bool) {
 	for _, e := range c.entriesByPool[pool] {
 		switch {
@@ -69,23 +69,23 @@
 	return list, evacuated
 }
 
-// changed lists the usable targets of a pool after some have changed. A change costs a
-// copy of the list, not a look at all targets: thousands of them are replaced at tens a
-// second, and every gateway takes each change in. No hall is evacuated. The caller holds
-// c.mu.
+// mergeChanges returns the usable targets of a service after some entries have changed, sorted by
+// id; before is the previous list, and no hall may be evacuated. It copies the list rather than
+// check all targets: in a fleet of thousands, tens of targets are replaced per second, and every
+// gateway applies each change. c.mu must be held.
 func (c *Catalog) mergeChanges(pool string, before []hookhall.Target, entries map[*entry]bool, now time.Time) []hookhall.Target {
-	touched := make([]string, 0, len(entries))
+	changedIDs := make([]string, 0, len(entries))
 	var fresh []hookhall.Target
 	for e := range entries {
-		touched = append(touched, e.target.ID)
+		changedIDs = append(changedIDs, e.target.ID)
 		if c.entriesByPool[pool][e.key] == e && e.usable(now) {
 			fresh = append(fresh, c.publishedTarget(e))
 		}
 	}
-	slices.Sort(touched)
+	slices.Sort(changedIDs)
 	slices.SortFunc(fresh, compareIDs)
 	list := make([]hookhall.Target, 0, len(before)+len(fresh))
-	for _, id := range touched {
+	for _, id := range changedIDs {
 		at, found := slices.BinarySearchFunc(before, id, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
 		list = append(list, before[:at]...)
 		before = before[at:]
@@ -100,7 +100,7 @@
 	return append(list, before...)
 }
 
-// published is a target as pictures have it. The caller holds c.mu.
+// publishedTarget returns the target of an entry as snapshots have it. c.mu must be held.
 func (c *Catalog) publishedTarget(e *entry) hookhall.Target {
 	t := e.target
 	t.ColdUntil = c.coldDeadline(e)
--- a/internal/coordination/catalog/restored.go
+++ b/internal/coordination/catalog/restored.go
@@ -10,23 +10,24 @@
 	"github.com/hookhall/hookhall"
 )
 
-// evacuationHoldTime is for how long after the store came back from a copy a hall stays evacuated
-// that was before: the copy may lack it until operators have written it again, which they
-// do within moments. It is less than the five seconds that an evacuation may take.
+// evacuationHoldTime is how long an evacuated hall stays evacuated after the store was restored
+// from an older copy: the copy may lack the evacuation until operators have written it again,
+// which they do within moments. It is less than the five seconds that an evacuation may take.
 const evacuationHoldTime = 4 * time.Second
 
-// holdHalls has halls that were evacuated in an earlier era of the store stay so for a while:
-// nothing is to be sent to a hall that operators emptied, though the copy lacks their word.
-// The caller holds c.mu.
+// holdHalls keeps halls that were evacuated in an earlier era of the store evacuated for
+// evacuationHoldTime: nothing may be sent to a hall that operators have emptied, even if the
+// restored copy lacks the evacuation. c.mu must be held.
 func (c *Catalog) holdHalls(before Halls, now time.Time) {
 	for _, hall := range before.Evacuated {
 		c.heldUntil[hall] = now.Add(evacuationHoldTime)
 	}
 }
 
-// withHeldHalls adds the halls that are held to those that were told. The caller holds c.mu.
-func (c *Catalog) withHeldHalls(told []string, now time.Time) []string {
-	list := slices.Clone(told)
+// withHeldHalls returns the evacuated halls of the store together with those that are held,
+// sorted. c.mu must be held.
+func (c *Catalog) withHeldHalls(stored []string, now time.Time) []string {
+	list := slices.Clone(stored)
 	for hall, until := range c.heldUntil {
 		if now.After(until) {
 			delete(c.heldUntil, hall)
@@ -38,9 +39,10 @@
 	return list
 }
 
-// copied tells whether what a later era of the store says of a target is from before what
-// is known of it: an earlier life, or one that had gone, not written again since. Nothing is to be
-// sent to a target that has left, though the copy still lists it. The caller holds c.mu.
+// isFromCopy reports whether a value that the store lists in a later era is older than the known
+// state of the target: it has an earlier incarnation, or one that had gone and has not written
+// its key since the restore. Nothing may be sent to a target that has left, even if the restored
+// copy still lists it. c.mu must be held.
 func (c *Catalog) isFromCopy(e *entry, t hookhall.Target, revision hookhall.Revision, now time.Time) bool {
 	if e == nil || revision.Era() <= e.revision.Era() || revision > c.eraBaseRevision {
 		return false
@@ -49,23 +51,23 @@
 	return t.Born < e.target.Born || (gone && t.Life() == e.target.Life())
 }
 
-// isOlderTable tells whether the table that a later era of the store has is from before the
-// one in force: operators write it again. The caller holds c.mu.
+// isOlderTable reports whether the store has, in a later era, a table that is older than the one
+// in force; operators write theirs again. c.mu must be held.
 func (c *Catalog) isOlderTable(s *tableState, version int64, revision hookhall.Revision) bool {
 	return s != nil && revision.Era() > s.revision.Era() && version < s.table.Version()
 }
 
-// keepNewerTable keeps the table in force, which the store has nothing newer than. It
-// writes a line in each era. The caller holds c.mu.
+// keepNewerTable confirms the table in force, as the store has nothing newer. It logs this once
+// in each era. c.mu must be held.
 func (c *Catalog) keepNewerTable(s *tableState, version int64, revision hookhall.Revision, began time.Time) {
 	if began.After(s.confirmed) {
-		again := *s
-		again.confirmed = began
-		c.table.Store(&again)
+		updated := *s
+		updated.confirmed = began
+		c.table.Store(&updated)
 	}
 	if c.olderTableEra == revision.Era() {
 		return
 	}
 	c.olderTableEra = revision.Era()
-	c.log.Warn("The store came back with an older table; the one in force stays.", "version", s.table.Version(), "stored", version, "revision", revision)
+	c.log.Warn("store was restored with an older table; keeping the current one", "version", s.table.Version(), "stored", version, "revision", revision)
 }
--- a/internal/coordination/catalog/table.go
+++ b/internal/coordination/catalog/table.go
@@ -14,20 +14,22 @@
 	"github.com/pkg/errors"
 )
 
+// tableState is a table in force. It never changes once stored.
 type tableState struct {
 	table    *routetable.Table
 	revision hookhall.Revision
-	// packed is the table's value as it goes to peers: a large one takes its time
-	// on a small link. Whoever gets it from a peer passes the same bytes on.
+	// packed is the table's value as sent to peers, compressed because a large one takes long
+	// on a slow link. A process that got it from a peer passes on the same bytes.
 	packed []byte
-	// confirmed is when this revision was the newest one, for all that is known.
+	// confirmed is the latest time at which this revision is known to have been the newest.
 	confirmed time.Time
 }
 
-// errNoTable: the store answers, but operators have not written a table.
+// errNoTable is returned if the store answers but operators have not written a table.
 var errNoTable = errors.New("the store has no table yet")
 
-// PackedTable is the table's value, compressed, with its revision, for peers.
+// PackedTable returns the table's value as Pack compresses it, and its revision, for peers; nil
+// and 0 before the first table.
 func (c *Catalog) PackedTable() ([]byte, hookhall.Revision) {
 	if s := c.table.Load(); s != nil {
 		return s.packed, s.revision
@@ -35,26 +37,26 @@
 	return nil, 0
 }
 
-// followTable watches the table if this process reads for all, and else reads it when
-// others have not confirmed it for a while.
+// followTable watches the table if this process is the first reader, and otherwise reads it when
+// peers have not confirmed it in time. It returns when ctx ends.
 func (c *Catalog) followTable(ctx context.Context) {
 	pause := retry.Between(minRetryDelay, maxRetryDelay)
-	at := hookhall.Revision(0)
+	watchRevision := hookhall.Revision(0)
 	for ctx.Err() == nil {
 		if s := c.table.Load(); s != nil && c.Rank() > 0 && !c.needsRead(s.confirmed, clock.Now()) {
-			at = 0 // whoever was told by others may be ahead of an old watch
+			watchRevision = 0 // updates of peers may be ahead of an earlier watch
 			retry.Sleep(ctx, pollInterval)
 			continue
 		}
-		since := at
+		since := watchRevision
 		var err error
-		if at == 0 {
-			at, err = c.readTable(ctx)
+		if watchRevision == 0 {
+			watchRevision, err = c.readTable(ctx)
 		} else {
-			at, err = c.watchTable(ctx, at)
+			watchRevision, err = c.watchTable(ctx, watchRevision)
 		}
 		if errors.Is(err, hookhall.ErrHistoryGone) {
-			c.log.Info("The store has forgotten its history; the table is read anew.", "since", since)
+			c.log.Info("store history no longer available; rereading the table", "since", since)
 			continue
 		}
 		if errors.Is(err, errNoTable) {
@@ -76,24 +78,25 @@
 	}
 }
 
-// logNoTable writes one line while operators have not written a table.
+// logNoTable logs, once per process, that operators have not written a table.
 func (c *Catalog) logNoTable() {
 	if !c.isTableMissing.Swap(true) {
-		c.log.Info("The store answers, but has no table yet.")
+		c.log.Info("store has no table yet")
 	}
 }
 
-// readTable reads the table and returns the revision to watch from.
+// readTable reads all of the operators' keys, applies them, and returns the revision to watch
+// from. It returns errNoTable if there is no table.
 func (c *Catalog) readTable(ctx context.Context) (hookhall.Revision, error) {
 	began := clock.Now()
-	items, at, err := c.store.Range(ctx, c.platform.OperatorPrefix())
+	items, revision, err := c.store.Range(ctx, c.platform.OperatorPrefix())
 	if err != nil {
 		return 0, err
 	}
-	// The halls come first: a process is ready with its first table, and must not
-	// send anything into a hall that was evacuated before it started.
-	fresh := c.LearnHalls(Halls{at, c.evacuatedHalls(items)}, "store")
-	fresh = c.Orders(items, at, true) || fresh
+	// The halls are applied first: a process is ready with its first table, and must not send
+	// anything to a hall that was evacuated before it started.
+	fresh := c.LearnHalls(Halls{revision, c.evacuatedHalls(items)}, "store")
+	fresh = c.Orders(items, revision, true) || fresh
 	found := c.applyStoredTable(items, began)
 	if fresh {
 		c.Read()
@@ -101,36 +104,38 @@
 	if !found {
 		return 0, errNoTable
 	}
-	// Not from the table's own revision: its history may be gone since.
-	return at, nil
+	// Not the table's own revision: the store may no longer have the history since then.
+	return revision, nil
 }
 
+// watchTable waits for changes of the operators' keys after a revision, applies them, and returns
+// the revision to watch from next, or 0 with an error.
 func (c *Catalog) watchTable(ctx context.Context, since hookhall.Revision) (hookhall.Revision, error) {
 	began := clock.Now()
-	events, at, err := c.store.Watch(ctx, c.platform.OperatorPrefix(), since, tableWatchTimeout)
+	events, revision, err := c.store.Watch(ctx, c.platform.OperatorPrefix(), since, tableWatchTimeout)
 	if err != nil {
-		// Whatever was missed is read whole.
+		// A full read brings whatever the watch missed.
 		return 0, err
 	}
-	changed := c.applyHallEvents(events, at)
-	if changed = c.Orders(events, at, false) || changed; changed {
+	changed := c.applyHallEvents(events, revision)
+	if changed = c.Orders(events, revision, false) || changed; changed {
 		c.Read()
 	}
 	if c.applyStoredTable(events, began) {
-		return at, nil
+		return revision, nil
 	}
 	if clock.Since(began) >= tableWatchTimeout {
-		began = began.Add(tableWatchTimeout) // the store waited before it said that there is nothing
+		began = began.Add(tableWatchTimeout) // the store waited that long and found no change
 	}
 	if s := c.table.Load(); s != nil {
 		c.ConfirmTable(s.revision, began)
 	}
-	return at, nil
+	return revision, nil
 }
 
-// applyStoredTable takes in the newest table among keys that the store had when a call
-// began, and passes it on if it is new. It tells whether there was one. One answer of
-// a watch may hold several: the first alone would stay in force until the next change.
+// applyStoredTable applies the newest table among keys that the store had when a call began,
+// updates peers if it is new, and reports whether there was one. An answer of a watch may hold
+// several: if the first were used, it would stay in force until the next change.
 func (c *Catalog) applyStoredTable(items []hookhall.Item, began time.Time) bool {
 	var newest hookhall.Item
 	for _, i := range items {
@@ -147,8 +152,8 @@
 	return true
 }
 
-// ConfirmTable takes in that a revision was still the newest at a time. It tells
-// whether this process has that revision.
+// ConfirmTable records that a revision was still the newest at a given time, and reports whether
+// this process has a table of that revision or a later one.
 func (c *Catalog) ConfirmTable(revision hookhall.Revision, at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,14 +162,15 @@
 		return false
 	}
 	if s.revision == revision && at.After(s.confirmed) {
-		again := *s
-		again.confirmed = at
-		c.table.Store(&again)
+		updated := *s
+		updated.confirmed = at
+		c.table.Store(&updated)
 	}
 	return true
 }
 
-// TableAge is the table's revision, and for how long it has not been confirmed.
+// TableAge returns the table's revision and the time since it was last confirmed; zeros before
+// the first table.
 func (c *Catalog) TableAge(now time.Time) (revision hookhall.Revision, age time.Duration) {
 	if s := c.table.Load(); s != nil {
 		return s.revision, now.Sub(s.confirmed)
@@ -172,37 +178,38 @@
 	return 0, 0
 }
 
-// LearnTable takes in a table that was read at revision in a call that began at a
-// time. It tells whether the table was newer.
+// LearnTable applies a table of a revision, read in a call that began at a given time, and
+// reports whether it was newer than the one in force.
 func (c *Catalog) LearnTable(value []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	if c.ConfirmTable(revision, began) {
 		return false
 	}
 	packed, err := Pack(value)
 	if err != nil {
-		c.log.Error("The table can't be packed.", "revision", revision, "error", err.Error())
+		c.log.Error("cannot compress the table", "revision", revision, "error", err.Error())
 		return false
 	}
 	return c.installTable(value, packed, revision, from, began)
 }
 
-// LearnPacked is LearnTable of what a peer's PackedTable gave.
+// LearnPacked is like LearnTable for the compressed value that a peer's PackedTable returned.
 func (c *Catalog) LearnPacked(packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	if c.ConfirmTable(revision, began) {
 		return false
 	}
 	value, err := Unpack(packed)
 	if err != nil {
-		c.log.Error("A peer's table can't be unpacked.", "revision", revision, "from", from, "error", err.Error())
+		c.log.Error("cannot decompress the table of a peer", "revision", revision, "from", from, "error", err.Error())
 		return false
 	}
 	return c.installTable(value, packed, revision, from, began)
 }
 
+// installTable puts a table in force if it is valid and newer than the present one.
 func (c *Catalog) installTable(value, packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	r, err := c.platform.ReadRouting(value)
 	if err != nil {
-		c.log.Error("The table can't be read; the one in force stays.", "revision", revision, "error", err.Error())
+		c.log.Error("cannot parse the table; keeping the current one", "revision", revision, "error", err.Error())
 		return false
 	}
 	compiled := routetable.Compile(r)
@@ -217,7 +224,7 @@
 		return false
 	}
 	c.table.Store(&tableState{table: compiled, revision: revision, packed: packed, confirmed: began})
-	c.log.Info("A table is in force.", "version", r.Version, "revision", revision, "from", from,
+	c.log.Info("table applied", "version", r.Version, "revision", revision, "from", from,
 		"routes", len(r.Routes), "services", len(r.Services), "accounts", len(r.Accounts), "bytes", len(value), "packed", len(packed))
 	return true
 }
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -14,30 +14,32 @@
 	"github.com/pkg/errors"
 )
 
-// Reading is one list of targets as the store had it.
+// Reading is a list of targets as of a revision of the store.
 type Reading struct {
 	Revision hookhall.Revision
 	Items    []hookhall.Item
-	// Began is when the reading began, by this process's steady clock.
+	// Began is when the reading began, by this process's monotonic clock.
 	Began time.Time
 }
 
-// Picture is what is believed of the targets. It never changes; one that follows
-// another shares the pools in which nothing changed.
+// Picture is an immutable snapshot of the targets. It shares the lists of services that have not
+// changed with the snapshot before it.
 type Picture struct {
+	// Revision is the store's revision at the reading that confirmed the snapshot, and Began the
+	// time at which that reading began, by this process's monotonic clock.
 	Revision hookhall.Revision
 	Began    time.Time
-	// ByPool has the usable targets by service, sorted by id; leaving ones and those
-	// of evacuated halls are not in it.
+	// ByPool has the usable targets by service, sorted by id, without those that are leaving or
+	// in evacuated halls.
 	ByPool map[string][]hookhall.Target
-	// Evacuated has the services with targets that only the evacuation of their hall
-	// keeps out of ByPool.
+	// Evacuated has the services with targets that are kept out of ByPool only by the evacuation
+	// of their hall.
 	Evacuated map[string]bool
-	// Digest sums up all listed targets; equal digests mean equal lists.
+	// Digest combines the digests of all listed targets; equal digests mean equal lists.
 	Digest uint64
 }
 
-// Cold lists the usable targets that are held to be cold, sorted.
+// Cold returns the ids of the usable targets that count as cold, sorted.
 func (p *Picture) Cold(now time.Time) []string {
 	var ids []string
 	for _, list := range p.ByPool {
@@ -51,16 +53,17 @@
 	return ids
 }
 
-// Age is how old the picture is.
+// Age returns the time since the reading that confirmed the snapshot began.
 func (p *Picture) Age(now time.Time) time.Duration { return now.Sub(p.Began) }
 
-// followTargets reads the targets whenever what is believed of them has grown old. The
-// process that reads for all watches them, and reads all of them now and then.
+// followTargets reads the targets whenever their state is too old for the rank of this process.
+// The first reader watches them, and lists all of them every fullReadInterval. It returns when
+// ctx ends.
 func (c *Catalog) followTargets(ctx context.Context) {
 	f := targetsFollower{Catalog: c, pause: retry.Between(minRetryDelay, maxRetryDelay)}
 	for ctx.Err() == nil {
 		if !f.isDue(clock.Now()) {
-			f.watchRevision = 0 // whoever was told by others may be ahead of an old watch
+			f.watchRevision = 0 // updates of peers may be ahead of an earlier watch
 			f.isFollower = true
 			retry.Sleep(ctx, pollInterval)
 			continue
@@ -73,16 +76,16 @@
 	}
 }
 
-// targetsFollower is the loop of followTargets.
+// targetsFollower is the state of the loop in followTargets.
 type targetsFollower struct {
 	*Catalog
 	pause         *retry.Pause
-	copyBegan     time.Time         // when the copy that this process began with was made, at least
-	watchRevision hookhall.Revision // the revision to watch from, 0 to read all targets
-	lastFullRead  time.Time         // when all were last read
-	// gather is set when a watch told of changes: others may come with them.
+	copyBegan     time.Time         // lower bound of the time at which the initial copy was made
+	watchRevision hookhall.Revision // the revision to watch from, 0 to list all targets
+	lastFullRead  time.Time         // when all targets were last listed
+	// hasEvents is set when a watch returned changes: others may follow shortly.
 	hasEvents bool
-	// follows is set while this process relies on updates of peers.
+	// isFollower is set while this process relies on updates of peers.
 	isFollower bool
 }
 
@@ -98,11 +101,11 @@
 	f.mu.Unlock()
 	if p := f.snapshot.Load(); synced > 0 && p.Revision == synced && p.Age(now) < maxTakeoverAge {
 		f.watchRevision, f.lastFullRead = synced, now
-		f.log.Info("This process takes over as first reader.", "revision", synced, "age", p.Age(now))
+		f.log.Info("took over as first reader", "revision", synced, "age", p.Age(now))
 	}
 }
 
-// wanted tells whether it is this process's turn to ask the store.
+// isDue reports whether this process must call the store now.
 func (f *targetsFollower) isDue(now time.Time) bool {
 	p := f.snapshot.Load()
 	switch {
@@ -114,11 +117,11 @@
 	return f.Rank() == 0 || f.needsRead(p.Began, now)
 }
 
-// step makes one call of the store and takes its answer in.
+// step makes one call of the store and applies its answer.
 func (f *targetsFollower) step(ctx context.Context) {
 	now := clock.Now()
-	began := f.snapshot.Load() == nil
-	fresh, err := f.readOrWatch(ctx, began)
+	isFirst := f.snapshot.Load() == nil
+	fresh, err := f.readOrWatch(ctx, isFirst)
 	if errors.Is(err, hookhall.ErrHistoryGone) {
 		f.recordCall(ctx, nil)
 		f.watchRevision = 0
@@ -126,33 +129,33 @@
 	}
 	f.recordCall(ctx, err)
 	if err != nil {
-		f.watchRevision = 0 // whatever was missed is read whole
+		f.watchRevision = 0 // a full read brings whatever was missed
 		f.pause.Wait(ctx)
 		return
 	}
 	f.pause.Reset()
-	if fresh && !began {
+	if fresh && !isFirst {
 		f.Read()
 	}
 	if f.hasEvents {
 		retry.Sleep(ctx, eventGatherDelay)
 	} else if f.watchRevision == 0 || !f.lastFullRead.Before(now) {
-		retry.Sleep(ctx, pollInterval) // a reading does not wait in the store, as a watch does
+		retry.Sleep(ctx, pollInterval) // unlike a watch, a full read does not wait in the store
 	}
 }
 
-// ask watches the targets, or reads all of them. It tells whether anything was newer
-// than what is known.
-func (f *targetsFollower) readOrWatch(ctx context.Context, begins bool) (fresh bool, err error) {
+// readOrWatch watches the targets or lists all of them, from a copy on the first call, and reports
+// whether the answer was newer than the known state.
+func (f *targetsFollower) readOrWatch(ctx context.Context, isFirst bool) (fresh bool, err error) {
 	f.hasEvents = false
 	if f.watchRevision > 0 && f.Rank() == 0 && clock.Since(f.lastFullRead) < fullReadInterval {
 		return f.watch(ctx)
 	}
-	r, err := f.readTargets(ctx, begins)
+	r, err := f.readTargets(ctx, isFirst)
 	if err != nil {
 		return false, err
 	}
-	if begins {
+	if isFirst {
 		f.copyBegan = r.Began
 		return f.Learn(r, "store's copy"), nil
 	}
@@ -160,41 +163,42 @@
 	return f.Learn(r, "store"), nil
 }
 
-// watch waits for changes.
+// watch waits up to readInterval for changes of the targets, applies them, and reports whether the
+// answer was newer than the known state.
 func (f *targetsFollower) watch(ctx context.Context) (fresh bool, err error) {
 	began := clock.Now()
-	events, at, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.watchRevision, readInterval)
+	events, revision, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.watchRevision, readInterval)
 	if err != nil {
 		return false, err
 	}
-	f.watchRevision = at
+	f.watchRevision = revision
 	if len(events) == 0 && clock.Since(began) >= readInterval {
-		began = began.Add(readInterval) // the store waited before it said that there is nothing
+		began = began.Add(readInterval) // the store waited that long and found no change
 	}
 	f.hasEvents = len(events) > 0
-	return f.Follow(events, at, began), nil
+	return f.Follow(events, revision, began), nil
 }
 
-// awaitsUpdates tells whether a process that began with a copy leaves the store to
-// others for the moment.
-func (c *Catalog) awaitsUpdates(first, now time.Time) bool {
-	return c.Rank() == maxRank && now.Before(first.Add(maxCopyAge+confirmTimeout))
+// awaitsUpdates reports whether a process that started with a copy still leaves it to its peers
+// to update it, rather than read the store.
+func (c *Catalog) awaitsUpdates(copyBegan, now time.Time) bool {
+	return c.Rank() == maxRank && now.Before(copyBegan.Add(maxCopyAge+confirmTimeout))
 }
 
-// readTargets reads the targets. A process that knows none begins with a copy of
-// some seconds ago: when all of a fleet start at once, each reads all pages.
-func (c *Catalog) readTargets(ctx context.Context, copied bool) (Reading, error) {
+// readTargets lists the targets. With stale set, as for a process that knows none, it reads a copy
+// that is up to maxCopyAge old: when a whole fleet starts at once, each process reads all pages.
+func (c *Catalog) readTargets(ctx context.Context, stale bool) (Reading, error) {
 	began := clock.Now()
 	list := c.store.Range
-	if copied {
+	if stale {
 		list = c.store.RangeStale
 		began = began.Add(-maxCopyAge)
 	}
-	items, at, err := list(ctx, c.platform.TargetPrefix())
-	return Reading{at, items, began}, err
+	items, revision, err := list(ctx, c.platform.TargetPrefix())
+	return Reading{revision, items, began}, err
 }
 
-// Learn takes in a reading of the targets. It tells whether the reading was newer.
+// Learn applies a reading of all targets, and reports whether it was newer than the known state.
 func (c *Catalog) Learn(r Reading, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,14 +217,14 @@
 	}
 	c.markMissing(c.unlisted(listed, r.Revision, func(string) bool { return true }), r.Revision, restored, from, now)
 	if c.snapshot.Load() == nil {
-		c.log.Info("The targets are known.", "count", len(c.entriesByKey), "revision", r.Revision, "from", from)
+		c.log.Info("targets loaded", "count", len(c.entriesByKey), "revision", r.Revision, "from", from)
 	}
 	c.publish(r.Revision, r.Began, now)
 	return true
 }
 
-// Follow takes in what a watch of the targets told, up to a revision. It tells whether
-// that was newer.
+// Follow applies the events of a watch of the targets up to a revision, and reports whether they
+// were newer than the known state.
 func (c *Catalog) Follow(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -228,7 +232,7 @@
 		return false
 	}
 	now := clock.Now()
-	last := map[string]hookhall.Item{} // a key may have changed twice
+	last := map[string]hookhall.Item{} // a key may have several events
 	for _, i := range events {
 		last[i.Key] = i
 	}
@@ -245,21 +249,22 @@
 	return true
 }
 
-// restored tells whether a revision is of a later era of the store than what is known. The
-// caller holds c.mu.
+// isLaterEra reports whether a revision belongs to a later era of the store than the known state.
+// c.mu must be held.
 func (c *Catalog) isLaterEra(revision hookhall.Revision) bool {
 	p := c.snapshot.Load()
 	return p != nil && revision.Era() > p.Revision.Era()
 }
 
-// older tells whether what was read at a revision is no news.
+// isOlder reports whether the known state is at least as recent as a revision that was read in a
+// call that began at a given time.
 func (c *Catalog) isOlder(revision hookhall.Revision, began time.Time) bool {
 	p := c.snapshot.Load()
 	return p != nil && (revision < p.Revision || (revision == p.Revision && !began.After(p.Began)))
 }
 
-// publish makes the picture of what is known, as confirmed at a revision. The
-// caller holds c.mu.
+// publish stores a new snapshot of the known targets, as confirmed at a revision in a call that
+// began at a given time. c.mu must be held.
 func (c *Catalog) publish(revision hookhall.Revision, began, now time.Time) {
 	p := &Picture{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
 	old := c.snapshot.Load()
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -12,21 +12,21 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// changeResendTime is for how long a change is told again with each piece of news: twice or
-// three times. A process that has missed all of them repairs the buckets that differ.
+// changeResendTime is how long a change is repeated in updates, so that it is sent two or three
+// times. A process that has missed all of them repairs the buckets that differ.
 const changeResendTime = time.Second
 
-// Buckets is how many buckets the targets are divided into, by their keys. With 3,000
-// targets, a bucket has some 50, and is repaired in some 2 KB.
+// Buckets is the number of buckets into which the targets are divided by the hash of their keys.
+// With 3,000 targets, a bucket has some 50, and its repair takes some 2 KB.
 const Buckets = 64
 
-// bucketOf is the bucket of a key.
+// bucketOf returns the bucket of a key.
 func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
 
-// Digests sum up the listed targets of each bucket. Equal ones mean equal lists.
+// Digests has the digest of the listed targets of each bucket. Equal digests mean equal lists.
 type Digests [Buckets]uint64
 
-// whole sums up all targets.
+// combined returns the digest of all targets.
 func (d *Digests) combined() uint64 {
 	sum := uint64(0)
 	for _, s := range d {
@@ -35,17 +35,17 @@
 	return sum
 }
 
-// News is what a reading of the targets changed lately. A process that has all
-// earlier changes gets to the same list, which the digest proves.
+// News is an update for peers: the recent changes of the targets. A process that has all earlier
+// changes arrives at the same list, as the digest shows.
 type News struct {
 	Revision hookhall.Revision
-	Began    time.Time // when the reading began, by this process's steady clock
-	Digest   uint64
-	Changed  []hookhall.Item
-	Gone     []string // keys
+	Began    time.Time       // when the confirming reading began, by this process's monotonic clock
+	Digest   uint64          // of all targets
+	Changed  []hookhall.Item // targets that were listed or changed
+	Gone     []string        // keys that are no longer listed
 }
 
-// News is what this process last learned.
+// News returns the update to send to peers, with the changes of the last changeResendTime.
 func (c *Catalog) News(now time.Time) News {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,9 +68,9 @@
 	return n
 }
 
-// LearnNews takes in what a peer has learned. It tells whether that was newer, and
-// whether this process lacks earlier changes: then its digest differs, and the changes
-// count, but its picture stays as old as it was until the gap is repaired.
+// LearnNews applies an update of a peer. It reports whether the update was newer, and whether this
+// process lacks earlier changes, as a different digest shows. With such a gap the changes
+// are applied, but the snapshot keeps its revision and age until the gap is repaired.
 func (c *Catalog) LearnNews(n News, from string) (fresh, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,27 +95,27 @@
 		return true, false
 	}
 	c.publish(p.Revision, p.Began, now)
-	c.log.Info("News leaves a gap; it is to be repaired.", "from", from, "revision", n.Revision, "have", p.Revision)
+	c.log.Info("update leaves a gap; repair required", "from", from, "revision", n.Revision, "have", p.Revision)
 	return true, true
 }
 
-// Digests are those of all buckets.
+// Digests returns the digests of all buckets.
 func (c *Catalog) Digests() Digests {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bucketDigests
 }
 
-// Repair is what a process believes of the buckets in which another one differs.
+// Repair has a process's listed targets of the buckets in which a peer differs.
 type Repair struct {
 	Reading
 	Buckets []int
-	// Digest sums up all buckets, also those that don't differ.
+	// Digest combines all buckets, including those that do not differ.
 	Digest uint64
 }
 
-// Differing is what this process believes of the buckets in which a peer's digests
-// differ from its own.
+// Differing returns the repair for a peer: the listed targets of the buckets in which the peer's
+// digests differ from those of this process.
 func (c *Catalog) Differing(theirs Digests) Repair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +139,7 @@
 	return r
 }
 
-// Reading is all that this process believes to be listed, as of its last reading.
+// Reading returns all listed targets, as of the last reading or update.
 func (c *Catalog) Reading() Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -156,8 +156,8 @@
 	return r
 }
 
-// LearnRepair takes in what a peer believes of some buckets. The picture is as new as
-// the peer's only if all buckets agree then.
+// LearnRepair applies a repair from a peer, and reports whether the snapshot is now as recent as
+// the peer's, which requires that all buckets agree. Otherwise it keeps its revision and age.
 func (c *Catalog) LearnRepair(r Repair, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,40 +166,40 @@
 		return false
 	}
 	now := clock.Now()
-	told := [Buckets]bool{}
+	repaired := [Buckets]bool{}
 	for _, b := range r.Buckets {
 		if b < 0 || b >= Buckets {
 			return false
 		}
-		told[b] = true
+		repaired[b] = true
 	}
 	listed := map[string]bool{}
 	for _, i := range r.Items {
 		c.applyItem(i, from, now)
 		listed[i.Key] = true
 	}
-	c.markMissing(c.unlisted(listed, r.Revision, func(key string) bool { return told[bucketOf(key)] }), r.Revision, c.isLaterEra(r.Revision), from, now)
+	c.markMissing(c.unlisted(listed, r.Revision, func(key string) bool { return repaired[bucketOf(key)] }), r.Revision, c.isLaterEra(r.Revision), from, now)
 	if c.bucketDigests.combined() != r.Digest {
 		c.publish(p.Revision, p.Began, now)
 		return false
 	}
-	c.log.Info("A gap is repaired.", "from", from, "buckets", len(r.Buckets), "targets", len(r.Items), "revision", r.Revision)
+	c.log.Info("gap repaired", "from", from, "buckets", len(r.Buckets), "targets", len(r.Items), "revision", r.Revision)
 	c.syncedRevision = r.Revision
 	c.publish(r.Revision, r.Began, now)
 	return true
 }
 
-// unlisted are the targets with certain keys that are listed here, and were already at a
-// revision, but not in a reading of that. The caller holds c.mu.
-func (c *Catalog) unlisted(listed map[string]bool, revision hookhall.Revision, which func(key string) bool) []*entry {
+// unlisted returns the entries with matching keys that are listed here and were at a revision, but
+// are not in a reading of that revision. c.mu must be held.
+func (c *Catalog) unlisted(listed map[string]bool, revision hookhall.Revision, matches func(key string) bool) []*entry {
 	var lost []*entry
 	for key, e := range c.entriesByKey {
-		if !listed[key] && e.missingSince.IsZero() && e.revision <= revision && which(key) {
+		if !listed[key] && e.missingSince.IsZero() && e.revision <= revision && matches(key) {
 			lost = append(lost, e)
 		}
 	}
 	return lost
 }
 
-// lapsing tells whether a target's time to come back was running at a time.
+// hasLapsed reports whether targets were still usable as lapsed at a given time. c.mu must be held.
 func (c *Catalog) hasLapsed(at time.Time) bool { return c.lastLapseEnd.After(at) }
