--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -35,7 +35,7 @@
 	// part for all others. The table's state that peers send is already as old as a watch and
 	// the reader's interval together.
 	rankDelayStep = 350 * time.Millisecond
-	// maxRank is the highest rank that is told apart; higher ones are treated like it.
+	// maxRank is the highest rank that matters; higher ones are treated like it.
 	maxRank = 2
 	// fleetDelayStep widens the random part for each gateway of the fleet, up to maxFleetDelay:
 	// in a large fleet an update takes some tenths of a second to reach everybody, and the first
@@ -83,9 +83,9 @@
 	// can be updated. Set before Run.
 	Read func()
 	// Orders applies keys that operators have written, as of a revision of the store, and
-	// reports whether anything changed that peers need. whole is true if items has all of the
+	// reports whether anything changed that peers need. complete is true if items has all of the
 	// operators' keys. Set before Run.
-	Orders func(items []hookhall.Item, at hookhall.Revision, whole bool) bool
+	Orders func(items []hookhall.Item, revision hookhall.Revision, complete bool) bool
 	// Reborn is called with the previous and the new listing when a target is listed in another
 	// incarnation. It must not block or call the catalog: c.mu is held. Set before Run.
 	Reborn func(before, after hookhall.Target)
@@ -168,16 +168,16 @@
 
 // HallAt returns the hall of the target at an address, or "" if the address is unknown.
 func (c *Catalog) HallAt(address string) string {
-	if hall, ok := c.listingsByAddress.Load(address); ok {
-		return hall.(listing).hall
+	if l, ok := c.listingsByAddress.Load(address); ok {
+		return l.(listing).hall
 	}
 	return ""
 }
 
 // ServiceAt returns the service of the target at an address, or "" if the address is unknown.
 func (c *Catalog) ServiceAt(address string) string {
-	if t, ok := c.listingsByAddress.Load(address); ok {
-		return t.(listing).pool
+	if l, ok := c.listingsByAddress.Load(address); ok {
+		return l.(listing).pool
 	}
 	return ""
 }
@@ -187,11 +187,11 @@
 func (c *Catalog) Over(t hookhall.Target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now, ok := c.listingsByAddress.Load(t.Address)
+	l, ok := c.listingsByAddress.Load(t.Address)
 	if !ok {
 		return false
 	}
-	e := c.entriesByKey[now.(listing).key]
+	e := c.entriesByKey[l.(listing).key]
 	return e != nil && e.missingSince.IsZero() && (e.target.Life() != t.Life())
 }
 
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -22,7 +22,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakePlatform keeps a version and targets as JSON.
+// fakePlatform stores routing tables as JSON and targets as short texts.
 type fakePlatform struct{}
 
 func (fakePlatform) OperatorPrefix() string { return "op/" }
@@ -37,14 +37,14 @@
 }
 func (fakePlatform) ReadTarget(key string, b []byte) (hookhall.Target, error) {
 	t := hookhall.Target{ID: key[2:], Pool: "pool"}
-	// "a@north" stands in the hall north; "cold 7 2000" is its 7th heartbeat, which
-	// says that it stays cold for two seconds.
+	// "a@north" is in the hall north; "cold 7 2000" is the value of its 7th heartbeat, which
+	// reports that it stays cold for another two seconds.
 	_, t.Hall, _ = strings.Cut(t.ID, "@")
 	var left int
 	if n, _ := fmt.Sscanf(string(b), "cold %d %d", &t.Beat, &left); n == 2 {
 		t.ColdLeft = time.Duration(left) * time.Millisecond
 	}
-	// "born 5 leaving" and "born 5 cold" are words of the life that began at 5.
+	// "born 5 leaving" and "born 5 cold" are values of the incarnation that started at 5.
 	fmt.Sscanf(string(b), "born %d", &t.Born)
 	if strings.HasSuffix(string(b), " cold") {
 		t.ColdLeft = time.Minute
@@ -56,23 +56,23 @@
 	return t, nil
 }
 
-// fakeStore has one table and a list of targets; it can fail and forget.
+// fakeStore has one table, evacuated halls and targets. It can fail and drop its history.
 type fakeStore struct {
 	hookhall.Store
 	mu                sync.Mutex
 	revision          hookhall.Revision
 	table             hookhall.Item
-	hallRevisions     map[string]hookhall.Revision // evacuated, with their keys' revisions
+	hallRevisions     map[string]hookhall.Revision // evacuated halls, with the revisions of their keys
 	events            []hookhall.Item              // of the operators' keys
 	targets           map[string]string
 	down              bool
 	oldestRevision    hookhall.Revision // history before it is gone
 	operatorReads     int
-	targetReads       int               // readings of the targets themselves
-	staleTargets      map[string]string // what a copy has of them
+	targetReads       int               // full reads of the targets
+	staleTargets      map[string]string // the targets that RangeStale returns
 	historyGoneCount  int
-	targetsByRevision map[hookhall.Revision]map[string]string // the targets at revisions that were told
-	targetWatches     int                                     // of the targets
+	targetsByRevision map[hookhall.Revision]map[string]string // the targets at revisions that were returned
+	targetWatches     int                                     // watches of the targets
 	changed           chan struct{}
 }
 
@@ -80,6 +80,7 @@
 	return &fakeStore{targets: map[string]string{}, hallRevisions: map[string]hookhall.Revision{}, targetsByRevision: map[hookhall.Revision]map[string]string{}, changed: make(chan struct{})}
 }
 
+// update makes a change at the next revision and ends waiting watches.
 func (s *fakeStore) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -97,7 +98,7 @@
 	})
 }
 
-// evacuate writes or removes a hall's key.
+// setEvacuated writes or removes a hall's key.
 func (s *fakeStore) setEvacuated(hall string, on bool) {
 	s.update(func() {
 		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.revision, Gone: !on})
@@ -119,7 +120,7 @@
 	return s.targetItems(s.targets, s.revision)
 }
 
-// operators lists their keys. The caller holds s.mu.
+// operatorItems lists the operators' keys. s.mu must be held.
 func (s *fakeStore) operatorItems() ([]hookhall.Item, hookhall.Revision, error) {
 	s.operatorReads++
 	if s.down {
@@ -135,8 +136,7 @@
 	return list, s.revision, nil
 }
 
-// since lists the events of the operators' keys after a revision. The caller holds
-// s.mu.
+// eventsSince lists the events of the operators' keys after a revision. s.mu must be held.
 func (s *fakeStore) eventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
 	for _, i := range s.events {
@@ -147,7 +147,7 @@
 	return list
 }
 
-// RangeStale brings what the store had before its last change.
+// RangeStale returns staleTargets, as of the revision before the last change.
 func (s *fakeStore) RangeStale(context.Context, string) ([]hookhall.Item, hookhall.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,13 +165,13 @@
 	return list, at, nil
 }
 
-// targetEventsSince lists how the targets differ from those at a revision that was told.
-// The caller holds s.mu.
+// targetEventsSince lists how the targets differ from those at a revision that was returned
+// before. s.mu must be held.
 func (s *fakeStore) targetEventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
 	old := s.targetsByRevision[revision]
 	for id, v := range s.targets {
-		if was, ok := old[id]; !ok || was != v {
+		if previous, ok := old[id]; !ok || previous != v {
 			list = append(list, hookhall.Item{Key: "t/" + id, Value: []byte(v), Revision: s.revision})
 		}
 	}
@@ -220,10 +220,10 @@
 	return New(s, fakePlatform{}, log.New(io.Discard))
 }
 
-// follow runs a catalog in virtual time.
+// runCatalog runs a catalog and f in virtual time.
 func runCatalog(t *testing.T, s *fakeStore, f func(c *Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
-		s.changed = make(chan struct{}) // of this bubble
+		s.changed = make(chan struct{}) // must belong to this bubble
 		c := newCatalog(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -234,6 +234,7 @@
 	})
 }
 
+// TestTableIsFollowed checks that a change of the table is in force once the watch returns it.
 func TestTableIsFollowed(t *testing.T) {
 	s := newFakeStore()
 	runCatalog(t, s, func(c *Catalog) {
@@ -245,13 +246,13 @@
 		s.setTable(4)
 		time.Sleep(10 * time.Millisecond)
 		if c.Table().Version() != 4 {
-			t.Fatal("a change takes longer than a watch's answer")
+			t.Fatal("a change is not applied when the watch returns")
 		}
 	})
 }
 
-// TestTwoChangesAtOnce: of two changes in one answer of the store, the newer one is in
-// force.
+// TestTwoChangesAtOnce guards against applying the first of several changes in one answer of
+// the store: the newest one must be in force.
 func TestTwoChangesAtOnce(t *testing.T) {
 	s := newFakeStore()
 	runCatalog(t, s, func(c *Catalog) {
@@ -273,9 +274,9 @@
 	})
 }
 
-// TestForgottenHistoryIsNoOutage: a table that was written long ago lies before the
-// history that the store keeps. A watch from the key's own revision in place of the
-// store's reads the table again without a pause.
+// TestForgottenHistoryIsNoOutage guards against reading the table in a loop. A table that was
+// written long ago is older than the history that the store keeps, so that a watch from the
+// key's own revision, instead of the store's, fails each time and rereads without a pause.
 func TestForgottenHistoryIsNoOutage(t *testing.T) {
 	s := newFakeStore()
 	runCatalog(t, s, func(c *Catalog) {
@@ -287,16 +288,16 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.historyGoneCount > 2 || s.operatorReads > 20 {
-			t.Fatalf("%d reads after %d forgotten watches", s.operatorReads, s.historyGoneCount)
+			t.Fatalf("%d reads after %d watches without history", s.operatorReads, s.historyGoneCount)
 		}
 		if c.isFailing.Load() {
-			t.Fatal("a forgotten history is held for an outage")
+			t.Fatal("lost history counts as an outage")
 		}
 	})
 }
 
-// TestPackedTable: a table goes from one process to another packed, and bytes that
-// are none change nothing.
+// TestPackedTable checks that a packed table passes from one process to another unchanged, and
+// that invalid bytes change nothing.
 func TestPackedTable(t *testing.T) {
 	a, b := newCatalog(newFakeStore()), newCatalog(newFakeStore())
 	value, err := json.Marshal(hookhall.Routing{Version: 9, Routes: make([]hookhall.Route, 1000)})
@@ -309,19 +310,21 @@
 		t.Errorf("%d bytes of %d", len(packed), len(value))
 	}
 	if b.LearnPacked([]byte("no table"), 4, "peer", time.Now()) || b.Table() != nil {
-		t.Error("rubbish was taken for a table")
+		t.Error("invalid bytes were applied as a table")
 	}
 	if !b.LearnPacked(packed, revision, "peer", time.Now()) || b.Table().Version() != 9 {
-		t.Error("the table did not arrive")
+		t.Error("the packed table was not applied")
 	}
 	if again, _ := b.PackedTable(); string(again) != string(packed) {
-		t.Error("it was packed anew")
+		t.Error("the table was packed again")
 	}
 	if b.LearnPacked(packed, revision-1, "peer", time.Now()) {
-		t.Error("an older revision was taken")
+		t.Error("an older revision was applied")
 	}
 }
 
+// TestOutageKeepsKnownState checks that an outage of the store changes only the age of the known
+// state, and that a change made in it is in force soon after its end.
 func TestOutageKeepsKnownState(t *testing.T) {
 	s := newFakeStore()
 	s.targets["a"] = "ready"
@@ -331,7 +334,7 @@
 		s.update(func() { s.down = true })
 		time.Sleep(10 * time.Second)
 		if c.Table() == nil || len(c.Targets("pool")) != 1 {
-			t.Fatal("an outage took away what was believed")
+			t.Fatal("known state was lost in an outage")
 		}
 		if age := c.Picture().Age(time.Now()); age < 9*time.Second {
 			t.Fatalf("the age is %v after ten seconds of outage", age)
@@ -340,11 +343,13 @@
 		s.setTable(2)
 		time.Sleep(time.Second)
 		if c.Table().Version() != 2 {
-			t.Fatal("a change in an outage is not seen a second after it")
+			t.Fatal("a change made in an outage is not applied a second after its end")
 		}
 	})
 }
 
+// TestMissingTargets guards against treating the expired leases of an outage as targets that left,
+// and against using a target that did leave.
 func TestMissingTargets(t *testing.T) {
 	read := func(c *Catalog, at hookhall.Revision, ids ...string) {
 		r := Reading{Revision: at, Began: time.Now()}
@@ -362,22 +367,22 @@
 		c := newCatalog(newFakeStore())
 		read(c, 1, "a", "b", "c", "d", "e")
 		So(usable(c), ShouldEqual, 5)
-		Convey("one that goes missing after an outage gets nothing new", func() {
+		Convey("a target that goes missing after an outage gets no new requests", func() {
 			c.recordCall(t.Context(), hookhall.ErrUnavailable)
 			read(c, 2, "a", "b", "c", "d")
 			So(usable(c), ShouldEqual, 4)
 		})
-		Convey("many that go missing together stay for a while", func() {
+		Convey("many targets that go missing together stay usable for a while", func() {
 			read(c, 2, "a")
 			So(usable(c), ShouldEqual, 5)
 		})
-		Convey("one that leaves gets nothing new, listed or not", func() {
+		Convey("a leaving target gets no new requests, even if it is listed as ready later", func() {
 			read(c, 2, "a", "b", "c", "d", "-e")
 			So(usable(c), ShouldEqual, 4)
 			read(c, 3, "a", "b", "c", "d", "e")
 			So(usable(c), ShouldEqual, 4)
 		})
-		Convey("one that left stays out when many go missing", func() {
+		Convey("a target that left stays unusable when many go missing", func() {
 			read(c, 2, "a", "b", "c", "d", "-e")
 			read(c, 3)
 			So(usable(c), ShouldEqual, 4)
@@ -388,14 +393,15 @@
 			So(usable(c), ShouldEqual, 5) // three lapsed, f unknown
 			So(c.Known(), ShouldNotContainKey, "f")
 		})
-		Convey("a key that can't be read is skipped", func() {
+		Convey("a key that cannot be parsed is skipped", func() {
 			c.Learn(Reading{Revision: 2, Began: time.Now(), Items: []hookhall.Item{{Key: "t/x", Value: []byte("bad")}}}, "test")
 			So(c.Known(), ShouldNotContainKey, "x")
 		})
 	})
 }
 
-// TestLapseEnds: targets that don't come back within two seconds are gone.
+// TestLapseEnds checks that lapsed targets that are not listed again become unusable after two
+// seconds.
 func TestLapseEnds(t *testing.T) {
 	s := newFakeStore()
 	for _, id := range []string{"a", "b", "c", "d"} {
@@ -415,7 +421,7 @@
 	})
 }
 
-// TestNoTableYet: a store that has no table yet answers all the same.
+// TestNoTableYet checks that an answer without a table does not count as an outage.
 func TestNoTableYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -431,12 +437,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if failed.Load() {
-			t.Error("an empty store was taken for an outage")
+			t.Error("an empty store counts as an outage")
 		}
 		s.setTable(1)
 		time.Sleep(time.Second)
 		if c.Table() == nil {
-			t.Error("the table was not taken in")
+			t.Error("the table was not applied")
 		}
 		cancel()
 		<-done
--- a/internal/coordination/catalog/follow_test.go
+++ b/internal/coordination/catalog/follow_test.go
@@ -16,18 +16,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestTargetsAreWatched: the reader learns of a change at once, and reads all targets
-// seldom, whatever the store's watch does.
+// TestTargetsAreWatched checks that the first reader learns of a change at once and rarely lists
+// all targets, and that a full read corrects whatever the watch missed.
 func TestTargetsAreWatched(t *testing.T) {
-	begun := func() *fakeStore {
+	newStore := func() *fakeStore {
 		s := newFakeStore()
 		s.targets = map[string]string{"a": "", "b": "", "c": "", "d": "", "e": ""}
 		s.staleTargets = maps.Clone(s.targets)
 		s.update(func() {})
 		return s
 	}
-	t.Run("a change is known in a moment", func(t *testing.T) {
-		s := begun()
+	t.Run("a change is applied when the watch returns", func(t *testing.T) {
+		s := newStore()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(2 * time.Second)
 			s.update(func() { s.targets["b"] = "leaving"; delete(s.targets, "c"); s.targets["new"] = "" })
@@ -35,8 +35,8 @@
 			expectUsable(t, c, "a", "d", "e", "new")
 		})
 	})
-	t.Run("in calm, all are read every ten seconds, and the age stays low", func(t *testing.T) {
-		s := begun()
+	t.Run("without changes, full reads are ten seconds apart and the age stays low", func(t *testing.T) {
+		s := newStore()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
@@ -51,17 +51,17 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.targetReads > 7 || s.targetWatches > 160 {
-				t.Errorf("%d readings and %d watches in a minute", s.targetReads, s.targetWatches)
+				t.Errorf("%d full reads and %d watches in a minute", s.targetReads, s.targetWatches)
 			}
 		})
 	})
-	t.Run("what a watch hides is known with the next reading", func(t *testing.T) {
-		s := begun()
+	t.Run("a change that the watch missed is applied at the next full read", func(t *testing.T) {
+		s := newStore()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
 			delete(s.targets, "c")
-			s.targetsByRevision[s.revision] = maps.Clone(s.targets) // as if the watch had told it
+			s.targetsByRevision[s.revision] = maps.Clone(s.targets) // as if the watch had returned it
 			s.revision++
 			s.targetsByRevision[s.revision] = s.targetsByRevision[s.revision-1]
 			s.mu.Unlock()
@@ -71,8 +71,8 @@
 			expectUsable(t, c, "a", "b", "d", "e")
 		})
 	})
-	t.Run("a store that forgets its history is read whole at once", func(t *testing.T) {
-		s := begun()
+	t.Run("after the store loses its history, all targets are read at once", func(t *testing.T) {
+		s := newStore()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.mu.Lock()
@@ -84,8 +84,8 @@
 			expectUsable(t, c, "a", "b", "d", "e")
 		})
 	})
-	t.Run("those that lapsed in an outage stay for two seconds", func(t *testing.T) {
-		s := begun()
+	t.Run("targets that lapsed in an outage stay usable for two seconds", func(t *testing.T) {
+		s := newStore()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.update(func() { s.down = true })
@@ -99,14 +99,14 @@
 	})
 }
 
-// TestRepair: whatever was lost, a repair of the differing buckets brings the peer's
-// list, and digests always sum up what is listed.
+// TestRepair checks that a repair of the differing buckets brings the peer's list, whatever
+// updates were lost, and that the digests always match the listed targets.
 func TestRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
 		reader.Learn(readyReading(1, "x0"), "store")
 		follower.Learn(readyReading(1, "x0"), "store")
-		summed := func(c *Catalog) {
+		checkDigests := func(c *Catalog) {
 			var want Digests
 			for key, e := range c.entriesByKey {
 				if e.missingSince.IsZero() {
@@ -114,7 +114,7 @@
 				}
 			}
 			if want != c.bucketDigests {
-				t.Fatal("the digests are not those of what is listed")
+				t.Fatal("the digests do not match the listed targets")
 			}
 		}
 		for at := hookhall.Revision(2); at < 12; at++ {
@@ -125,7 +125,7 @@
 			}
 			reader.Learn(r, "store")
 			n := reader.News(time.Now())
-			if rapid.Bool().Draw(t, "part of the news is lost") {
+			if rapid.Bool().Draw(t, "part of the update is lost") {
 				n.Gone = nil
 				n.Changed = n.Changed[:len(n.Changed)/2]
 			}
@@ -134,8 +134,8 @@
 					t.Fatal("the repair left a gap")
 				}
 			}
-			summed(reader)
-			summed(follower)
+			checkDigests(reader)
+			checkDigests(follower)
 			if follower.Picture().Digest != reader.Picture().Digest || follower.Picture().Revision != at {
 				t.Fatal("the follower is not up to date")
 			}
@@ -143,7 +143,7 @@
 	})
 }
 
-// TestBadRepair: a repair that does not fit changes neither age nor revision.
+// TestBadRepair checks that an invalid repair changes neither age nor revision.
 func TestBadRepair(t *testing.T) {
 	c := newCatalog(newFakeStore())
 	c.Learn(readyReading(5, "a", "b"), "store")
@@ -155,13 +155,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.LearnRepair(r, "peer") || c.Picture().Revision != 5 {
-				t.Error("it was taken for a whole list")
+				t.Error("an invalid repair was accepted")
 			}
 		})
 	}
 }
 
-// BenchmarkChange is news at a follower that one target of n has changed.
+// BenchmarkChange measures a change of one target of n, at the reader and at a follower.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{100, 1000, 3000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -184,10 +184,10 @@
 	}
 }
 
-// TestNoTableRetryDelay: while operators have written no table, those that others
-// tell leave the store alone.
+// TestNoTableRetryDelay checks that processes that rely on peers rarely ask the store for the
+// table while operators have not written one.
 func TestNoTableRetryDelay(t *testing.T) {
-	for rank, most := range map[int]int{0: 60, maxRank: 15} {
+	for rank, maxReads := range map[int]int{0: 60, maxRank: 15} {
 		t.Run(fmt.Sprint("rank ", rank), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
@@ -198,8 +198,8 @@
 				run.Go(func() { c.Run(ctx) })
 				time.Sleep(14 * time.Second)
 				s.mu.Lock()
-				if s.operatorReads > most || s.operatorReads < 5 {
-					t.Errorf("asked %d times in 14 s", s.operatorReads)
+				if s.operatorReads > maxReads || s.operatorReads < 5 {
+					t.Errorf("%d reads in 14 s", s.operatorReads)
 				}
 				s.mu.Unlock()
 				s.setTable(1)
--- a/internal/coordination/catalog/halls_test.go
+++ b/internal/coordination/catalog/halls_test.go
@@ -12,7 +12,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-// cold checks which of the usable targets are held to be cold now.
+// expectCold checks which of the usable targets count as cold now.
 func expectCold(t *testing.T, c *Catalog, want ...string) {
 	t.Helper()
 	var got []string
@@ -26,7 +26,7 @@
 	}
 }
 
-// setColdTable is a table whose targets take three seconds to warm up.
+// setColdTable writes a table whose targets take three seconds to warm up.
 func (s *fakeStore) setColdTable() {
 	s.setTable(1)
 	s.update(func() {
@@ -43,8 +43,10 @@
 	return s
 }
 
+// TestEvacuation guards against requests into a hall that operators have evacuated, in whatever
+// way the evacuation becomes known.
 func TestEvacuation(t *testing.T) {
-	t.Run("a hall that is evacuated gets nothing new, and is taken back cold", func(t *testing.T) {
+	t.Run("an evacuated hall gets no new requests, and is cold once readmitted", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
@@ -53,7 +55,7 @@
 			time.Sleep(time.Millisecond)
 			expectUsable(t, c, "a@north", "c@west")
 			if len(c.Known()) != 3 || c.Evacuated("pool") {
-				t.Error("the hall's targets are forgotten, or all are held to be out")
+				t.Error("the hall's targets are unknown, or the service counts as evacuated")
 			}
 			s.setEvacuated("south", false)
 			time.Sleep(time.Millisecond)
@@ -63,7 +65,7 @@
 			expectCold(t, c)
 		})
 	})
-	t.Run("all halls at once: the service has no target, and says why", func(t *testing.T) {
+	t.Run("with all halls evacuated, the service has no target and counts as evacuated", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
@@ -73,11 +75,11 @@
 			time.Sleep(time.Millisecond)
 			expectUsable(t, c)
 			if !c.Evacuated("pool") || c.Evacuated("another") {
-				t.Error("it does not tell a service that is evacuated from one without targets")
+				t.Error("Evacuated does not distinguish an evacuated service from one without targets")
 			}
 		})
 	})
-	t.Run("one that stands when a process starts is known before the process is ready", func(t *testing.T) {
+	t.Run("an evacuation before the start is known when the process is ready", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		s.setEvacuated("south", true)
 		runCatalog(t, s, func(c *Catalog) {
@@ -87,7 +89,7 @@
 			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
-	t.Run("one that began while the store was silent is known at its return", func(t *testing.T) {
+	t.Run("an evacuation during an outage is known after it", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
@@ -99,14 +101,14 @@
 			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
-	t.Run("a store that forgets its history does not hide one", func(t *testing.T) {
+	t.Run("an evacuation is known though the store lost its history", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
 			s.setEvacuated("north", true)
 			time.Sleep(time.Second)
 			s.mu.Lock()
-			s.revision++ // changes that no watch hears of
+			s.revision++ // changes that no watch returns
 			s.hallRevisions = map[string]hookhall.Revision{"south": s.revision}
 			s.oldestRevision, s.events = s.revision, nil
 			s.mu.Unlock()
@@ -114,7 +116,7 @@
 			expectUsable(t, c, "a@north", "c@west")
 		})
 	})
-	t.Run("twice in quick succession", func(t *testing.T) {
+	t.Run("evacuations in quick succession", func(t *testing.T) {
 		s := newStoreWithThreeHalls()
 		runCatalog(t, s, func(c *Catalog) {
 			time.Sleep(time.Second)
@@ -129,8 +131,8 @@
 	})
 }
 
-// TestOlderHallsChangeNothing: what was read before does not take back what was read after it,
-// whoever tells it; and a picture that is confirmed or changed keeps halls out.
+// TestOlderHallsChangeNothing checks that halls of an older revision, whoever sends them, do not
+// replace newer ones, and that a new snapshot of the targets keeps evacuated halls out.
 func TestOlderHallsChangeNothing(t *testing.T) {
 	c := newCatalog(newFakeStore())
 	c.Learn(Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
@@ -141,11 +143,11 @@
 		usable  []string
 	}{
 		{"evacuated", Halls{10, []string{"south"}}, true, []string{"a@north"}},
-		{"the same again", Halls{12, []string{"south"}}, false, []string{"a@north"}},
-		{"older news without it", Halls{11, nil}, false, []string{"a@north"}},
-		{"taken back", Halls{13, nil}, true, []string{"a@north", "b@south"}},
-		{"older news with it", Halls{12, []string{"south"}}, false, []string{"a@north", "b@south"}},
-		{"another one", Halls{14, []string{"north"}}, true, []string{"b@south"}},
+		{"the same halls again", Halls{12, []string{"south"}}, false, []string{"a@north"}},
+		{"an older update without it", Halls{11, nil}, false, []string{"a@north"}},
+		{"readmitted", Halls{13, nil}, true, []string{"a@north", "b@south"}},
+		{"an older update with it", Halls{12, []string{"south"}}, false, []string{"a@north", "b@south"}},
+		{"another hall", Halls{14, []string{"north"}}, true, []string{"b@south"}},
 	}
 	for _, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
@@ -159,8 +161,8 @@
 	}
 }
 
-// TestColdTargets: a target is cold for as long as its newest heartbeat says, and a
-// reading that brings the same heartbeat again does not prolong that.
+// TestColdTargets checks that a target counts as cold for as long as its newest heartbeat
+// reports, and that reading the same heartbeat again does not extend that time.
 func TestColdTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCatalog(newFakeStore())
--- a/internal/coordination/catalog/incarnations_test.go
+++ b/internal/coordination/catalog/incarnations_test.go
@@ -12,12 +12,12 @@
 	"github.com/hookhall/hookhall"
 )
 
-// word is what the target t/a says of itself at a revision: its start, and how it is.
+// targetItem is the key of the target t/a at a revision, with its start time and state as value.
 func targetItem(revision hookhall.Revision, value string) hookhall.Item {
 	return hookhall.Item{Key: "t/a", Value: []byte(value), Revision: revision}
 }
 
-// usable tells whether the catalog offers the target a, and whether as a cold one.
+// targetStatus reports whether the catalog offers the target a, and whether it counts as cold.
 func targetStatus(c *Catalog) (listed, cold bool) {
 	for _, t := range c.Targets("pool") {
 		if t.ID == "a" {
@@ -27,24 +27,24 @@
 	return false, false
 }
 
-// TestTargetRestart: what a target said in an earlier life holds for that life only. Its
-// clock may have been set back, and its heartbeats count from the start.
+// TestTargetRestart checks that the state of a target holds for one incarnation only. After a
+// restart its clock may be set back, and its heartbeat count starts over.
 func TestTargetRestart(t *testing.T) {
 	for name, c := range map[string]struct {
-		words  []string
+		values []string
 		listed bool
 		cold   bool
 	}{
-		"it is ready": {[]string{"born 5 ready"}, true, false},
-		"it leaves":   {[]string{"born 5 ready", "born 5 leaving"}, false, false},
-		"it leaves, and says once more that it is ready": {[]string{"born 5 leaving", "born 5 ready"}, false, false},
-		"it left, and is back":                           {[]string{"born 5 leaving", "born 9 ready"}, true, false},
-		"it left, and is back with an earlier clock":     {[]string{"born 5 leaving", "born 2 ready"}, true, false},
-		"it is back, and leaves":                         {[]string{"born 5 ready", "born 9 ready", "born 9 leaving"}, false, false},
-		"it left, is back, and the first life's clock":   {[]string{"born 5 leaving", "born 9 ready", "born 5 ready"}, true, false},
-		"it is back cold":                                {[]string{"born 5 ready", "born 9 cold"}, true, true},
-		"it was cold, and is back warm":                  {[]string{"born 5 cold", "born 9 ready"}, true, false},
-		"it does not say when it started":                {[]string{"leaving", "born 9 ready"}, true, false},
+		"ready":   {[]string{"born 5 ready"}, true, false},
+		"leaving": {[]string{"born 5 ready", "born 5 leaving"}, false, false},
+		"leaving, then ready in the same incarnation":   {[]string{"born 5 leaving", "born 5 ready"}, false, false},
+		"leaving, then restarted":                       {[]string{"born 5 leaving", "born 9 ready"}, true, false},
+		"leaving, then restarted with an earlier clock": {[]string{"born 5 leaving", "born 2 ready"}, true, false},
+		"restarted, then leaving":                       {[]string{"born 5 ready", "born 9 ready", "born 9 leaving"}, false, false},
+		"restarted twice, with the first clock again":   {[]string{"born 5 leaving", "born 9 ready", "born 5 ready"}, true, false},
+		"restarted cold":                                {[]string{"born 5 ready", "born 9 cold"}, true, true},
+		"cold, then restarted warm":                     {[]string{"born 5 cold", "born 9 ready"}, true, false},
+		"without a start time":                          {[]string{"leaving", "born 9 ready"}, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for way, learn := range map[string]func(c *Catalog, i hookhall.Item){
@@ -54,14 +54,14 @@
 				"by a watch": func(c *Catalog, i hookhall.Item) {
 					c.Follow([]hookhall.Item{i}, i.Revision, time.Now())
 				},
-				"by news": func(c *Catalog, i hookhall.Item) {
+				"by updates": func(c *Catalog, i hookhall.Item) {
 					c.LearnNews(News{Revision: i.Revision, Began: time.Now(), Changed: []hookhall.Item{i}}, "peer")
 				},
 			} {
 				t.Run(way, func(t *testing.T) {
 					catalog := newCatalog(newFakeStore())
 					catalog.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
-					for n, value := range c.words {
+					for n, value := range c.values {
 						learn(catalog, targetItem(hookhall.Revision(n+2), value))
 					}
 					if listed, cold := targetStatus(catalog); listed != c.listed || cold != c.cold {
@@ -73,33 +73,33 @@
 	}
 }
 
-// TestUpdatesOfIncarnationsInAnyOrder: whatever order news takes, by whichever detours, the last
-// word of the last life stands in the end.
+// TestUpdatesOfIncarnationsInAnyOrder checks that the last state of the last incarnation holds
+// in the end, in whatever order updates arrive.
 func TestUpdatesOfIncarnationsInAnyOrder(t *testing.T) {
-	words := []string{"born 5 ready", "born 5 leaving", "", "born 2 ready", "born 2 cold", "born 2 leaving", "", "born 9 ready"}
+	values := []string{"born 5 ready", "born 5 leaving", "", "born 2 ready", "born 2 cold", "born 2 leaving", "", "born 9 ready"}
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		last := 1 + r.IntN(len(words))
+		last := 1 + r.IntN(len(values))
 		c := newCatalog(newFakeStore())
 		c.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
 		var list []News
-		for n, value := range words[:last] {
-			news := News{Revision: hookhall.Revision(n + 2), Began: time.Now(), Digest: 1} // always a gap
+		for n, value := range values[:last] {
+			update := News{Revision: hookhall.Revision(n + 2), Began: time.Now(), Digest: 1} // always leaves a gap
 			if value == "" {
-				news.Gone = []string{"t/a"}
+				update.Gone = []string{"t/a"}
 			} else {
-				news.Changed = []hookhall.Item{targetItem(news.Revision, value)}
+				update.Changed = []hookhall.Item{targetItem(update.Revision, value)}
 			}
-			list = append(list, news)
+			list = append(list, update)
 		}
-		list = append(list, list[r.IntN(len(list))]) // one comes twice
+		list = append(list, list[r.IntN(len(list))]) // one update arrives twice
 		r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, n := range list {
 			c.LearnNews(n, "peer")
 		}
-		want := strings.HasSuffix(words[last-1], "ready") || strings.HasSuffix(words[last-1], "cold")
-		if listed, cold := targetStatus(c); listed != want || cold != strings.HasSuffix(words[last-1], "cold") {
-			t.Fatalf("seed %d: after %q, listed %v, cold %v", seed, words[:last], listed, cold)
+		want := strings.HasSuffix(values[last-1], "ready") || strings.HasSuffix(values[last-1], "cold")
+		if listed, cold := targetStatus(c); listed != want || cold != strings.HasSuffix(values[last-1], "cold") {
+			t.Fatalf("seed %d: after %q, listed %v, cold %v", seed, values[:last], listed, cold)
 		}
 	}
 }
--- a/internal/coordination/catalog/leaving_test.go
+++ b/internal/coordination/catalog/leaving_test.go
@@ -11,29 +11,29 @@
 	"github.com/hookhall/hookhall"
 )
 
-// TestLeavingByAnswer: the word of a target in an answer holds for the life that gave it,
-// before and after its key says that it is ready.
+// TestLeavingByAnswer checks that a target that announces in an answer that it is leaving gets
+// no requests in that incarnation, whether its key is listed as ready before or after.
 func TestLeavingByAnswer(t *testing.T) {
-	const left = "leave" // the life 5 says in an answer that it is leaving
+	const left = "leave" // incarnation 5 announces in an answer that it is leaving
 	for name, c := range map[string]struct {
-		words  []string
+		values []string
 		listed bool
 	}{
-		"after it is listed":           {[]string{"born 5 ready", left}, false},
-		"and its key says ready":       {[]string{"born 5 ready", left, "born 5 cold", "born 5 ready"}, false},
-		"before it is listed":          {[]string{left, "born 5 ready"}, false},
-		"it is missing, and is back":   {[]string{"born 5 ready", left, "", "born 5 ready"}, false},
-		"another life":                 {[]string{"born 5 ready", left, "born 9 ready"}, true},
-		"another life, before":         {[]string{left, "born 9 ready"}, true},
-		"late, when it has ended":      {[]string{"born 5 ready", "born 9 ready", left}, true},
-		"twice, and its key, at last":  {[]string{"born 5 ready", left, left, "born 5 leaving"}, false},
-		"after its key has said so":    {[]string{"born 5 leaving", left}, false},
-		"another life leaves by a key": {[]string{"born 5 ready", left, "born 9 leaving"}, false},
+		"after it is listed":                  {[]string{"born 5 ready", left}, false},
+		"its key is still ready":              {[]string{"born 5 ready", left, "born 5 cold", "born 5 ready"}, false},
+		"before it is listed":                 {[]string{left, "born 5 ready"}, false},
+		"missing, then listed again":          {[]string{"born 5 ready", left, "", "born 5 ready"}, false},
+		"another incarnation":                 {[]string{"born 5 ready", left, "born 9 ready"}, true},
+		"another incarnation, not listed yet": {[]string{left, "born 9 ready"}, true},
+		"late, after a restart":               {[]string{"born 5 ready", "born 9 ready", left}, true},
+		"twice, and at last in its key":       {[]string{"born 5 ready", left, left, "born 5 leaving"}, false},
+		"after its key says leaving":          {[]string{"born 5 leaving", left}, false},
+		"another incarnation leaves by key":   {[]string{"born 5 ready", left, "born 9 leaving"}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			catalog := newCatalog(newFakeStore())
 			catalog.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
-			for n, value := range c.words {
+			for n, value := range c.values {
 				if value == left {
 					catalog.Leave(hookhall.Life{ID: "a", Born: 5}, "answer")
 					continue
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestLeavingIsRemembered: a target that left, was missing until it was forgotten, and is
-// listed again in the same life, gets nothing.
+// TestLeavingIsRemembered checks that a target that left, was missing until its entry was
+// removed, and is listed again in the same incarnation, gets no requests.
 func TestLeavingIsRemembered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCatalog(newFakeStore())
@@ -69,14 +69,14 @@
 		c.Leave(hookhall.Life{ID: "a", Born: 5}, "answer")
 		learn(other)
 		time.Sleep(missingTTL + time.Second)
-		learn() // something else goes missing, and those that are gone for long are forgotten
+		learn() // another target goes missing, which removes expired entries
 		learn(targetItem(0, "born 5 ready"))
 		if listed, _ := targetStatus(c); listed {
-			t.Error("it is used again")
+			t.Error("the target is usable again")
 		}
 		learn(targetItem(0, "born 9 ready"))
 		if listed, _ := targetStatus(c); !listed {
-			t.Error("its next life is not used")
+			t.Error("the next incarnation is not usable")
 		}
 	})
 }
--- a/internal/coordination/catalog/pools_test.go
+++ b/internal/coordination/catalog/pools_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestSnapshotByChanges: over any series of changes, a picture that only takes them in has
-// the targets that a look through all gives, and pictures before it stay as they were.
+// TestSnapshotByChanges checks, over any series of changes, that a snapshot made by merging
+// changes equals one made from all targets, and that earlier snapshots stay unchanged.
 func TestSnapshotByChanges(t *testing.T) {
 	values := []string{"ready", "leaving", "born 3", "bad"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -32,9 +32,9 @@
 				events = append(events, i)
 			}
 			before := c.Picture()
-			was := map[string][]hookhall.Target{}
+			previous := map[string][]hookhall.Target{}
 			for pool, list := range before.ByPool {
-				was[pool] = slices.Clone(list)
+				previous[pool] = slices.Clone(list)
 			}
 			c.Follow(events, hookhall.Revision(step+2), time.Now())
 			for pool, list := range c.Picture().ByPool {
@@ -42,12 +42,12 @@
 				all, _ := c.usableTargets(pool, Halls{}, time.Now())
 				c.mu.Unlock()
 				if !slices.Equal(list, all) {
-					t.Fatalf("%s: %v by changes, %v by a look through all", pool, list, all)
+					t.Fatalf("%s: %v by merging changes, %v from all targets", pool, list, all)
 				}
 			}
-			for pool, list := range was {
+			for pool, list := range previous {
 				if !slices.Equal(before.ByPool[pool], list) {
-					t.Fatalf("%s: the picture before has changed", pool)
+					t.Fatalf("%s: the previous snapshot has changed", pool)
 				}
 			}
 		}
--- a/internal/coordination/catalog/restored_test.go
+++ b/internal/coordination/catalog/restored_test.go
@@ -17,29 +17,29 @@
 	"pgregory.net/rapid"
 )
 
-// in is a revision of an era.
+// revisionIn returns a revision of an era.
 func revisionIn(era, count uint64) hookhall.Revision {
 	r, err := hookhall.NewRevision(era, count)
 	if err != nil {
-		panic(err) // the tests' own numbers
+		panic(err) // the tests use valid numbers only
 	}
 	return r
 }
 
-// learnTable has a catalog learn a table of a version.
+// learnTable applies a table of a version, read now at a revision.
 func learnTable(c *Catalog, version int64, at hookhall.Revision) {
 	value, err := json.Marshal(hookhall.Routing{Version: version})
 	if err != nil {
-		panic(err) // of plain numbers
+		panic(err) // a struct of numbers always marshals
 	}
 	c.LearnTable(value, at, "store", time.Now())
 }
 
-// quietCatalog makes one that logs nothing.
+// quietCatalog returns a catalog that logs nothing.
 func quietCatalog() *Catalog { return New(newFakeStore(), fakePlatform{}, log.New(io.Discard)) }
 
-// TestRestoredTable: the table of a later era counts, but for one that is older than the one
-// in force, whatever the revisions.
+// TestRestoredTable checks that a table of a later era is applied unless it is older than the one
+// in force, whatever the counts of the revisions.
 func TestRestoredTable(t *testing.T) {
 	for name, c := range map[string]struct {
 		version int64
@@ -56,7 +56,7 @@
 			learnTable(catalog, 7, revisionIn(1, 100))
 			learnTable(catalog, c.version, c.at)
 			if v := catalog.Table().Version(); v != c.want {
-				t.Errorf("version %d, not %d", v, c.want)
+				t.Errorf("version %d, want %d", v, c.want)
 			}
 			learnTable(catalog, 9, revisionIn(2, 95))
 			if v := catalog.Table().Version(); v != 9 {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestRestoredAge: while the store has an older table the one in force is confirmed, since
-// there is none newer: nobody reads for want of a newer word.
+// TestRestoredAge checks that reading an older table after a restore confirms the one in force, as
+// the store has nothing newer; otherwise processes would keep reading the store.
 func TestRestoredAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCatalog()
@@ -80,28 +80,28 @@
 	})
 }
 
-// TestRestoredTargets: what the copy says of a target counts only where it is news.
+// TestRestoredTargets checks that a restored copy changes a target's state only where it is newer.
 func TestRestoredTargets(t *testing.T) {
-	type say struct {
+	type observation struct {
 		at    hookhall.Revision
 		value string // "" for a reading without the target
 	}
 	for name, c := range map[string]struct {
-		says []say
-		want bool // it is used
+		observations []observation
+		want         bool // the target is usable
 	}{
-		"listed in both":                            {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 ready"}}, true},
-		"leaving since the copy":                    {[]say{{revisionIn(1, 10), "born 5 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
-		"gone since the copy":                       {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}}, false},
-		"gone since, and written again":             {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}, {revisionIn(2, 9), "born 5 ready"}}, true},
-		"gone since, and back in another life":      {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 9 ready"}}, true},
-		"left in its second life, the copy's first": {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), "born 9 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
-		"started since the copy":                    {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), ""}}, true},
-		"an answer that was under way":              {[]say{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 leaving"}, {revisionIn(1, 11), "born 5 ready"}}, false},
+		"listed in both":                       {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 ready"}}, true},
+		"leaving since the copy":               {[]observation{{revisionIn(1, 10), "born 5 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"gone since the copy":                  {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"gone since, and written again":        {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 5 ready"}, {revisionIn(2, 9), "born 5 ready"}}, true},
+		"gone since, and back after a restart": {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), ""}, {revisionIn(2, 4), "born 9 ready"}}, true},
+		"restarted and left since the copy":    {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(1, 11), "born 9 leaving"}, {revisionIn(2, 4), "born 5 ready"}}, false},
+		"started since the copy":               {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), ""}}, true},
+		"a delayed answer of the earlier era":  {[]observation{{revisionIn(1, 10), "born 5 ready"}, {revisionIn(2, 4), "born 5 leaving"}, {revisionIn(1, 11), "born 5 ready"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			catalog := quietCatalog()
-			for _, s := range c.says {
+			for _, s := range c.observations {
 				r := Reading{Revision: s.at, Began: time.Now()}
 				if s.value != "" {
 					r.Items = []hookhall.Item{targetItem(s.at, s.value)}
@@ -109,38 +109,38 @@
 				catalog.Learn(r, "store")
 			}
 			if listed, _ := targetStatus(catalog); listed != c.want {
-				t.Errorf("used: %v", listed)
+				t.Errorf("usable: %v", listed)
 			}
 		})
 	}
 }
 
-// TestRestoredHalls: halls that were evacuated stay so until operators had the time to
-// write it again, or have taken them back.
+// TestRestoredHalls checks that evacuated halls stay so until operators have had the time to write
+// the evacuation again, or have readmitted them.
 func TestRestoredHalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := quietCatalog()
-		hold := func(when string, want ...string) {
+		expectHalls := func(when string, want ...string) {
 			t.Helper()
 			if got := c.Halls().Evacuated; !slices.Equal(got, want) {
-				t.Errorf("%s: %v, not %v", when, got, want)
+				t.Errorf("%s: %v, want %v", when, got, want)
 			}
 		}
 		c.LearnHalls(Halls{Revision: revisionIn(1, 10), Evacuated: []string{"north", "south"}}, "store")
 		c.LearnHalls(Halls{Revision: revisionIn(2, 4), Evacuated: []string{"south"}}, "store")
-		hold("the copy lacks one", "north", "south")
+		expectHalls("the copy lacks one", "north", "south")
 		c.applyHallEvents([]hookhall.Item{{Key: "op/out/south", Revision: revisionIn(2, 5), Gone: true}}, revisionIn(2, 5))
-		hold("operators take one back", "north")
+		expectHalls("operators readmit one", "north")
 		time.Sleep(evacuationHoldTime + time.Millisecond)
 		c.applyHallEvents(nil, revisionIn(2, 5))
-		hold("operators have not written the other again")
+		expectHalls("operators have not written the other again")
 	})
 }
 
-// TestRestoresInAnyOrder draws schedules of two restores, changes by operators and of a
-// target, and readings by three gateways whose answers come late and in any order. No
-// gateway's table goes back, none uses a target in a life that it knows has left, and all agree with
-// the store once what it lacks is written again.
+// TestRestoresInAnyOrder draws schedules of two restores, changes by operators and of a target,
+// and readings by three gateways whose answers arrive late and in any order. No gateway returns
+// to an older table or uses a target in an incarnation that it knows has left, and all agree
+// with the store once what it lacks is written again.
 func TestRestoresInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type state struct {
@@ -149,20 +149,20 @@
 			leaving bool
 		}
 		type answer struct {
-			at    hookhall.Revision // the store's
+			at    hookhall.Revision // of the store
 			state state
 			wrote [2]hookhall.Revision // of the table and the target
 		}
-		latest := state{version: 1, born: 1} // by those who wrote it
+		latest := state{version: 1, born: 1} // as last written, whether the store has it or not
 		stored, copied := latest, latest
 		era, count, copiedCount := uint64(1), uint64(2), uint64(2)
 		wrote := [2]hookhall.Revision{revisionIn(1, 1), revisionIn(1, 2)}
 		copiedWrote := wrote
 		catalogs := []*Catalog{quietCatalog(), quietCatalog(), quietCatalog()}
-		under := make([][]answer, len(catalogs)) // way
+		pending := make([][]answer, len(catalogs)) // answers that have not arrived, by gateway
 		versions := make([]int64, len(catalogs))
-		left := make([]int, len(catalogs)) // the latest life that a gateway knows to have left
-		read := func(i int) { under[i] = append(under[i], answer{revisionIn(era, count), stored, wrote}) }
+		left := make([]int, len(catalogs)) // the latest incarnation that a gateway knows has left
+		read := func(i int) { pending[i] = append(pending[i], answer{revisionIn(era, count), stored, wrote}) }
 		deliver := func(i int, a answer) {
 			c := catalogs[i]
 			learnTable(c, a.state.version, a.wrote[0])
@@ -175,12 +175,12 @@
 				left[i] = max(left[i], a.state.born)
 			}
 			if v := c.Table().Version(); v < versions[i] {
-				t.Fatalf("gateway %d went from table %d back to %d", i, versions[i], v)
+				t.Fatalf("gateway %d returned from table %d to %d", i, versions[i], v)
 			}
 			versions[i] = c.Table().Version()
 			for _, target := range c.Targets("pool") {
 				if int(target.Born) <= left[i] {
-					t.Fatalf("gateway %d uses life %d, and knows that %d has left", i, target.Born, left[i])
+					t.Fatalf("gateway %d uses incarnation %d, and knows that %d has left", i, target.Born, left[i])
 				}
 			}
 		}
@@ -214,10 +214,10 @@
 				change() // written again
 			default:
 				i := rapid.IntRange(0, len(catalogs)-1).Draw(t, "gateway")
-				if len(under[i]) > 0 && rapid.Bool().Draw(t, "answered") {
-					n := rapid.IntRange(0, len(under[i])-1).Draw(t, "answer")
-					a := under[i][n]
-					under[i] = slices.Delete(under[i], n, n+1)
+				if len(pending[i]) > 0 && rapid.Bool().Draw(t, "answered") {
+					n := rapid.IntRange(0, len(pending[i])-1).Draw(t, "answer")
+					a := pending[i][n]
+					pending[i] = slices.Delete(pending[i], n, n+1)
 					deliver(i, a)
 				} else {
 					read(i)
@@ -227,14 +227,14 @@
 		change()
 		for i := range catalogs {
 			read(i)
-			for _, a := range under[i] {
+			for _, a := range pending[i] {
 				deliver(i, a)
 			}
 			if v := catalogs[i].Table().Version(); v != latest.version {
 				t.Fatalf("gateway %d has table %d, and the store %d", i, v, latest.version)
 			}
 			if listed, _ := targetStatus(catalogs[i]); listed == latest.leaving {
-				t.Fatalf("gateway %d uses the target: %v, and it leaves: %v", i, listed, latest.leaving)
+				t.Fatalf("gateway %d uses the target: %v, but the target is leaving: %v", i, listed, latest.leaving)
 			}
 		}
 	})
--- a/internal/coordination/catalog/start_test.go
+++ b/internal/coordination/catalog/start_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// startWithCopy runs a catalog, one of many, whose copy of the targets lacks the
-// last change: "new" was listed, and "old" left.
+// startWithCopy runs a catalog whose initial copy of the targets lacks the last change: "new"
+// was listed, and "old" left.
 func startWithCopy(t *testing.T, rank int, f func(s *fakeStore, c *Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -33,7 +33,7 @@
 	})
 }
 
-// knows checks which targets are usable.
+// expectUsable checks which targets are usable.
 func expectUsable(t *testing.T, c *Catalog, want ...string) {
 	t.Helper()
 	got := map[string]bool{}
@@ -49,12 +49,13 @@
 	}
 }
 
+// TestStartWithCopy guards against a full read by every process when a whole fleet starts at once.
 func TestStartWithCopy(t *testing.T) {
-	t.Run("it is ready with the copy, and news brings it up to date without a reading", func(t *testing.T) {
+	t.Run("ready with the copy, then brought up to date by updates without a read", func(t *testing.T) {
 		startWithCopy(t, maxRank, func(s *fakeStore, c *Catalog) {
 			time.Sleep(100 * time.Millisecond)
 			if !c.Ready() {
-				t.Fatal("it is not ready")
+				t.Fatal("not ready")
 			}
 			expectUsable(t, c, "a", "old")
 			reader := newCatalog(s)
@@ -67,17 +68,17 @@
 			}
 			expectUsable(t, c, "a", "new")
 			if s.targetReads != 8 {
-				t.Errorf("%d readings, of which the reader made 8", s.targetReads)
+				t.Errorf("%d full reads, of which the reader made 8", s.targetReads)
 			}
 		})
 	})
-	t.Run("it reads for itself when nobody tells it", func(t *testing.T) {
+	t.Run("reads the store without updates from peers", func(t *testing.T) {
 		startWithCopy(t, maxRank, func(s *fakeStore, c *Catalog) {
 			time.Sleep(confirmTimeout + 2*pollInterval)
 			expectUsable(t, c, "a", "new")
 		})
 	})
-	t.Run("who reads for all does so at once", func(t *testing.T) {
+	t.Run("the first reader reads the store at once", func(t *testing.T) {
 		startWithCopy(t, 0, func(s *fakeStore, c *Catalog) {
 			time.Sleep(3 * pollInterval)
 			expectUsable(t, c, "a", "new")
@@ -85,25 +86,25 @@
 	})
 }
 
-// TestFirstReadingIsNoChange: a reader that has just begun tells what changed since then, not
-// all that it has learned. When all of 295 gateways before 285 targets start at once,
-// telling all of it for three seconds would take half of a link of 20 Mbit/s.
+// TestFirstReadingIsNoChange checks that a process that has just started sends what changed since
+// its first reading, not the whole reading. When all of 295 gateways before 285 targets start at
+// once, sending all of it for three seconds would take half of a link of 20 Mbit/s.
 func TestFirstReadingIsNoChange(t *testing.T) {
 	s := newFakeStore()
 	s.update(func() { s.targets = map[string]string{"a": "", "b": ""} })
 	c := newCatalog(s)
 	c.Learn(readingOf(t, s), "store")
 	if n := c.News(time.Now()); len(n.Changed) != 0 || n.Digest == 0 {
-		t.Errorf("%d targets are told after the first reading, digest %x", len(n.Changed), n.Digest)
+		t.Errorf("%d targets are sent after the first reading, digest %x", len(n.Changed), n.Digest)
 	}
 	s.update(func() { s.targets["c"] = "" })
 	c.Learn(readingOf(t, s), "store")
 	if n := c.News(time.Now()); len(n.Changed) != 1 || n.Changed[0].Key != "t/c" {
-		t.Errorf("%v is told after the second", n.Changed)
+		t.Errorf("%v is sent after the second", n.Changed)
 	}
 }
 
-// readingOf reads the targets as the reader does.
+// readingOf reads all targets as the first reader does.
 func readingOf(t *testing.T, s *fakeStore) Reading {
 	t.Helper()
 	began := time.Now()
--- a/internal/coordination/catalog/takeover_test.go
+++ b/internal/coordination/catalog/takeover_test.go
@@ -15,7 +15,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-// slowStore takes time to list all targets, as a large fleet's does.
+// slowStore takes slowRangeDelay to list all targets, as in a large fleet.
 type slowStore struct {
 	*fakeStore
 	slow atomic.Bool
@@ -31,15 +31,15 @@
 	return items, at, err
 }
 
-// TestReaderTakesOver: a process that becomes the first reader, and was told everything so
-// far, learns of changes at once, though reading all targets takes seconds.
+// TestReaderTakesOver checks that a process that becomes the first reader, and has all earlier
+// updates, learns of changes at once, though listing all targets takes seconds.
 func TestReaderTakesOver(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  bool // by peers, up to the moment
-		wants []string
+		hasUpdates bool // from peers, until the takeover
+		wants      []string
 	}{
-		"told by peers": {true, []string{"a", "c"}},
-		"not told":      {false, []string{"a", "b", "c"}},
+		"with updates of peers": {true, []string{"a", "c"}},
+		"without updates":       {false, []string{"a", "b", "c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -52,7 +52,7 @@
 				rank.Store(maxRank)
 				follower.Rank = func() int { return int(rank.Load()) }
 				reader.Read = func() {
-					if c.told {
+					if c.hasUpdates {
 						follower.LearnNews(reader.News(time.Now()), "reader")
 					}
 				}
--- a/internal/coordination/catalog/updates_test.go
+++ b/internal/coordination/catalog/updates_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// reading lists targets, all ready.
+// readyReading lists targets, all of them ready.
 func readyReading(at hookhall.Revision, ids ...string) Reading {
 	r := Reading{Revision: at, Began: time.Now()}
 	for _, id := range ids {
@@ -24,46 +24,48 @@
 	return r
 }
 
+// TestUpdates checks that an update confirms a follower's state only if the follower then has the
+// same list as the sender.
 func TestUpdates(t *testing.T) {
 	Convey("Given a reader and a follower with the same targets", t, func() {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
 		reader.Learn(readyReading(1, "a", "b", "c"), "store")
 		follower.Learn(readyReading(1, "a", "b", "c"), "store")
 		began := follower.Picture().Began
-		Convey("news without changes confirms what the follower has", func() {
+		Convey("an update without changes confirms the follower's state", func() {
 			reader.Learn(readyReading(2, "a", "b", "c"), "store")
 			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
 			So(follower.Picture().Revision, ShouldEqual, 2)
 			So(follower.Picture().Began.After(began), ShouldBeTrue)
 		})
-		Convey("changes arrive, and the age with them", func() {
+		Convey("an update brings changes and a new age", func() {
 			reader.Learn(readyReading(2, "a", "b", "d"), "store")
 			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
 			So(follower.Picture().Digest, ShouldEqual, reader.Picture().Digest)
 			So(follower.Picture().Revision, ShouldEqual, 2)
 			So(len(follower.Targets("pool")), ShouldEqual, 3)
 		})
-		Convey("a gap leaves the picture as old as it was", func() {
+		Convey("a gap leaves revision and age of the snapshot as they were", func() {
 			reader.Learn(readyReading(2, "a", "b", "d"), "store")
 			n := reader.News(time.Now())
-			n.Gone = nil // the news that told of c's end was lost long ago
+			n.Gone = nil // the update with the end of c was lost earlier
 			So(hasGap(follower.LearnNews(n, "reader")), ShouldBeTrue)
 			So(follower.Picture().Revision, ShouldEqual, 1)
 			So(follower.Picture().Began, ShouldEqual, began)
 			So(follower.Known(), ShouldContainKey, "d")
 		})
-		Convey("old news is no news", func() {
+		Convey("an older update changes nothing", func() {
 			old := reader.News(time.Now())
 			follower.Learn(readyReading(3, "a"), "store")
 			So(isNewer(follower.LearnNews(old, "reader")), ShouldBeFalse)
 		})
-		Convey("a process without a picture reads first", func() {
+		Convey("a process without a snapshot ignores updates", func() {
 			So(isNewer(newCatalog(newFakeStore()).LearnNews(reader.News(time.Now()), "reader")), ShouldBeFalse)
 		})
 	})
 }
 
-// fresh and gap are the two results of LearnNews.
+// isNewer and hasGap select one of the two results of LearnNews.
 func isNewer(fresh, _ bool) bool { return fresh }
 func hasGap(_, gap bool) bool    { return gap }
 
@@ -72,8 +74,8 @@
 	return e != nil && e.missingSince.IsZero()
 }
 
-// TestRandomUpdates: whatever news is lost, a follower whose digest agrees has the
-// reader's list, and one whose digest does not keeps its age.
+// TestRandomUpdates checks, for any loss of updates, that a follower whose digest agrees has the
+// reader's list, and that one whose digest differs keeps its revision.
 func TestRandomUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
@@ -108,42 +110,42 @@
 	})
 }
 
-// TestOnlyFirstReaderReads: of processes that are told, only the first reads the store; when
-// it falls silent, the others read before what they know is too old.
+// TestOnlyFirstReaderReads checks that only the first reader reads the store while it updates
+// its peers, and that a peer reads for itself before its state is too old once updates stop.
 func TestOnlyFirstReaderReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		s.targets["a"] = "ready"
 		s.changed = make(chan struct{})
-		first, other := newCatalog(s), newCatalog(s)
-		other.Rank = func() int { return 2 }
-		var silent atomic.Bool
+		first, follower := newCatalog(s), newCatalog(s)
+		follower.Rank = func() int { return 2 }
+		var isSilent atomic.Bool
 		first.Read = func() {
-			if silent.Load() {
+			if isSilent.Load() {
 				return
 			}
-			other.LearnNews(first.News(time.Now()), "first")
+			follower.LearnNews(first.News(time.Now()), "first")
 			revision, age := first.TableAge(time.Now())
-			other.ConfirmTable(revision, time.Now().Add(-age))
+			follower.ConfirmTable(revision, time.Now().Add(-age))
 		}
-		var own atomic.Int64
-		other.Read = func() { own.Add(1) }
+		var ownReads atomic.Int64
+		follower.Read = func() { ownReads.Add(1) }
 		s.setTable(1)
 		ctx := t.Context()
 		done := make(chan struct{}, 2)
-		for _, c := range []*Catalog{first, other} {
+		for _, c := range []*Catalog{first, follower} {
 			go func() { c.Run(ctx); done <- struct{}{} }()
 		}
 		time.Sleep(2 * time.Second)
-		own.Store(0)
+		ownReads.Store(0)
 		time.Sleep(10 * time.Second)
-		if n := own.Load(); n > 0 {
-			t.Errorf("the other one read %d times in ten seconds", n)
+		if n := ownReads.Load(); n > 0 {
+			t.Errorf("the follower read %d times in ten seconds", n)
 		}
-		silent.Store(true)
-		time.Sleep(1500 * time.Millisecond) // the bounds of changes and leavings are 2 s
-		if own.Load() == 0 {
-			t.Error("the other one did not read though nobody told it anything")
+		isSilent.Store(true)
+		time.Sleep(1500 * time.Millisecond) // changes and departures must be in force within 2 s
+		if ownReads.Load() == 0 {
+			t.Error("the follower did not read though updates stopped")
 		}
 	})
 }
