--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -132,8 +132,6 @@
 }
 
 // New returns a Catalog without a table and targets; Run fills it.
-
-// New makes a Catalog; Run follows the store.
 func New(s hookhall.Store, p hookhall.Platform, l *log.Logger) *Catalog {
 	c := &Catalog{store: s, platform: p, log: l, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Life]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, Rank: func() int { return 0 }, Fleet: func() int { return 1 }, Read: func() {}, Orders: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, Reborn: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
 	c.recordAnswer(clock.Now())
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -22,8 +22,8 @@
 	Began time.Time
 }
 
-// Picture is an immutable snapshot of the targets. It shares the lists of services that have not
-// changed with the snapshot before it.
+// Picture is an immutable copy of the targets' state. It shares the lists of services that have
+// not changed with the copy before it.
 type Picture struct {
 	// Revision is the store's revision at the reading that confirmed the snapshot, and Began the
 	// time at which that reading began, by this process's monotonic clock.
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -35,8 +35,8 @@
 	return sum
 }
 
-// News is an update for peers: the recent changes of the targets. A process that has all earlier
-// changes arrives at the same list, as the digest shows.
+// News has the recent changes of the targets, for peers. A process that has all earlier changes
+// arrives at the same list, as the digest shows.
 type News struct {
 	Revision hookhall.Revision
 	Began    time.Time       // when the confirming reading began, by this process's monotonic clock
