--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -22,7 +22,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakePlatform keeps a version and targets as JSON.
+// fakePlatform stores routing tables as JSON and targets as short texts.
 type fakePlatform struct{}
 
 func (fakePlatform) OperatorPrefix() string { return "op/" }
@@ -37,14 +37,14 @@
 }
 func (fakePlatform) ReadTarget(key string, b []byte) (hookhall.Target, error) {
 	t := hookhall.Target{ID: key[2:], Pool: "pool"}
-	// "a@north" stands in the hall north; "cold 7 2000" is its 7th heartbeat, which
-	// says that it stays cold for two seconds.
+	// "a@north" is in the hall north; "cold 7 2000" is the value of its 7th heartbeat, which
+	// reports that it stays cold for another two seconds.
 	_, t.Hall, _ = strings.Cut(t.ID, "@")
 	var left int
 	if n, _ := fmt.Sscanf(string(b), "cold %d %d", &t.Beat, &left); n == 2 {
 		t.ColdLeft = time.Duration(left) * time.Millisecond
 	}
-	// "born 5 leaving" and "born 5 cold" are words of the life that began at 5.
+	// "born 5 leaving" and "born 5 cold" are values of the incarnation that started at 5.
 	fmt.Sscanf(string(b), "born %d", &t.Born)
 	if strings.HasSuffix(string(b), " cold") {
 		t.ColdLeft = time.Minute
@@ -56,54 +56,55 @@
 	return t, nil
 }
 
-// fakeStore has one table and a list of targets; it can fail and forget.
+// fakeStore has one table, evacuated halls and targets. It can fail and drop its history.
 type fakeStore struct {
 	hookhall.Store
-	mu      sync.Mutex
-	at      hookhall.Revision
-	table   hookhall.Item
-	halls   map[string]hookhall.Revision // evacuated, with their keys' revisions
-	events  []hookhall.Item              // of the operators' keys
-	targets map[string]string
-	down    bool
-	horizon hookhall.Revision // history before it is gone
-	gets    int
-	ranges  int               // readings of the targets themselves
-	copied  map[string]string // what a copy has of them
-	forgot  int
-	seen    map[hookhall.Revision]map[string]string // the targets at revisions that were told
-	watches int                                     // of the targets
-	changed chan struct{}
+	mu                sync.Mutex
+	revision          hookhall.Revision
+	table             hookhall.Item
+	hallRevisions     map[string]hookhall.Revision // evacuated halls, with the revisions of their keys
+	events            []hookhall.Item              // of the operators' keys
+	targets           map[string]string
+	down              bool
+	oldestRevision    hookhall.Revision // history before it is gone
+	operatorReads     int
+	targetReads       int               // full reads of the targets
+	staleTargets      map[string]string // the targets that RangeStale returns
+	historyGoneCount  int
+	targetsByRevision map[hookhall.Revision]map[string]string // the targets at revisions that were returned
+	targetWatches     int                                     // watches of the targets
+	changed           chan struct{}
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{targets: map[string]string{}, halls: map[string]hookhall.Revision{}, seen: map[hookhall.Revision]map[string]string{}, changed: make(chan struct{})}
+	return &fakeStore{targets: map[string]string{}, hallRevisions: map[string]hookhall.Revision{}, targetsByRevision: map[hookhall.Revision]map[string]string{}, changed: make(chan struct{})}
 }
 
-func (s *fakeStore) change(f func()) {
+// update makes a change at the next revision and ends waiting watches.
+func (s *fakeStore) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.at++
+	s.revision++
 	f()
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *fakeStore) setTable(version int64) {
-	s.change(func() {
+	s.update(func() {
 		b, _ := json.Marshal(hookhall.Routing{Version: version})
-		s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.at}
+		s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.revision}
 		s.events = append(s.events, s.table)
 	})
 }
 
-// evacuate writes or removes a hall's key.
-func (s *fakeStore) evacuate(hall string, on bool) {
-	s.change(func() {
-		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.at, Gone: !on})
-		delete(s.halls, hall)
+// setEvacuated writes or removes a hall's key.
+func (s *fakeStore) setEvacuated(hall string, on bool) {
+	s.update(func() {
+		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.revision, Gone: !on})
+		delete(s.hallRevisions, hall)
 		if on {
-			s.halls[hall] = s.at
+			s.hallRevisions[hall] = s.revision
 		}
 	})
 }
@@ -112,16 +113,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if prefix == "op/" {
-		return s.operators()
+		return s.operatorItems()
 	}
-	s.ranges++
-	s.seen[s.at] = maps.Clone(s.targets)
-	return s.list(s.targets, s.at)
+	s.targetReads++
+	s.targetsByRevision[s.revision] = maps.Clone(s.targets)
+	return s.targetItems(s.targets, s.revision)
 }
 
-// operators lists their keys. The caller holds s.mu.
-func (s *fakeStore) operators() ([]hookhall.Item, hookhall.Revision, error) {
-	s.gets++
+// operatorItems lists the operators' keys. s.mu must be held.
+func (s *fakeStore) operatorItems() ([]hookhall.Item, hookhall.Revision, error) {
+	s.operatorReads++
 	if s.down {
 		return nil, 0, hookhall.ErrUnavailable
 	}
@@ -129,15 +130,14 @@
 	if s.table.Revision > 0 {
 		list = append(list, s.table)
 	}
-	for hall, revision := range s.halls {
+	for hall, revision := range s.hallRevisions {
 		list = append(list, hookhall.Item{Key: "op/out/" + hall, Revision: revision})
 	}
-	return list, s.at, nil
+	return list, s.revision, nil
 }
 
-// since lists the events of the operators' keys after a revision. The caller holds
-// s.mu.
-func (s *fakeStore) since(revision hookhall.Revision) []hookhall.Item {
+// eventsSince lists the events of the operators' keys after a revision. s.mu must be held.
+func (s *fakeStore) eventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
 	for _, i := range s.events {
 		if i.Revision > revision {
@@ -147,14 +147,14 @@
 	return list
 }
 
-// RangeStale brings what the store had before its last change.
+// RangeStale returns staleTargets, as of the revision before the last change.
 func (s *fakeStore) RangeStale(context.Context, string) ([]hookhall.Item, hookhall.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(s.copied, max(s.at, 1)-1)
+	return s.targetItems(s.staleTargets, max(s.revision, 1)-1)
 }
 
-func (s *fakeStore) list(targets map[string]string, at hookhall.Revision) ([]hookhall.Item, hookhall.Revision, error) {
+func (s *fakeStore) targetItems(targets map[string]string, at hookhall.Revision) ([]hookhall.Item, hookhall.Revision, error) {
 	if s.down {
 		return nil, 0, hookhall.ErrUnavailable
 	}
@@ -165,22 +165,22 @@
 	return list, at, nil
 }
 
-// targetsSince lists how the targets differ from those at a revision that was told.
-// The caller holds s.mu.
-func (s *fakeStore) targetsSince(revision hookhall.Revision) []hookhall.Item {
+// targetEventsSince lists how the targets differ from those at a revision that was returned
+// before. s.mu must be held.
+func (s *fakeStore) targetEventsSince(revision hookhall.Revision) []hookhall.Item {
 	var list []hookhall.Item
-	old := s.seen[revision]
+	old := s.targetsByRevision[revision]
 	for id, v := range s.targets {
-		if was, ok := old[id]; !ok || was != v {
-			list = append(list, hookhall.Item{Key: "t/" + id, Value: []byte(v), Revision: s.at})
+		if previous, ok := old[id]; !ok || previous != v {
+			list = append(list, hookhall.Item{Key: "t/" + id, Value: []byte(v), Revision: s.revision})
 		}
 	}
 	for id := range old {
 		if _, ok := s.targets[id]; !ok {
-			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.at, Gone: true})
+			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.revision, Gone: true})
 		}
 	}
-	s.seen[s.at] = maps.Clone(s.targets)
+	s.targetsByRevision[s.revision] = maps.Clone(s.targets)
 	return list
 }
 
@@ -189,13 +189,13 @@
 	defer timer.Stop()
 	for {
 		s.mu.Lock()
-		events, at, down, gone, changed := s.since(since), s.at, s.down, since < s.horizon, s.changed
+		events, at, down, gone, changed := s.eventsSince(since), s.revision, s.down, since < s.oldestRevision, s.changed
 		if prefix == "t/" {
-			events = s.targetsSince(since)
-			s.watches++
+			events = s.targetEventsSince(since)
+			s.targetWatches++
 		}
 		if gone {
-			s.forgot++
+			s.historyGoneCount++
 		}
 		s.mu.Unlock()
 		switch {
@@ -220,10 +220,10 @@
 	return New(s, fakePlatform{}, log.New(io.Discard))
 }
 
-// follow runs a catalog in virtual time.
-func follow(t *testing.T, s *fakeStore, f func(c *Catalog)) {
+// runCatalog runs a catalog and f in virtual time.
+func runCatalog(t *testing.T, s *fakeStore, f func(c *Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
-		s.changed = make(chan struct{}) // of this bubble
+		s.changed = make(chan struct{}) // must belong to this bubble
 		c := newCatalog(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
@@ -234,9 +234,10 @@
 	})
 }
 
+// TestTableIsFollowed checks that a change of the table is in force once the watch returns it.
 func TestTableIsFollowed(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(3)
 		time.Sleep(time.Second)
 		if c.Table().Version() != 3 {
@@ -245,27 +246,27 @@
 		s.setTable(4)
 		time.Sleep(10 * time.Millisecond)
 		if c.Table().Version() != 4 {
-			t.Fatal("a change takes longer than a watch's answer")
+			t.Fatal("a change is not applied when the watch returns")
 		}
 	})
 }
 
-// TestTwoChangesAtOnce: of two changes in one answer of the store, the newer one is in
-// force.
+// TestTwoChangesAtOnce guards against applying the first of several changes in one answer of
+// the store: the newest one must be in force.
 func TestTwoChangesAtOnce(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
 		s.mu.Lock()
 		for version := 2; version <= 3; version++ {
-			s.at++
+			s.revision++
 			b, _ := json.Marshal(hookhall.Routing{Version: int64(version)})
-			s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.at}
+			s.table = hookhall.Item{Key: "op/table", Value: b, Revision: s.revision}
 			s.events = append(s.events, s.table)
 		}
 		s.mu.Unlock()
-		s.change(func() {})
+		s.update(func() {})
 		time.Sleep(time.Second)
 		if v := c.Table().Version(); v != 3 {
 			t.Errorf("version %d", v)
@@ -273,30 +274,30 @@
 	})
 }
 
-// TestForgottenHistoryIsNoTrouble: a table that was written long ago lies before the
-// history that the store keeps. A watch from the key's own revision in place of the
-// store's reads the table again without a pause.
-func TestForgottenHistoryIsNoTrouble(t *testing.T) {
+// TestForgottenHistoryIsNoOutage guards against reading the table in a loop. A table that was
+// written long ago is older than the history that the store keeps, so that a watch from the
+// key's own revision, instead of the store's, fails each time and rereads without a pause.
+func TestForgottenHistoryIsNoOutage(t *testing.T) {
 	s := newFakeStore()
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
-		s.change(func() {})
-		s.change(func() { s.horizon = s.at })
+		s.update(func() {})
+		s.update(func() { s.oldestRevision = s.revision })
 		time.Sleep(20 * time.Second)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.forgot > 2 || s.gets > 20 {
-			t.Fatalf("%d reads after %d forgotten watches", s.gets, s.forgot)
+		if s.historyGoneCount > 2 || s.operatorReads > 20 {
+			t.Fatalf("%d reads after %d watches without history", s.operatorReads, s.historyGoneCount)
 		}
-		if c.failing.Load() {
-			t.Fatal("a forgotten history is held for an outage")
+		if c.isFailing.Load() {
+			t.Fatal("lost history counts as an outage")
 		}
 	})
 }
 
-// TestPackedTable: a table goes from one process to another packed, and bytes that
-// are none change nothing.
+// TestPackedTable checks that a packed table passes from one process to another unchanged, and
+// that invalid bytes change nothing.
 func TestPackedTable(t *testing.T) {
 	a, b := newCatalog(newFakeStore()), newCatalog(newFakeStore())
 	value, err := json.Marshal(hookhall.Routing{Version: 9, Routes: make([]hookhall.Route, 1000)})
@@ -309,42 +310,46 @@
 		t.Errorf("%d bytes of %d", len(packed), len(value))
 	}
 	if b.LearnPacked([]byte("no table"), 4, "peer", time.Now()) || b.Table() != nil {
-		t.Error("rubbish was taken for a table")
+		t.Error("invalid bytes were applied as a table")
 	}
 	if !b.LearnPacked(packed, revision, "peer", time.Now()) || b.Table().Version() != 9 {
-		t.Error("the table did not arrive")
+		t.Error("the packed table was not applied")
 	}
 	if again, _ := b.PackedTable(); string(again) != string(packed) {
-		t.Error("it was packed anew")
+		t.Error("the table was packed again")
 	}
 	if b.LearnPacked(packed, revision-1, "peer", time.Now()) {
-		t.Error("an older revision was taken")
+		t.Error("an older revision was applied")
 	}
 }
 
-func TestOutageKeepsWhatIsBelieved(t *testing.T) {
+// TestOutageKeepsKnownState checks that an outage of the store changes only the age of the known
+// state, and that a change made in it is in force soon after its end.
+func TestOutageKeepsKnownState(t *testing.T) {
 	s := newFakeStore()
 	s.targets["a"] = "ready"
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		s.setTable(1)
 		time.Sleep(time.Second)
-		s.change(func() { s.down = true })
+		s.update(func() { s.down = true })
 		time.Sleep(10 * time.Second)
 		if c.Table() == nil || len(c.Targets("pool")) != 1 {
-			t.Fatal("an outage took away what was believed")
+			t.Fatal("known state was lost in an outage")
 		}
 		if age := c.Picture().Age(time.Now()); age < 9*time.Second {
 			t.Fatalf("the age is %v after ten seconds of outage", age)
 		}
-		s.change(func() { s.down = false })
+		s.update(func() { s.down = false })
 		s.setTable(2)
 		time.Sleep(time.Second)
 		if c.Table().Version() != 2 {
-			t.Fatal("a change in an outage is not seen a second after it")
+			t.Fatal("a change made in an outage is not applied a second after its end")
 		}
 	})
 }
 
+// TestMissingTargets guards against treating the expired leases of an outage as targets that left,
+// and against using a target that did leave.
 func TestMissingTargets(t *testing.T) {
 	read := func(c *Catalog, at hookhall.Revision, ids ...string) {
 		r := Reading{Revision: at, Began: time.Now()}
@@ -362,22 +367,22 @@
 		c := newCatalog(newFakeStore())
 		read(c, 1, "a", "b", "c", "d", "e")
 		So(usable(c), ShouldEqual, 5)
-		Convey("one that goes missing after an outage gets nothing new", func() {
-			c.noteCall(t.Context(), hookhall.ErrUnavailable)
+		Convey("a target that goes missing after an outage gets no new requests", func() {
+			c.recordCall(t.Context(), hookhall.ErrUnavailable)
 			read(c, 2, "a", "b", "c", "d")
 			So(usable(c), ShouldEqual, 4)
 		})
-		Convey("many that go missing together stay for a while", func() {
+		Convey("many targets that go missing together stay usable for a while", func() {
 			read(c, 2, "a")
 			So(usable(c), ShouldEqual, 5)
 		})
-		Convey("one that leaves gets nothing new, listed or not", func() {
+		Convey("a leaving target gets no new requests, even if it is listed as ready later", func() {
 			read(c, 2, "a", "b", "c", "d", "-e")
 			So(usable(c), ShouldEqual, 4)
 			read(c, 3, "a", "b", "c", "d", "e")
 			So(usable(c), ShouldEqual, 4)
 		})
-		Convey("one that left stays out when many go missing", func() {
+		Convey("a target that left stays unusable when many go missing", func() {
 			read(c, 2, "a", "b", "c", "d", "-e")
 			read(c, 3)
 			So(usable(c), ShouldEqual, 4)
@@ -388,22 +393,23 @@
 			So(usable(c), ShouldEqual, 5) // three lapsed, f unknown
 			So(c.Known(), ShouldNotContainKey, "f")
 		})
-		Convey("a key that can't be read is skipped", func() {
+		Convey("a key that cannot be parsed is skipped", func() {
 			c.Learn(Reading{Revision: 2, Began: time.Now(), Items: []hookhall.Item{{Key: "t/x", Value: []byte("bad")}}}, "test")
 			So(c.Known(), ShouldNotContainKey, "x")
 		})
 	})
 }
 
-// TestLapseEnds: targets that don't come back within two seconds are gone.
+// TestLapseEnds checks that lapsed targets that are not listed again become unusable after two
+// seconds.
 func TestLapseEnds(t *testing.T) {
 	s := newFakeStore()
 	for _, id := range []string{"a", "b", "c", "d"} {
 		s.targets[id] = "ready"
 	}
-	follow(t, s, func(c *Catalog) {
+	runCatalog(t, s, func(c *Catalog) {
 		time.Sleep(time.Second)
-		s.change(func() { s.targets = map[string]string{} })
+		s.update(func() { s.targets = map[string]string{} })
 		time.Sleep(1900 * time.Millisecond)
 		if n := len(c.Targets("pool")); n != 4 {
 			t.Fatalf("%d targets 1.9 s after a lapse", n)
@@ -415,7 +421,7 @@
 	})
 }
 
-// TestNoTableYet: a store that has no table yet answers all the same.
+// TestNoTableYet checks that an answer without a table does not count as an outage.
 func TestNoTableYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -431,12 +437,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		if failed.Load() {
-			t.Error("an empty store was taken for an outage")
+			t.Error("an empty store counts as an outage")
 		}
 		s.setTable(1)
 		time.Sleep(time.Second)
 		if c.Table() == nil {
-			t.Error("the table was not taken in")
+			t.Error("the table was not applied")
 		}
 		cancel()
 		<-done
--- a/internal/coordination/catalog/halls.go
+++ b/internal/coordination/catalog/halls.go
@@ -12,28 +12,26 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// coldDefault is for how long targets of a hall that operators have taken back into
-// service are held to be cold when the table does not say how long a cold start
-// takes: the seconds that it takes where it is said.
-const coldDefault = 3 * time.Second
+// defaultColdTime is how long targets of a readmitted hall count as cold when the table does not
+// give the duration of a cold start: the 3 seconds that tables give where they do.
+const defaultColdTime = 3 * time.Second
 
-// Halls is which halls operators have evacuated, as the store had it.
+// Halls is the set of halls that operators have evacuated, as of a revision of the store.
 type Halls struct {
-	// Revision is the store's at the reading, not that of a key: a hall that is
-	// taken back leaves no key behind.
+	// Revision is the store's revision at the reading, not that of a key: the end of an
+	// evacuation removes the key.
 	Revision hookhall.Revision `json:"revision"`
-	// Evacuated lists them, sorted. Their targets get nothing new.
+	// Evacuated has the names of the evacuated halls, sorted. Their targets get no new requests.
 	Evacuated []string `json:"evacuated"`
 }
 
-// has tells whether a hall is evacuated.
-func (h Halls) has(hall string) bool {
+// contains reports whether a hall is evacuated.
+func (h Halls) contains(hall string) bool {
 	_, found := slices.BinarySearch(h.Evacuated, hall)
 	return found
 }
 
-// Halls is what this process believes of the halls; Revision is 0 before it has
-// heard of them.
+// Halls returns the evacuated halls that are in force; Revision is 0 before the first reading.
 func (c *Catalog) Halls() Halls {
 	if h := c.halls.Load(); h != nil {
 		return *h
@@ -41,8 +39,8 @@
 	return Halls{}
 }
 
-// readHalls finds the evacuated halls among all keys of the operators.
-func (c *Catalog) readHalls(items []hookhall.Item) []string {
+// evacuatedHalls returns the evacuated halls among all keys of the operators, sorted.
+func (c *Catalog) evacuatedHalls(items []hookhall.Item) []string {
 	var list []string
 	for _, i := range items {
 		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
@@ -53,17 +51,18 @@
 	return list
 }
 
-// followHalls takes in events of the operators' keys up to a revision of the store.
-func (c *Catalog) followHalls(events []hookhall.Item, revision hookhall.Revision) bool {
+// applyHallEvents applies events of the operators' keys up to a revision of the store, and
+// reports whether the evacuated halls changed.
+func (c *Catalog) applyHallEvents(events []hookhall.Item, revision hookhall.Revision) bool {
 	evacuated := map[string]bool{}
 	c.mu.Lock()
-	for _, hall := range c.toldHalls {
+	for _, hall := range c.storedHalls {
 		evacuated[hall] = true
 	}
 	for _, i := range events {
 		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
 			evacuated[hall] = !i.Gone
-			delete(c.heldHalls, hall)
+			delete(c.heldUntil, hall)
 		}
 	}
 	c.mu.Unlock()
@@ -71,9 +70,9 @@
 	return c.LearnHalls(Halls{revision, slices.Sorted(maps.Keys(evacuated))}, "store")
 }
 
-// LearnHalls takes in what the store or a peer told of the halls, and puts it in
-// force. It tells whether anything changed. What was read at an earlier revision
-// than the one known changes nothing, so that no hall is served again by old news.
+// LearnHalls applies the evacuated halls as read from the store or received from a peer, and
+// reports whether anything changed. Halls of an earlier revision than the known one change
+// nothing, so that an old update cannot readmit a hall.
 func (c *Catalog) LearnHalls(h Halls, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,58 +84,60 @@
 	if old != nil && h.Revision.Era() > old.Revision.Era() {
 		c.holdHalls(*old, now)
 	}
-	c.toldHalls = h.Evacuated
-	h.Evacuated = c.withHeld(h.Evacuated, now)
+	c.storedHalls = h.Evacuated
+	h.Evacuated = c.withHeldHalls(h.Evacuated, now)
 	c.halls.Store(&h)
 	if old != nil && slices.Equal(old.Evacuated, h.Evacuated) {
 		return false
 	}
-	c.noteHalls(old, h, from)
-	if p := c.picture.Load(); p != nil {
+	c.recordHallChanges(old, h, from)
+	if p := c.snapshot.Load(); p != nil {
 		c.markAllDirty()
 		c.publish(p.Revision, p.Began, clock.Now())
 	}
 	return true
 }
 
-// noteHalls logs what changed, and remembers when halls were taken back: their
-// targets may have turned cold meanwhile, and say so only with their next
-// heartbeat. The caller holds c.mu.
-func (c *Catalog) noteHalls(old *Halls, h Halls, from string) {
+// recordHallChanges logs evacuations and their ends, and records when halls were readmitted:
+// their targets may have turned cold in the meantime, and report that only with their next
+// heartbeat. c.mu must be held.
+func (c *Catalog) recordHallChanges(old *Halls, h Halls, from string) {
 	for _, hall := range h.Evacuated {
-		if old == nil || !old.has(hall) {
-			delete(c.returned, hall)
-			c.log.Warn("A hall is evacuated; its targets get nothing new.", "hall", hall, "revision", h.Revision, "from", from)
+		if old == nil || !old.contains(hall) {
+			delete(c.readmittedAt, hall)
+			c.log.Warn("hall evacuated; its targets receive no new requests", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
 	if old == nil {
 		return
 	}
 	for _, hall := range old.Evacuated {
-		if !h.has(hall) {
-			c.returned[hall] = clock.Now()
-			c.log.Info("A hall is taken back; its targets are used as cold ones at first.", "hall", hall, "revision", h.Revision, "from", from)
+		if !h.contains(hall) {
+			c.readmittedAt[hall] = clock.Now()
+			c.log.Info("hall readmitted; its targets are treated as cold at first", "hall", hall, "revision", h.Revision, "from", from)
 		}
 	}
 }
 
-// coldUntil is until when a target is held to be cold. The caller holds c.mu.
-func (c *Catalog) coldUntil(e *entry) time.Time {
+// coldDeadline returns the time until which a target counts as cold, by its own report or
+// because its hall was readmitted. c.mu must be held.
+func (c *Catalog) coldDeadline(e *entry) time.Time {
 	until := e.coldUntil
-	if taken, ok := c.returned[e.target.Hall]; ok {
+	if readmitted, ok := c.readmittedAt[e.target.Hall]; ok {
 		if t := c.Table(); t != nil {
 			if s := t.Service(e.target.Pool); s != nil && s.ColdRate > 0 {
-				stays := s.ColdTime
-				if stays <= 0 {
-					stays = coldDefault
+				coldTime := s.ColdTime
+				if coldTime <= 0 {
+					coldTime = defaultColdTime
 				}
-				until = latest(until, taken.Add(stays))
+				until = latest(until, readmitted.Add(coldTime))
 			}
 		}
 	}
 	return until
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/coordination/catalog/takeover_test.go
+++ b/internal/coordination/catalog/takeover_test.go
@@ -15,44 +15,44 @@
 	"github.com/hookhall/hookhall"
 )
 
-// slowStore takes time to list all targets, as a large fleet's does.
+// slowStore takes slowRangeDelay to list all targets, as in a large fleet.
 type slowStore struct {
 	*fakeStore
 	slow atomic.Bool
 }
 
-const slowRange = 3 * time.Second
+const slowRangeDelay = 3 * time.Second
 
 func (s *slowStore) Range(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
 	items, at, err := s.fakeStore.Range(ctx, prefix)
 	if s.slow.Load() && prefix != "op/" {
-		time.Sleep(slowRange)
+		time.Sleep(slowRangeDelay)
 	}
 	return items, at, err
 }
 
-// TestReaderTakesOver: a process that becomes the first reader, and was told everything so
-// far, learns of changes at once, though reading all targets takes seconds.
+// TestReaderTakesOver checks that a process that becomes the first reader, and has all earlier
+// updates, learns of changes at once, though listing all targets takes seconds.
 func TestReaderTakesOver(t *testing.T) {
 	for name, c := range map[string]struct {
-		told  bool // by peers, up to the moment
-		wants []string
+		hasUpdates bool // from peers, until the takeover
+		wants      []string
 	}{
-		"told by peers": {true, []string{"a", "c"}},
-		"not told":      {false, []string{"a", "b", "c"}},
+		"with updates of peers": {true, []string{"a", "c"}},
+		"without updates":       {false, []string{"a", "b", "c"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &slowStore{fakeStore: newFakeStore()}
 				s.targets = map[string]string{"a": "", "b": "", "c": ""}
-				s.copied = maps.Clone(s.targets)
-				s.change(func() {})
+				s.staleTargets = maps.Clone(s.targets)
+				s.update(func() {})
 				reader, follower := newCatalog(s), newCatalog(s)
 				var rank atomic.Int64
-				rank.Store(rankMost)
+				rank.Store(maxRank)
 				follower.Rank = func() int { return int(rank.Load()) }
 				reader.Read = func() {
-					if c.told {
+					if c.hasUpdates {
 						follower.LearnNews(reader.News(time.Now()), "reader")
 					}
 				}
@@ -66,11 +66,11 @@
 				stopReader()
 				rank.Store(0)
 				time.Sleep(100 * time.Millisecond)
-				s.change(func() { s.targets["b"] = "leaving" })
+				s.update(func() { s.targets["b"] = "leaving" })
 				time.Sleep(time.Second)
-				knows(t, follower, c.wants...)
-				time.Sleep(2 * slowRange)
-				knows(t, follower, "a", "c")
+				expectUsable(t, follower, c.wants...)
+				time.Sleep(2 * slowRangeDelay)
+				expectUsable(t, follower, "a", "c")
 				stop()
 				run.Wait()
 			})
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -14,30 +14,32 @@
 	"github.com/pkg/errors"
 )
 
-// Reading is one list of targets as the store had it.
+// Reading is a list of targets as of a revision of the store.
 type Reading struct {
 	Revision hookhall.Revision
 	Items    []hookhall.Item
-	// Began is when the reading began, by this process's steady clock.
+	// Began is when the reading began, by this process's monotonic clock.
 	Began time.Time
 }
 
-// Picture is what is believed of the targets. It never changes; one that follows
-// another shares the pools in which nothing changed.
+// Picture is an immutable copy of the targets' state. It shares the lists of services that have
+// not changed with the copy before it.
 type Picture struct {
+	// Revision is the store's revision at the reading that confirmed the snapshot, and Began the
+	// time at which that reading began, by this process's monotonic clock.
 	Revision hookhall.Revision
 	Began    time.Time
-	// ByPool has the usable targets by service, sorted by id; leaving ones and those
-	// of evacuated halls are not in it.
+	// ByPool has the usable targets by service, sorted by id, without those that are leaving or
+	// in evacuated halls.
 	ByPool map[string][]hookhall.Target
-	// Evacuated has the services with targets that only the evacuation of their hall
-	// keeps out of ByPool.
+	// Evacuated has the services with targets that are kept out of ByPool only by the evacuation
+	// of their hall.
 	Evacuated map[string]bool
-	// Digest sums up all listed targets; equal digests mean equal lists.
+	// Digest combines the digests of all listed targets; equal digests mean equal lists.
 	Digest uint64
 }
 
-// Cold lists the usable targets that are held to be cold, sorted.
+// Cold returns the ids of the usable targets that count as cold, sorted.
 func (p *Picture) Cold(now time.Time) []string {
 	var ids []string
 	for _, list := range p.ByPool {
@@ -51,39 +53,40 @@
 	return ids
 }
 
-// Age is how old the picture is.
+// Age returns the time since the reading that confirmed the snapshot began.
 func (p *Picture) Age(now time.Time) time.Duration { return now.Sub(p.Began) }
 
-// followTargets reads the targets whenever what is believed of them has grown old. The
-// process that reads for all watches them, and reads all of them now and then.
+// followTargets reads the targets whenever their state is too old for the rank of this process.
+// The first reader watches them, and lists all of them every fullReadInterval. It returns when
+// ctx ends.
 func (c *Catalog) followTargets(ctx context.Context) {
-	f := targetsFollower{Catalog: c, pause: retry.Between(pauseFirst, pauseMost)}
+	f := targetsFollower{Catalog: c, pause: retry.Between(minRetryDelay, maxRetryDelay)}
 	for ctx.Err() == nil {
-		if !f.wanted(clock.Now()) {
-			f.at = 0 // whoever was told by others may be ahead of an old watch
-			f.follows = true
-			retry.Sleep(ctx, look)
+		if !f.isDue(clock.Now()) {
+			f.watchRevision = 0 // updates of peers may be ahead of an earlier watch
+			f.isFollower = true
+			retry.Sleep(ctx, pollInterval)
 			continue
 		}
-		if f.follows {
-			f.follows = false
+		if f.isFollower {
+			f.isFollower = false
 			f.takeOver(clock.Now())
 		}
 		f.step(ctx)
 	}
 }
 
-// targetsFollower is the loop of followTargets.
+// targetsFollower is the state of the loop in followTargets.
 type targetsFollower struct {
 	*Catalog
-	pause *retry.Pause
-	first time.Time         // when the copy that this process began with was made, at least
-	at    hookhall.Revision // the revision to watch from, 0 to read all targets
-	read  time.Time         // when all were last read
-	// gather is set when a watch told of changes: others may come with them.
-	gather bool
-	// follows is set while this process relies on updates of peers.
-	follows bool
+	pause         *retry.Pause
+	copyBegan     time.Time         // lower bound of the time at which the initial copy was made
+	watchRevision hookhall.Revision // the revision to watch from, 0 to list all targets
+	lastFullRead  time.Time         // when all targets were last listed
+	// hasEvents is set when a watch returned changes: others may follow shortly.
+	hasEvents bool
+	// isFollower is set while this process relies on updates of peers.
+	isFollower bool
 }
 
 // takeOver lets a new first reader watch from the revision up to which its peers have updated
@@ -94,183 +97,185 @@
 		return
 	}
 	f.mu.Lock()
-	synced := f.synced
+	synced := f.syncedRevision
 	f.mu.Unlock()
-	if p := f.picture.Load(); synced > 0 && p.Revision == synced && p.Age(now) < takeOverAge {
-		f.at, f.read = synced, now
-		f.log.Info("This process takes over as first reader.", "revision", synced, "age", p.Age(now))
+	if p := f.snapshot.Load(); synced > 0 && p.Revision == synced && p.Age(now) < maxTakeoverAge {
+		f.watchRevision, f.lastFullRead = synced, now
+		f.log.Info("took over as first reader", "revision", synced, "age", p.Age(now))
 	}
 }
 
-// wanted tells whether it is this process's turn to ask the store.
-func (f *targetsFollower) wanted(now time.Time) bool {
-	p := f.picture.Load()
+// isDue reports whether this process must call the store now.
+func (f *targetsFollower) isDue(now time.Time) bool {
+	p := f.snapshot.Load()
 	switch {
 	case p == nil:
 		return true
-	case p.Began.Equal(f.first) && f.awaitsNews(f.first, now):
+	case p.Began.Equal(f.copyBegan) && f.awaitsUpdates(f.copyBegan, now):
 		return false
 	}
-	return f.Rank() == 0 || f.due(p.Began, now)
+	return f.Rank() == 0 || f.needsRead(p.Began, now)
 }
 
-// step makes one call of the store and takes its answer in.
+// step makes one call of the store and applies its answer.
 func (f *targetsFollower) step(ctx context.Context) {
 	now := clock.Now()
-	began := f.picture.Load() == nil
-	fresh, err := f.ask(ctx, began)
+	isFirst := f.snapshot.Load() == nil
+	fresh, err := f.readOrWatch(ctx, isFirst)
 	if errors.Is(err, hookhall.ErrHistoryGone) {
-		f.noteCall(ctx, nil)
-		f.at = 0
+		f.recordCall(ctx, nil)
+		f.watchRevision = 0
 		return
 	}
-	f.noteCall(ctx, err)
+	f.recordCall(ctx, err)
 	if err != nil {
-		f.at = 0 // whatever was missed is read whole
+		f.watchRevision = 0 // a full read brings whatever was missed
 		f.pause.Wait(ctx)
 		return
 	}
 	f.pause.Reset()
-	if fresh && !began {
+	if fresh && !isFirst {
 		f.Read()
 	}
-	if f.gather {
-		retry.Sleep(ctx, gatherEvents)
-	} else if f.at == 0 || !f.read.Before(now) {
-		retry.Sleep(ctx, look) // a reading does not wait in the store, as a watch does
+	if f.hasEvents {
+		retry.Sleep(ctx, eventGatherDelay)
+	} else if f.watchRevision == 0 || !f.lastFullRead.Before(now) {
+		retry.Sleep(ctx, pollInterval) // unlike a watch, a full read does not wait in the store
 	}
 }
 
-// ask watches the targets, or reads all of them. It tells whether anything was newer
-// than what is known.
-func (f *targetsFollower) ask(ctx context.Context, begins bool) (fresh bool, err error) {
-	f.gather = false
-	if f.at > 0 && f.Rank() == 0 && clock.Since(f.read) < readAllEvery {
+// readOrWatch watches the targets or lists all of them, from a copy on the first call, and reports
+// whether the answer was newer than the known state.
+func (f *targetsFollower) readOrWatch(ctx context.Context, isFirst bool) (fresh bool, err error) {
+	f.hasEvents = false
+	if f.watchRevision > 0 && f.Rank() == 0 && clock.Since(f.lastFullRead) < fullReadInterval {
 		return f.watch(ctx)
 	}
-	r, err := f.readTargets(ctx, begins)
+	r, err := f.readTargets(ctx, isFirst)
 	if err != nil {
 		return false, err
 	}
-	if begins {
-		f.first = r.Began
+	if isFirst {
+		f.copyBegan = r.Began
 		return f.Learn(r, "store's copy"), nil
 	}
-	f.at, f.read = r.Revision, clock.Now()
+	f.watchRevision, f.lastFullRead = r.Revision, clock.Now()
 	return f.Learn(r, "store"), nil
 }
 
-// watch waits for changes.
+// watch waits up to readInterval for changes of the targets, applies them, and reports whether the
+// answer was newer than the known state.
 func (f *targetsFollower) watch(ctx context.Context) (fresh bool, err error) {
 	began := clock.Now()
-	events, at, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.at, readEvery)
+	events, revision, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.watchRevision, readInterval)
 	if err != nil {
 		return false, err
 	}
-	f.at = at
-	if len(events) == 0 && clock.Since(began) >= readEvery {
-		began = began.Add(readEvery) // the store waited before it said that there is nothing
+	f.watchRevision = revision
+	if len(events) == 0 && clock.Since(began) >= readInterval {
+		began = began.Add(readInterval) // the store waited that long and found no change
 	}
-	f.gather = len(events) > 0
-	return f.Follow(events, at, began), nil
+	f.hasEvents = len(events) > 0
+	return f.Follow(events, revision, began), nil
 }
 
-// awaitsNews tells whether a process that began with a copy leaves the store to
-// others for the moment.
-func (c *Catalog) awaitsNews(first, now time.Time) bool {
-	return c.Rank() == rankMost && now.Before(first.Add(staleMost+confirmWait))
+// awaitsUpdates reports whether a process that started with a copy still leaves it to its peers
+// to update it, rather than read the store.
+func (c *Catalog) awaitsUpdates(copyBegan, now time.Time) bool {
+	return c.Rank() == maxRank && now.Before(copyBegan.Add(maxCopyAge+confirmTimeout))
 }
 
-// readTargets reads the targets. A process that knows none begins with a copy of
-// some seconds ago: when all of a fleet start at once, each reads all pages.
-func (c *Catalog) readTargets(ctx context.Context, copied bool) (Reading, error) {
+// readTargets lists the targets. With stale set, as for a process that knows none, it reads a copy
+// that is up to maxCopyAge old: when a whole fleet starts at once, each process reads all pages.
+func (c *Catalog) readTargets(ctx context.Context, stale bool) (Reading, error) {
 	began := clock.Now()
 	list := c.store.Range
-	if copied {
+	if stale {
 		list = c.store.RangeStale
-		began = began.Add(-staleMost)
+		began = began.Add(-maxCopyAge)
 	}
-	items, at, err := list(ctx, c.platform.TargetPrefix())
-	return Reading{at, items, began}, err
+	items, revision, err := list(ctx, c.platform.TargetPrefix())
+	return Reading{revision, items, began}, err
 }
 
-// Learn takes in a reading of the targets. It tells whether the reading was newer.
+// Learn applies a reading of all targets, and reports whether it was newer than the known state.
 func (c *Catalog) Learn(r Reading, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.picture.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
+	if p := c.snapshot.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
 		return false
 	}
 	now := clock.Now()
-	restored := c.restored(r.Revision)
+	restored := c.isLaterEra(r.Revision)
 	if restored {
-		c.base = r.Revision
+		c.eraBaseRevision = r.Revision
 	}
 	listed := make(map[string]bool, len(r.Items))
 	for _, i := range r.Items {
-		c.take(i, from, now)
+		c.applyItem(i, from, now)
 		listed[i.Key] = true
 	}
-	c.miss(c.unlisted(listed, r.Revision, func(string) bool { return true }), r.Revision, restored, from, now)
-	if c.picture.Load() == nil {
-		c.log.Info("The targets are known.", "count", len(c.known), "revision", r.Revision, "from", from)
+	c.markMissing(c.unlisted(listed, r.Revision, func(string) bool { return true }), r.Revision, restored, from, now)
+	if c.snapshot.Load() == nil {
+		c.log.Info("targets loaded", "count", len(c.entriesByKey), "revision", r.Revision, "from", from)
 	}
 	c.publish(r.Revision, r.Began, now)
 	return true
 }
 
-// Follow takes in what a watch of the targets told, up to a revision. It tells whether
-// that was newer.
+// Follow applies the events of a watch of the targets up to a revision, and reports whether they
+// were newer than the known state.
 func (c *Catalog) Follow(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.picture.Load() == nil || c.older(revision, began) {
+	if c.snapshot.Load() == nil || c.isOlder(revision, began) {
 		return false
 	}
 	now := clock.Now()
-	last := map[string]hookhall.Item{} // a key may have changed twice
+	last := map[string]hookhall.Item{} // a key may have several events
 	for _, i := range events {
 		last[i.Key] = i
 	}
 	var lost []*entry
 	for key, i := range last {
-		if e := c.known[key]; i.Gone && e != nil && e.missing.IsZero() {
+		if e := c.entriesByKey[key]; i.Gone && e != nil && e.missingSince.IsZero() {
 			lost = append(lost, e)
 		} else if !i.Gone {
-			c.take(i, "store", now)
+			c.applyItem(i, "store", now)
 		}
 	}
-	c.miss(lost, revision, false, "store", now)
+	c.markMissing(lost, revision, false, "store", now)
 	c.publish(revision, began, now)
 	return true
 }
 
-// restored tells whether a revision is of a later era of the store than what is known. The
-// caller holds c.mu.
-func (c *Catalog) restored(revision hookhall.Revision) bool {
-	p := c.picture.Load()
+// isLaterEra reports whether a revision belongs to a later era of the store than the known state.
+// c.mu must be held.
+func (c *Catalog) isLaterEra(revision hookhall.Revision) bool {
+	p := c.snapshot.Load()
 	return p != nil && revision.Era() > p.Revision.Era()
 }
 
-// older tells whether what was read at a revision is no news.
-func (c *Catalog) older(revision hookhall.Revision, began time.Time) bool {
-	p := c.picture.Load()
+// isOlder reports whether the known state is at least as recent as a revision that was read in a
+// call that began at a given time.
+func (c *Catalog) isOlder(revision hookhall.Revision, began time.Time) bool {
+	p := c.snapshot.Load()
 	return p != nil && (revision < p.Revision || (revision == p.Revision && !began.After(p.Began)))
 }
 
-// publish makes the picture of what is known, as confirmed at a revision. The
-// caller holds c.mu.
+// publish stores a new snapshot of the known targets, as confirmed at a revision in a call that
+// began at a given time. c.mu must be held.
 func (c *Catalog) publish(revision hookhall.Revision, began, now time.Time) {
-	p := &Picture{Revision: revision, Began: began, Digest: c.buckets.whole()}
-	old := c.picture.Load()
-	if old == nil || c.lapsing(old.Began) {
+	p := &Picture{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
+	old := c.snapshot.Load()
+	if old == nil || c.hasLapsed(old.Began) {
 		c.markAllDirty()
 	}
 	if old != nil {
 		p.ByPool, p.Evacuated = old.ByPool, old.Evacuated
 	}
-	if len(c.dirty) > 0 {
-		c.remake(p, now)
+	if len(c.changesByPool) > 0 {
+		c.rebuild(p, now)
 	}
-	c.picture.Store(p)
+	c.snapshot.Store(p)
 }
--- /dev/null
+++ b/internal/coordination/catalog/updates.go
@@ -0,0 +1,205 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package catalog
+
+import (
+	"sort"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/hookhall/hookhall"
+	"github.com/hookhall/hookhall/internal/state/clock"
+)
+
+// changeResendTime is how long a change is repeated in updates, so that it is sent two or three
+// times. A process that has missed all of them repairs the buckets that differ.
+const changeResendTime = time.Second
+
+// Buckets is the number of buckets into which the targets are divided by the hash of their keys.
+// With 3,000 targets, a bucket has some 50, and its repair takes some 2 KB.
+const Buckets = 64
+
+// bucketOf returns the bucket of a key.
+func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
+
+// Digests has the digest of the listed targets of each bucket. Equal digests mean equal lists.
+type Digests [Buckets]uint64
+
+// combined returns the digest of all targets.
+func (d *Digests) combined() uint64 {
+	sum := uint64(0)
+	for _, s := range d {
+		sum ^= s
+	}
+	return sum
+}
+
+// News has the recent changes of the targets, for peers. A process that has all earlier changes
+// arrives at the same list, as the digest shows.
+type News struct {
+	Revision hookhall.Revision
+	Began    time.Time       // when the confirming reading began, by this process's monotonic clock
+	Digest   uint64          // of all targets
+	Changed  []hookhall.Item // targets that were listed or changed
+	Gone     []string        // keys that are no longer listed
+}
+
+// News returns the update to send to peers, with the changes of the last changeResendTime.
+func (c *Catalog) News(now time.Time) News {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.snapshot.Load()
+	if p == nil {
+		return News{}
+	}
+	n := News{Revision: p.Revision, Began: p.Began, Digest: p.Digest}
+	for key, e := range c.entriesByKey {
+		switch {
+		case now.Sub(e.changedAt) > changeResendTime:
+		case e.missingSince.IsZero():
+			n.Changed = append(n.Changed, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
+		default:
+			n.Gone = append(n.Gone, key)
+		}
+	}
+	sort.Slice(n.Changed, func(i, j int) bool { return n.Changed[i].Key < n.Changed[j].Key })
+	sort.Strings(n.Gone)
+	return n
+}
+
+// LearnNews applies an update of a peer. It reports whether the update was newer, and whether this
+// process lacks earlier changes, as a different digest shows. With such a gap the changes
+// are applied, but the snapshot keeps its revision and age until the gap is repaired.
+func (c *Catalog) LearnNews(n News, from string) (fresh, gap bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.snapshot.Load()
+	if p == nil || c.isOlder(n.Revision, n.Began) {
+		return false, false
+	}
+	now := clock.Now()
+	for _, i := range n.Changed {
+		c.applyItem(i, from, now)
+	}
+	var lost []*entry
+	for _, key := range n.Gone {
+		if e := c.entriesByKey[key]; e != nil && e.missingSince.IsZero() && e.revision <= n.Revision {
+			lost = append(lost, e)
+		}
+	}
+	c.markMissing(lost, n.Revision, c.isLaterEra(n.Revision), from, now)
+	if c.bucketDigests.combined() == n.Digest {
+		c.syncedRevision = n.Revision
+		c.publish(n.Revision, n.Began, now)
+		return true, false
+	}
+	c.publish(p.Revision, p.Began, now)
+	c.log.Info("update leaves a gap; repair required", "from", from, "revision", n.Revision, "have", p.Revision)
+	return true, true
+}
+
+// Digests returns the digests of all buckets.
+func (c *Catalog) Digests() Digests {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.bucketDigests
+}
+
+// Repair has a process's listed targets of the buckets in which a peer differs.
+type Repair struct {
+	Reading
+	Buckets []int
+	// Digest combines all buckets, including those that do not differ.
+	Digest uint64
+}
+
+// Differing returns the repair for a peer: the listed targets of the buckets in which the peer's
+// digests differ from those of this process.
+func (c *Catalog) Differing(theirs Digests) Repair {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.snapshot.Load()
+	if p == nil {
+		return Repair{}
+	}
+	r := Repair{Reading: Reading{Revision: p.Revision, Began: p.Began}, Digest: c.bucketDigests.combined()}
+	differs := [Buckets]bool{}
+	for b := range Buckets {
+		if c.bucketDigests[b] != theirs[b] {
+			differs[b] = true
+			r.Buckets = append(r.Buckets, b)
+		}
+	}
+	for key, e := range c.entriesByKey {
+		if e.missingSince.IsZero() && differs[bucketOf(key)] {
+			r.Items = append(r.Items, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
+		}
+	}
+	return r
+}
+
+// Reading returns all listed targets, as of the last reading or update.
+func (c *Catalog) Reading() Reading {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.snapshot.Load()
+	if p == nil {
+		return Reading{}
+	}
+	r := Reading{Revision: p.Revision, Began: p.Began}
+	for key, e := range c.entriesByKey {
+		if e.missingSince.IsZero() {
+			r.Items = append(r.Items, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
+		}
+	}
+	return r
+}
+
+// LearnRepair applies a repair from a peer, and reports whether the snapshot is now as recent as
+// the peer's, which requires that all buckets agree. Otherwise it keeps its revision and age.
+func (c *Catalog) LearnRepair(r Repair, from string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.snapshot.Load()
+	if p == nil || c.isOlder(r.Revision, r.Began) {
+		return false
+	}
+	now := clock.Now()
+	repaired := [Buckets]bool{}
+	for _, b := range r.Buckets {
+		if b < 0 || b >= Buckets {
+			return false
+		}
+		repaired[b] = true
+	}
+	listed := map[string]bool{}
+	for _, i := range r.Items {
+		c.applyItem(i, from, now)
+		listed[i.Key] = true
+	}
+	c.markMissing(c.unlisted(listed, r.Revision, func(key string) bool { return repaired[bucketOf(key)] }), r.Revision, c.isLaterEra(r.Revision), from, now)
+	if c.bucketDigests.combined() != r.Digest {
+		c.publish(p.Revision, p.Began, now)
+		return false
+	}
+	c.log.Info("gap repaired", "from", from, "buckets", len(r.Buckets), "targets", len(r.Items), "revision", r.Revision)
+	c.syncedRevision = r.Revision
+	c.publish(r.Revision, r.Began, now)
+	return true
+}
+
+// unlisted returns the entries with matching keys that are listed here and were at a revision, but
+// are not in a reading of that revision. c.mu must be held.
+func (c *Catalog) unlisted(listed map[string]bool, revision hookhall.Revision, matches func(key string) bool) []*entry {
+	var lost []*entry
+	for key, e := range c.entriesByKey {
+		if !listed[key] && e.missingSince.IsZero() && e.revision <= revision && matches(key) {
+			lost = append(lost, e)
+		}
+	}
+	return lost
+}
+
+// hasLapsed reports whether targets were still usable as lapsed at a given time. c.mu must be held.
+func (c *Catalog) hasLapsed(at time.Time) bool { return c.lastLapseEnd.After(at) }
