--- a/internal/state/batch/canary.go
+++ b/internal/state/batch/canary.go
@@ -3,36 +3,37 @@
 
 package batch
 
-// trial keeps targets of a version that may be bad to a share of the calls. It begins
-// without any, so that a queue that is lost with its process leaves its successor nothing
-// that could be spent twice.
-type trial struct {
-	version string // "" for none
-	share   float64
-	calls   int // in all, since the trial began
-	tried   int // of them, at targets of the version
+// canary limits the targets of a software version that is being rolled out to a share of
+// the calls. All counts start at 0, so the queue of a new process can't spend a share that
+// the lost queue of its predecessor had already used.
+type canary struct {
+	version     string  // the version limited, "" for none
+	share       float64 // 0 to 1
+	totalCalls  int     // calls to all targets since the version was set
+	canaryCalls int     // those of them to targets of the version
 }
 
-// Try gives targets of a version a share of the calls from now on; "" ends that.
+// Try limits the targets of a version to a share (0 to 1) of the calls from now on; the
+// version "" ends the limit. It does nothing if the version is set already.
 func (q *Queue) Try(version string, share float64) {
-	if q.trial.version != version {
-		q.trial = trial{version: version, share: share}
+	if q.canary.version != version {
+		q.canary = canary{version: version, share: share}
 	}
 }
 
-// has tells whether a worker is on trial.
-func (t *trial) has(s *worker) bool { return t.version != "" && s.Target.Version == t.version }
+// includes reports whether w runs the limited version.
+func (c *canary) includes(w *worker) bool { return c.version != "" && w.Target.Version == c.version }
 
-// may tells whether the next call may go to one.
-func (t *trial) may() bool { return float64(t.tried+1) <= t.share*float64(t.calls+1) }
+// allows reports whether the next call may go to a target of the limited version.
+func (c *canary) allows() bool { return float64(c.canaryCalls+1) <= c.share*float64(c.totalCalls+1) }
 
-// count takes in a call.
-func (t *trial) count(s *worker) {
-	if t.version == "" {
+// countCall counts a call to w.
+func (c *canary) countCall(w *worker) {
+	if c.version == "" {
 		return
 	}
-	t.calls++
-	if t.has(s) {
-		t.tried++
+	c.totalCalls++
+	if c.includes(w) {
+		c.canaryCalls++
 	}
 }
--- a/internal/state/batch/doc.go
+++ b/internal/state/batch/doc.go
@@ -1,29 +1,29 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package batch is the queue of one stage pool: which pieces go into the next
-// call, and to which target.
+// Package batch implements the queue of one stage pool. It chooses which pieces go
+// into the next call, and to which target.
 //
 // # Model
 //
-// A Job is one stage of one request with its pieces. A Queue holds the jobs
-// that wait for one service and a worker for each of the pool's targets: the
-// calls at work there, the bytes that results take up, and the time until
-// which it is left alone. Next takes the most urgent pieces that a target has
-// room for; Done takes in the answers. A pool works through calls whose cost is
-// mostly fixed, so that a call should be full, and a target should never wait
-// while anything is queued.
+// A Job is one stage of one request, with its pieces. A Queue holds the jobs that
+// wait for one service, and a worker for each of the pool's targets: its calls in
+// progress, the bytes that its results occupy, and the time until which it gets no
+// calls. Next selects the most urgent pieces that fit into a target's memory; Done
+// records the results of a call. The cost of a call is mostly fixed, so calls should be
+// full, and no target should be idle while pieces wait.
 //
-// The order: jobs that can still make their aim go before those that can't;
-// among the first, by the latest start that makes the aim, moved by the
-// urgency; among the others by urgency, then by deadline. So a job that has
-// missed its aim takes only what the others leave, and is still served.
+// Jobs that can still meet their latency target come before those that can't. The
+// former are ordered by their latest start, shifted by the urgency of the request; the
+// latter by urgency, then by deadline. So a job that has missed its latency target uses
+// only the remaining capacity, and is still served.
 //
 // # Invariants
 //
-//   - A piece is in at most one call at a time, unless a call takes much longer
-//     than it should: then others are asked as well, and the first result counts.
-//   - The bytes counted at a worker are those of calls at work there and of
-//     results that nobody has released, until the pool drops them itself.
-//   - A job is finished once: with all its handles, or with one reason.
+//   - A piece is in at most one call at a time, unless a call takes much longer than
+//     expected: then the piece is offered to other targets as well, and the first
+//     result counts.
+//   - The bytes counted for a worker are those of its calls in progress and of the
+//     results that have been neither released nor dropped by the pool on expiry.
+//   - A job finishes once: with all its handles, or with one failure reason.
 package batch
--- a/internal/state/batch/fill.go
+++ b/internal/state/batch/fill.go
@@ -5,56 +5,58 @@
 
 import "time"
 
-// openWorkers is a heap of the workers that may get a call, the best first: quick ones,
-// those in the hall of the most urgent job, those with more room. Few of many get one,
-// so that they are not sorted.
-type openWorkers struct {
-	list  []*worker
-	first *Job // the most urgent
-	trial *trial
+// availableWorkers is a heap of the workers that may get a call, the preferred one first:
+// canary targets, then targets that are not slow, those in the hall of the most urgent
+// job, and those that hold fewer bytes. A heap is cheaper than sorting, since only a few
+// of many workers get a call.
+type availableWorkers struct {
+	list       []*worker
+	mostUrgent *Job // nil if no pieces wait
+	canary     *canary
 }
 
-func (o *openWorkers) Len() int      { return len(o.list) }
-func (o *openWorkers) Swap(i, j int) { o.list[i], o.list[j] = o.list[j], o.list[i] }
-func (o *openWorkers) Push(s any)    { o.list = append(o.list, s.(*worker)) }
+func (o *availableWorkers) Len() int      { return len(o.list) }
+func (o *availableWorkers) Swap(i, j int) { o.list[i], o.list[j] = o.list[j], o.list[i] }
+func (o *availableWorkers) Push(w any)    { o.list = append(o.list, w.(*worker)) }
 
-func (o *openWorkers) Less(i, j int) bool {
+func (o *availableWorkers) Less(i, j int) bool {
 	a, b := o.list[i], o.list[j]
-	if at, bt := o.trial.has(a), o.trial.has(b); at != bt {
-		return at // its turn has come
+	if aCanary, bCanary := o.canary.includes(a), o.canary.includes(b); aCanary != bCanary {
+		return aCanary // the canary is below its share of calls
 	}
-	return better(a, b, o.first)
+	return isPreferred(a, b, o.mostUrgent)
 }
 
-func (o *openWorkers) Pop() any {
+func (o *availableWorkers) Pop() any {
 	last := o.list[len(o.list)-1]
 	o.list = o.list[:len(o.list)-1]
 	return last
 }
 
-// open finds the workers that may get a call.
-func (q *Queue) open(now time.Time) *openWorkers {
-	o := &openWorkers{first: q.first(), trial: &q.trial}
-	for _, s := range q.list {
-		if s.open(q.spec.Slots, now) && (q.trial.may() || !q.trial.has(s)) && (q.admits == nil || q.admits(s.Target)) {
-			q.expire(s, now)
-			o.list = append(o.list, s)
+// availableWorkers returns the workers that may get a call at now, and drops their
+// expired results. The heap is not yet initialized.
+func (q *Queue) availableWorkers(now time.Time) *availableWorkers {
+	o := &availableWorkers{mostUrgent: q.mostUrgentJob(), canary: &q.canary}
+	for _, w := range q.workerList {
+		if w.isAvailable(q.spec.Slots, now) && (q.canary.allows() || !q.canary.includes(w)) && (q.admits == nil || q.admits(w.Target)) {
+			q.expireResults(w, now)
+			o.list = append(o.list, w)
 		}
 	}
 	return o
 }
 
-// expire drops what a pool has dropped itself.
-func (q *Queue) expire(s *worker, now time.Time) {
-	for h, r := range s.held {
+// expireResults removes the results of w that the pool itself has dropped by now.
+func (q *Queue) expireResults(w *worker, now time.Time) {
+	for h, r := range w.results {
 		if now.After(r.expiry) {
-			q.release(h)
+			q.releaseResult(h)
 		}
 	}
 }
 
-// first is the most urgent job with pieces that wait.
-func (q *Queue) first() *Job {
+// mostUrgentJob returns the first job with waiting pieces, or nil if there is none.
+func (q *Queue) mostUrgentJob() *Job {
 	for _, j := range q.jobs {
 		if len(j.waiting) > 0 {
 			return j
@@ -63,14 +65,15 @@
 	return nil
 }
 
-func better(a, b *worker, j *Job) bool {
-	as, bs := a.pace > slowPace, b.pace > slowPace
-	if as != bs {
-		return bs
+// isPreferred reports whether a should get pieces of j before b.
+func isPreferred(a, b *worker, j *Job) bool {
+	aSlow, bSlow := a.slowdown > minSlow, b.slowdown > minSlow
+	if aSlow != bSlow {
+		return bSlow
 	}
-	an, bn := a.Target.Hall == j.Hall, b.Target.Hall == j.Hall
-	if an != bn {
-		return an
+	aLocal, bLocal := a.Target.Hall == j.Hall, b.Target.Hall == j.Hall
+	if aLocal != bLocal {
+		return aLocal
 	}
 	if a.bytes != b.bytes {
 		return a.bytes < b.bytes
@@ -78,98 +81,100 @@
 	return a.Target.ID < b.Target.ID
 }
 
-// fill takes pieces for one call to s, nil when nothing fits. Jobs that fit
-// whole go first: the results of a part of a job take up room until the rest is
-// made, too. For the same reason no job is begun with what little room is left.
-func (q *Queue) fill(s *worker, now time.Time) *Batch {
-	b := &Batch{Target: s.Target, began: now}
-	most := max(q.spec.Batch, 1)
-	for _, whole := range []bool{true, false} {
+// fillBatch selects the pieces of one call to w. It returns nil if nothing fits. Jobs
+// whose waiting pieces all fit into the call go first, since the results of an incomplete
+// job occupy memory until the others are made as well. For the same reason no job is
+// started in memory that is too small for it.
+func (q *Queue) fillBatch(w *worker, now time.Time) *Batch {
+	b := &Batch{Target: w.Target, began: now}
+	maxPieces := max(q.spec.Batch, 1)
+	for _, onlyComplete := range []bool{true, false} {
 		for _, j := range q.jobs {
-			places := most - len(b.Pieces)
-			if places == 0 {
+			freePieces := maxPieces - len(b.Pieces)
+			if freePieces == 0 {
 				break
 			}
 			if len(j.waiting) == 0 {
 				continue
 			}
-			if whole && len(j.waiting) > places || !b.bears(j) || !q.suits(s, j, now) {
+			if onlyComplete && len(j.waiting) > freePieces || !b.accepts(j) || !q.isSuitable(w, j, now) {
 				continue
 			}
-			if !q.roomy(s, j, places) {
-				q.short = now
+			if !q.hasMemoryFor(w, j, freePieces) {
+				q.memoryShortAt = now
 				continue
 			}
-			q.takePieces(s, j, b, most, now)
+			q.takePieces(w, j, b, maxPieces, now)
 		}
 	}
 	if len(b.Pieces) == 0 {
 		return nil
 	}
 	b.Expected = q.spec.CallTime + time.Duration(len(b.Pieces))*q.spec.ItemTime
-	b.Patience = s.patience(b.Expected)
-	b.ReadBy = max(time.Duration(readShare*float64(q.spec.CallTime)), readLeast)
-	s.busy++
+	b.Patience = w.overdueAfter(b.Expected)
+	b.ReadBy = max(time.Duration(inputsReadShare*float64(q.spec.CallTime)), minInputsReadDelay)
+	w.activeCalls++
 	return b
 }
 
-// bears tells whether pieces of a job may go into a call beside those that are in it.
-func (b *Batch) bears(j *Job) bool {
+// accepts reports whether pieces of j may share the call with those that are in it.
+func (b *Batch) accepts(j *Job) bool {
 	if len(b.jobs) == 0 || b.jobs[0] == j {
 		return true
 	}
-	return !j.alone && !b.jobs[0].alone
+	return !j.isolated && !b.jobs[0].isolated
 }
 
-// roomy tells whether the target has room for all pieces of a job that go into a
-// call with so many free places. Jobs that have begun, or that no target's room
-// holds whole, take what there is.
-func (q *Queue) roomy(s *worker, j *Job, places int) bool {
-	whole := float64(len(j.waiting)) * j.Bytes
-	if q.spec.Room <= 0 || j.started() || whole > q.spec.Room {
+// hasMemoryFor reports whether w has memory for all waiting pieces of j that go into a call
+// with freePieces unused slots for pieces. It returns true for jobs that have started, and
+// for those too large for any target: they use whatever memory there is.
+func (q *Queue) hasMemoryFor(w *worker, j *Job, freePieces int) bool {
+	allBytes := float64(len(j.waiting)) * j.Bytes
+	if q.spec.Room <= 0 || j.isStarted() || allBytes > q.spec.Room {
 		return true
 	}
-	return s.bytes+float64(min(len(j.waiting), places))*j.Bytes <= q.spec.Room
+	return w.bytes+float64(min(len(j.waiting), freePieces))*j.Bytes <= q.spec.Room
 }
 
-// suits tells whether a job may go to a target: one that can still make its aim
-// does not go where the target's pace would cost it, and one whose data lies in
-// another hall waits for a target there while it has the time.
-func (q *Queue) suits(s *worker, j *Job, now time.Time) bool {
-	if j.refusedBy(s.Target) {
+// isSuitable reports whether j may go to w. A job that can still meet its latency target
+// does not go to a target too slow for that. A job whose data is in another hall waits for
+// a healthy target there while it has the time.
+func (q *Queue) isSuitable(w *worker, j *Job, now time.Time) bool {
+	if j.refusedBy(w.Target) {
 		return false
 	}
-	call := q.spec.CallTime + time.Duration(q.spec.Batch)*q.spec.ItemTime
-	if j.Cross >= crossLeast && j.Hall != s.Target.Hall && q.working[j.Hall] > 0 && !j.pressed(call, now) {
+	fullCall := q.spec.CallTime + time.Duration(q.spec.Batch)*q.spec.ItemTime
+	if j.Cross >= minCrossHallBytes && j.Hall != w.Target.Hall && q.healthyByHall[j.Hall] > 0 && !j.hasNoSlack(fullCall, now) {
 		return false
 	}
-	if s.pace < slowPace || j.late(now) {
+	if w.slowdown < minSlow || j.isLate(now) {
 		return true
 	}
-	return !now.Add(time.Duration((s.pace - 1) * float64(call))).After(j.Due)
+	return !now.Add(time.Duration((w.slowdown - 1) * float64(fullCall))).After(j.Due)
 }
 
-// takePieces moves pieces of j into b while there is room.
-func (q *Queue) takePieces(s *worker, j *Job, b *Batch, most int, now time.Time) {
-	for len(j.waiting) > 0 && len(b.Pieces) < most {
-		if q.spec.Room > 0 && s.bytes+j.Bytes > q.spec.Room {
-			q.short = now
+// takePieces moves pieces of j into b until b has maxPieces of them or w has no memory left.
+func (q *Queue) takePieces(w *worker, j *Job, b *Batch, maxPieces int, now time.Time) {
+	for len(j.waiting) > 0 && len(b.Pieces) < maxPieces {
+		if q.spec.Room > 0 && w.bytes+j.Bytes > q.spec.Room {
+			q.memoryShortAt = now
 			return
 		}
 		i := j.waiting[0]
 		j.waiting = j.waiting[1:]
 		if j.Hall == "" {
-			j.Hall = s.Target.Hall
+			j.Hall = w.Target.Hall
 		}
-		q.charge(s, j.Bytes)
+		q.addBytes(w, j.Bytes)
 		b.Pieces = append(b.Pieces, j.piece(i, now))
 		b.jobs = append(b.jobs, j)
-		j.calls[i]++
+		j.activeCalls[i]++
 	}
 }
 
-// Crowded tells whether room holds work back: some found none a moment ago, at a
-// target with a free place, and what waits would fill a call.
+// Crowded reports whether targets are short of memory for results: less than a call's
+// fixed time ago, pieces did not fit into the memory of a target with a free call slot,
+// and enough pieces wait to fill a call.
 func (q *Queue) Crowded(now time.Time) bool {
-	return !q.short.IsZero() && now.Sub(q.short) < q.spec.CallTime && q.Waiting() >= q.spec.Batch
+	return !q.memoryShortAt.IsZero() && now.Sub(q.memoryShortAt) < q.spec.CallTime && q.Waiting() >= q.spec.Batch
 }
--- a/internal/state/batch/incarnation_test.go
+++ b/internal/state/batch/incarnation_test.go
@@ -9,15 +9,18 @@
 	"github.com/hookhall/hookhall"
 )
 
-// TestWorkerOfLife: what the queue believes of a target ends with its life.
-func TestWorkerOfLife(t *testing.T) {
-	for name, before := range map[string]func(q *Queue, b *Batch){
-		"results that fill its room": func(q *Queue, b *Batch) {
-			q.Done(b, answer(b), at(100))
-			j, _ := job("more", 4, 500, 5000)
+// TestWorkerPerIncarnation guards against state of a target that outlives its process: a
+// restarted target has free memory and no calls in progress, so results, failures and
+// calls of its previous incarnation must not keep calls from it. The start time of the
+// new incarnation is the earlier one here, as after a clock that was set back.
+func TestWorkerPerIncarnation(t *testing.T) {
+	for name, prepare := range map[string]func(q *Queue, b *Batch){
+		"results that fill its memory": func(q *Queue, b *Batch) {
+			q.Done(b, successResults(b), at(100))
+			j, _ := newJob("more", 4, 500, 5000)
 			q.Add(j)
 			for _, b := range q.Next(at(100)) {
-				q.Done(b, answer(b), at(200))
+				q.Done(b, successResults(b), at(200))
 			}
 		},
 		"a call that failed": func(q *Queue, b *Batch) {
@@ -26,35 +29,35 @@
 				q.Drop(j)
 			}
 		},
-		"no room": func(q *Queue, b *Batch) {
-			q.Done(b, fail(b, hookhall.PieceNoRoom), at(199))
+		"no memory": func(q *Queue, b *Batch) {
+			q.Done(b, failureResults(b, hookhall.PieceNoRoom), at(199))
 			for _, j := range b.jobs {
 				q.Drop(j)
 			}
 		},
-		"a call at work": func(q *Queue, b *Batch) {},
+		"a call in progress": func(q *Queue, b *Batch) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q := NewQueue()
 			list := targets("a")
 			list[0].Born = 5
 			q.Configure(spec, list)
-			j, _ := job("first", 4, 500, 5000)
+			j, _ := newJob("first", 4, 500, 5000)
 			q.Add(j)
 			first := q.Next(at(0))
 			if len(first) != 1 {
 				t.Fatalf("%d calls", len(first))
 			}
-			before(q, first[0])
-			next, _ := job("next", 4, 500, 5000)
+			prepare(q, first[0])
+			next, _ := newJob("next", 4, 500, 5000)
 			q.Add(next)
 			if calls := q.Next(at(200)); len(calls) != 0 {
-				t.Fatalf("in the same life, %d calls are made", len(calls))
+				t.Fatalf("%d calls to the same incarnation", len(calls))
 			}
-			list[0].Born = 3 // its clock was set back
+			list[0].Born = 3 // the target's clock was set back
 			q.Configure(spec, list)
 			if calls := q.Next(at(200)); len(calls) != 1 || calls[0].Pieces[0].Call != "next" {
-				t.Errorf("in another life, %d calls are made", len(calls))
+				t.Errorf("%d calls to the new incarnation", len(calls))
 			}
 		})
 	}
--- a/internal/state/batch/job.go
+++ b/internal/state/batch/job.go
@@ -10,133 +10,136 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-// urgencyStep is how much earlier one rank of urgency puts a job's latest start:
-// about half a call. 400 ms measured no better.
+// urgencyStep is how much earlier one level of urgency puts a job's latest start: about
+// half a call. A step of 400 ms brought no better results.
 const urgencyStep = 150 * time.Millisecond
 
-// Outcome is how a job ended.
+// Outcome is the result of a job.
 type Outcome struct {
-	Handles []string // one for each piece, nil on failure
-	Reason  hookhall.PieceFailure
+	Handles []string              // one per piece in the order of the pieces, nil on failure
+	Reason  hookhall.PieceFailure // "" on success
 }
 
-// Request tells whose work a job is.
+// Request identifies the request that a job belongs to: its content and client account.
 type Request struct {
 	Content crashes.Digest
 	Account string
 }
 
-// Job is one stage of one request.
+// Job is one stage of one request. Its exported fields are set before Queue.Add and not
+// changed by the caller afterwards.
 type Job struct {
-	Call   string
-	Stage  int
-	Count  int
-	Key    string
-	Inputs []string
+	Call   string   // the request's id
+	Stage  int      // the index of the stage in the request
+	Count  int      // the number of pieces
+	Key    string   // for stages without inputs
+	Inputs []string // handles, for stages with inputs
 	Request
-	// Bytes is roughly the size of one result.
+	// Bytes is the approximate size of one result.
 	Bytes float64
-	// Due is the latest start that makes the request's aim. End is when the
-	// results have to be there for the request to be served at all.
+	// Due is the latest start that meets the request's latency target. End is the deadline:
+	// results that come later are useless.
 	Due time.Time
 	End time.Time
-	// Urgency ranks the request, lower first.
+	// Urgency ranks the request; lower values go first.
 	Urgency int
-	// Hall is where the job's data lies or will be read, "" when any will do, and
-	// Cross how many bytes go between halls when it is made elsewhere. Without a
-	// hall, the job's first pieces bind it to theirs.
+	// Hall is where the job's data is or will be read; "" means any. Cross is how many bytes
+	// cross halls if the job runs in another one. If Hall is empty, the queue sets it to the
+	// hall of the first target that gets pieces of the job.
 	Hall  string
 	Cross float64
-	// Refused tells whether the job may not be made at a target; nil when nobody knows
-	// anything against it. It must not block nor call the queue.
+	// Refused reports whether the job must not run on a target; nil means that none refuses
+	// it. It must not block or call the queue.
 	Refused func(t hookhall.Target) bool
-	// Finish is called once, by whoever holds the queue's lock: it must not
-	// block nor call the queue.
+	// Finish is called exactly once unless the job is dropped, by the goroutine that holds the
+	// lock of the queue. It must not block or call the queue.
 	Finish func(Outcome)
-	// InputsRead is called once, when calls that have read the inputs are at work
-	// on all pieces: from then on the inputs are needed only if a piece fails. It
-	// is nil when nobody asks, and must not block nor call the queue.
+	// InputsRead is called at most once, when for every piece a call in progress has read the
+	// inputs: from then on they are needed only if a piece fails. It may be nil, and must not
+	// block or call the queue.
 	InputsRead func()
 
-	handles  []string
-	waiting  []int // indexes of pieces that are in no call
-	left     int   // pieces without a handle
-	failures int
-	ended    bool
-	read     []bool // pieces that a call has read the inputs of
-	unread   int    // pieces that none has
-	told     bool   // InputsRead was called
-	calls    []int  // calls in progress by piece
-	// alone is set once a target ended that made pieces of the job and of others: its
-	// next calls have no pieces but its own, so that the others are made, and their
-	// requests cleared, while the one that ends targets pays alone.
-	alone bool
+	handles            []string
+	waiting            []int // indexes of pieces that are in no call
+	unfinishedCount    int   // pieces without a handle
+	failures           int
+	finished           bool
+	inputsReadByPiece  []bool // whether a call has read the inputs of a piece
+	unreadCount        int    // pieces whose inputs no call has read
+	inputsReadReported bool   // InputsRead was called
+	activeCalls        []int  // calls in progress by piece
+	// isolated is set once a target crashed while it made pieces of this job. Its next
+	// calls contain no pieces of other jobs, so that those are served, and their request
+	// contents cleared, while only the content that causes crashes accumulates them.
+	isolated bool
 }
 
-// crossLeast is the number of bytes between halls from which it is worth waiting
-// for the right hall: half a result of the largest kind that operators described.
-const crossLeast = 500e3
+// minCrossHallBytes is the number of bytes between halls from which a job waits for a
+// target in the right hall: half a result of the largest kind that operators described.
+const minCrossHallBytes = 500e3
 
-// mostFailures is how many pieces of a job may fail, repeats included, before the
-// job fails: more than chance brings at targets that fail one piece in a hundred.
-const mostFailures = 24
+// maxPieceFailures is how many pieces of a job may fail, retries included, before the job
+// fails: more than occur by chance on targets that fail 1 in 100 pieces.
+const maxPieceFailures = 24
 
+// prepare initializes the state of the pieces; all of them wait.
 func (j *Job) prepare() {
 	j.handles = make([]string, j.Count)
-	j.left = j.Count
-	j.read = make([]bool, j.Count)
-	j.unread = j.Count
-	j.calls = make([]int, j.Count)
+	j.unfinishedCount = j.Count
+	j.inputsReadByPiece = make([]bool, j.Count)
+	j.unreadCount = j.Count
+	j.activeCalls = make([]int, j.Count)
 	for i := range j.Count {
 		j.waiting = append(j.waiting, i)
 	}
 }
 
-// refusedBy tells whether the job may not be made at a target.
+// refusedBy reports whether the job must not run on t.
 func (j *Job) refusedBy(t hookhall.Target) bool { return j.Refused != nil && j.Refused(t) }
 
-// late tells whether the aim is out of reach.
-func (j *Job) late(now time.Time) bool { return now.After(j.Due) }
+// isLate reports whether the job can no longer meet its latency target.
+func (j *Job) isLate(now time.Time) bool { return now.After(j.Due) }
 
-// started tells whether some results are there already; they take up room until
-// the others are, too.
-func (j *Job) started() bool { return j.left < j.Count }
+// isStarted reports whether the job has some results. They occupy memory until the others
+// are made as well.
+func (j *Job) isStarted() bool { return j.unfinishedCount < j.Count }
 
-// before orders jobs for the next call.
+// before reports whether j goes before o into the next call.
 func (j *Job) before(o *Job, now time.Time) bool {
-	if j.started() != o.started() {
-		return j.started()
+	if j.isStarted() != o.isStarted() {
+		return j.isStarted()
 	}
-	jl, ol := j.late(now), o.late(now)
-	if jl != ol {
-		return ol
+	jLate, oLate := j.isLate(now), o.isLate(now)
+	if jLate != oLate {
+		return oLate
 	}
-	if jl {
+	if jLate {
 		if j.Urgency != o.Urgency {
 			return j.Urgency < o.Urgency
 		}
 		return j.End.Before(o.End)
 	}
-	js := j.Due.Add(time.Duration(j.Urgency) * urgencyStep)
-	os := o.Due.Add(time.Duration(o.Urgency) * urgencyStep)
-	return js.Before(os)
+	jStart := j.Due.Add(time.Duration(j.Urgency) * urgencyStep)
+	oStart := o.Due.Add(time.Duration(o.Urgency) * urgencyStep)
+	return jStart.Before(oStart)
 }
 
-// inputsRead takes in that a call has read a piece's inputs.
-func (j *Job) inputsRead(index int) {
-	if !j.read[index] {
-		j.read[index] = true
-		j.unread--
+// markInputsRead records that a call has read the inputs of the piece at index, and calls
+// InputsRead once this holds for all pieces.
+func (j *Job) markInputsRead(index int) {
+	if !j.inputsReadByPiece[index] {
+		j.inputsReadByPiece[index] = true
+		j.unreadCount--
 	}
-	if j.InputsRead == nil || j.told || j.ended || j.unread > 0 {
+	if j.InputsRead == nil || j.inputsReadReported || j.finished || j.unreadCount > 0 {
 		return
 	}
-	j.told = true
+	j.inputsReadReported = true
 	j.InputsRead()
 }
 
-// drop takes a piece off those that wait.
-func (j *Job) drop(index int) {
+// removeWaiting removes a piece from the waiting ones.
+func (j *Job) removeWaiting(index int) {
 	for k, i := range j.waiting {
 		if i == index {
 			j.waiting = append(j.waiting[:k], j.waiting[k+1:]...)
@@ -145,25 +148,28 @@
 	}
 }
 
-// pressed tells whether a job must be made wherever there is a place: waiting for
-// one more call would cost its aim, or, once that is missed, its deadline.
-func (j *Job) pressed(call time.Duration, now time.Time) bool {
-	if j.late(now) {
+// hasNoSlack reports whether the job must run on any target with a free slot: waiting
+// for the duration of one more call would miss its latency target or, if that is missed
+// already, its deadline.
+func (j *Job) hasNoSlack(call time.Duration, now time.Time) bool {
+	if j.isLate(now) {
 		return now.Add(2 * call).After(j.End)
 	}
 	return now.Add(call).After(j.Due)
 }
 
+// piece returns the piece at index i as sent to a target at now.
 func (j *Job) piece(i int, now time.Time) hookhall.Piece {
 	return hookhall.Piece{
 		Call: j.Call, Stage: j.Stage, Index: i, Key: j.Key, Inputs: j.Inputs, Left: j.End.Sub(now),
 	}
 }
 
-func (j *Job) end(o Outcome) {
-	if j.ended {
+// finish calls Finish with o unless the job is finished already.
+func (j *Job) finish(o Outcome) {
+	if j.finished {
 		return
 	}
-	j.ended = true
+	j.finished = true
 	j.Finish(o)
 }
--- a/internal/state/batch/queue.go
+++ b/internal/state/batch/queue.go
@@ -12,24 +12,25 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Batch is one call to make.
+// Batch is one call to make to a target.
 type Batch struct {
 	Target hookhall.Target
 	Pieces []hookhall.Piece
-	// Expected is how long the call should take.
+	// Expected is the expected duration of the call.
 	Expected time.Duration
-	// Patience is how long the call may take before Overdue should be called.
+	// Patience is the stall timeout: how long after the start of the call Overdue should be
+	// called.
 	Patience time.Duration
-	// ReadBy is how long after its start the target has read all inputs.
-	ReadBy  time.Duration
-	jobs    []*Job
-	began   time.Time
-	done    bool
-	overdue bool
-	read    bool // InputsRead was called
+	// ReadBy is how long after the start of the call the target has read all inputs.
+	ReadBy     time.Duration
+	jobs       []*Job // the job of each piece, in the order of Pieces
+	began      time.Time
+	done       bool // the call has ended
+	overdue    bool // its pieces wait for another call as well
+	inputsRead bool // Queue.InputsRead was applied
 }
 
-// Requests are those whose pieces the call has, each once.
+// Requests returns the requests that the pieces of the call belong to, without duplicates.
 func (b *Batch) Requests() []Request {
 	var list []Request
 	for _, j := range b.jobs {
@@ -40,93 +41,96 @@
 	return list
 }
 
-// Queue is the work that waits for one pool. It is not safe for concurrent use.
+// Queue holds the jobs of one pool that are not finished. It is not safe for concurrent
+// use; the caller serializes all calls.
 type Queue struct {
 	spec    hookhall.PoolSpec
 	jobs    []*Job
 	workers map[hookhall.Life]*worker
-	// list has the workers in any order: all of them are looked at for each call, and a
-	// map takes several times as long.
-	list []*worker
-	// holders has the worker of each result that nobody has released.
-	holders map[string]*worker
-	// working counts the targets that work, by hall.
-	working map[string]int
-	bytes   float64 // those of all workers
-	trial   trial
-	// admits reports whether a target accepts calls now; nil if all do.
-	admits func(t hookhall.Target) bool
-	short  time.Time // when work last found no room at a target with a free place
-	// unsure is until when targets may hold results of another, lost queue: one
-	// reported no room where this queue's account has some.
-	unsure time.Time
-}
-
-// NewQueue makes an empty queue.
+	// workerList holds the values of workers in any order. Each call iterates over all of
+	// them, which takes several times as long with a map.
+	workerList []*worker
+	// workersByHandle holds the worker of each result that is neither released nor expired.
+	workersByHandle map[string]*worker
+	// healthyByHall counts the healthy targets by hall.
+	healthyByHall map[string]int
+	bytes         float64 // sum over all workers
+	canary        canary
+	// admits reports whether a target accepts calls now; nil means that all do.
+	admits        func(t hookhall.Target) bool
+	memoryShortAt time.Time // when pieces last did not fit into the memory of a target with a free call slot
+	// unaccountedUntil is the time until which targets may hold results that this queue
+	// does not know, from an earlier queue of the pool that was lost: a target reported no
+	// memory where the queue counted some as free.
+	unaccountedUntil time.Time
+}
+
+// NewQueue returns an empty queue. Configure must be called before Next.
 func NewQueue() *Queue {
-	return &Queue{workers: map[hookhall.Life]*worker{}, holders: map[string]*worker{}, working: map[string]int{}}
+	return &Queue{workers: map[hookhall.Life]*worker{}, workersByHandle: map[string]*worker{}, healthyByHall: map[string]int{}}
 }
 
-// Configure takes in what the operators say of the pool, and which targets may
-// get work. Targets that are not named get none, and their results are
-// forgotten.
+// Configure sets the operators' description of the pool and the targets that may get
+// calls. Targets that are not listed get none; the queue forgets their results once their
+// calls have ended.
 func (q *Queue) Configure(spec hookhall.PoolSpec, targets []hookhall.Target) {
 	q.spec = spec
 	current := map[hookhall.Life]bool{}
 	for _, t := range targets {
 		current[t.Life()] = true
-		s := q.workers[t.Life()]
-		if s == nil {
-			s = newWorker(t)
-			q.workers[t.Life()] = s
+		w := q.workers[t.Life()]
+		if w == nil {
+			w = newWorker(t)
+			q.workers[t.Life()] = w
 		}
-		s.Target = t
+		w.Target = t
 	}
-	q.list = q.list[:0]
-	clear(q.working)
-	for l, s := range q.workers {
-		if !current[l] && s.busy == 0 {
-			q.forget(l, s)
+	q.workerList = q.workerList[:0]
+	clear(q.healthyByHall)
+	for l, w := range q.workers {
+		if !current[l] && w.activeCalls == 0 {
+			q.removeWorker(l, w)
 			continue
 		}
-		if s.gone = !current[l]; s.gone {
-			s.Target.Leaving = true
+		if w.removed = !current[l]; w.removed {
+			w.Target.Leaving = true
 		}
-		q.list = append(q.list, s)
-		s.counted = false
-		q.count(s)
+		q.workerList = append(q.workerList, w)
+		w.countedHealthy = false
+		q.updateHealthy(w)
 	}
 }
 
-// Admit sets which targets accept calls now. The others keep their results.
+// Admit sets the function that reports which targets accept calls now; nil means all. The
+// other targets keep their results.
 func (q *Queue) Admit(admits func(t hookhall.Target) bool) { q.admits = admits }
 
-// forget drops what is known of a target that is gone, its results included.
-func (q *Queue) forget(l hookhall.Life, s *worker) {
-	for h := range s.held {
-		delete(q.holders, h)
+// removeWorker removes a worker together with its results, except from workerList.
+func (q *Queue) removeWorker(l hookhall.Life, w *worker) {
+	for h := range w.results {
+		delete(q.workersByHandle, h)
 	}
-	q.bytes -= s.bytes
+	q.bytes -= w.bytes
 	delete(q.workers, l)
 }
 
-// count keeps the account of the targets that work, by hall.
-func (q *Queue) count(s *worker) {
-	works := s.works()
-	if works == s.counted {
+// updateHealthy adjusts the number of healthy targets in the hall of w.
+func (q *Queue) updateHealthy(w *worker) {
+	healthy := w.healthy()
+	if healthy == w.countedHealthy {
 		return
 	}
-	s.counted = works
-	if works {
-		q.working[s.Target.Hall]++
+	w.countedHealthy = healthy
+	if healthy {
+		q.healthyByHall[w.Target.Hall]++
 	} else {
-		q.working[s.Target.Hall]--
+		q.healthyByHall[w.Target.Hall]--
 	}
 }
 
-// charge counts bytes at a worker.
-func (q *Queue) charge(s *worker, bytes float64) {
-	s.bytes += bytes
+// addBytes adds bytes, which may be negative, to those counted for w.
+func (q *Queue) addBytes(w *worker, bytes float64) {
+	w.bytes += bytes
 	q.bytes += bytes
 }
 
@@ -136,13 +140,15 @@
 	q.jobs = append(q.jobs, j)
 }
 
-// Drop cancels a job; pieces that are in a call already are released as they come.
+// Drop cancels a job without calling its Finish. Done returns the handles of its pieces
+// that are in a call, for the caller to release.
 func (q *Queue) Drop(j *Job) {
-	j.ended = true
-	q.remove(j)
+	j.finished = true
+	q.removeJob(j)
 }
 
-func (q *Queue) remove(j *Job) {
+// removeJob removes a job from the queue.
+func (q *Queue) removeJob(j *Job) {
 	for i, o := range q.jobs {
 		if o == j {
 			q.jobs = append(q.jobs[:i], q.jobs[i+1:]...)
@@ -151,7 +157,7 @@
 	}
 }
 
-// Waiting is the number of pieces that are in no call.
+// Waiting returns the number of pieces that are in no call.
 func (q *Queue) Waiting() int {
 	n := 0
 	for _, j := range q.jobs {
@@ -160,86 +166,91 @@
 	return n
 }
 
-// expireJobs ends jobs that can't be made in time any more: a piece that waits
-// takes a call at least.
+// expireJobs finishes jobs that can't meet their deadline: a waiting piece takes at least
+// the fixed time of a call.
 func (q *Queue) expireJobs(now time.Time) {
 	kept := q.jobs[:0]
 	for _, j := range q.jobs {
-		soonest := now
+		earliestEnd := now
 		if len(j.waiting) > 0 {
-			soonest = now.Add(q.spec.CallTime)
+			earliestEnd = now.Add(q.spec.CallTime)
 		}
-		if !j.ended && soonest.After(j.End) {
-			j.end(Outcome{Reason: hookhall.PieceLate})
+		if !j.finished && earliestEnd.After(j.End) {
+			j.finish(Outcome{Reason: hookhall.PieceLate})
 		}
-		if !j.ended {
+		if !j.finished {
 			kept = append(kept, j)
 		}
 	}
 	q.jobs = kept
 }
 
-// Abandon ends all jobs that need another call: no target may get one, and none is
-// expected soon. Those whose pieces are all at work go on.
+// Abandon finishes, with reason PieceNoTarget, all jobs that have waiting pieces. It is
+// for a pool of which no target may get a call soon. Jobs whose pieces are all in calls
+// continue.
 func (q *Queue) Abandon() {
-	q.endWaiting(hookhall.PieceNoTarget, func(*Job) bool { return true })
+	q.finishWaiting(hookhall.PieceNoTarget, func(*Job) bool { return true })
 }
 
-// AbandonBefore does so for the jobs that end before t, the time of the next possible call.
+// AbandonBefore does what Abandon does, but only for the jobs with a deadline before t, the
+// time of the next possible call.
 func (q *Queue) AbandonBefore(t time.Time) {
-	q.endWaiting(hookhall.PieceNoTarget, func(j *Job) bool { return j.End.Before(t) })
+	q.finishWaiting(hookhall.PieceNoTarget, func(j *Job) bool { return j.End.Before(t) })
 }
 
-// refuse ends the jobs that no target may make.
-func (q *Queue) refuse() {
-	q.endWaiting(hookhall.PieceCrashes, q.refusedByAll)
+// refuseJobs finishes the jobs with waiting pieces that every target refuses.
+func (q *Queue) refuseJobs() {
+	q.finishWaiting(hookhall.PieceCrashes, q.refusedByAll)
 }
 
-// endWaiting ends those of the jobs that need another call which f picks.
-func (q *Queue) endWaiting(reason hookhall.PieceFailure, f func(j *Job) bool) {
+// finishWaiting finishes the jobs that have waiting pieces and for which match returns
+// true.
+func (q *Queue) finishWaiting(reason hookhall.PieceFailure, match func(j *Job) bool) {
 	kept := q.jobs[:0]
 	for _, j := range q.jobs {
-		if len(j.waiting) > 0 && f(j) {
-			j.end(Outcome{Reason: reason})
+		if len(j.waiting) > 0 && match(j) {
+			j.finish(Outcome{Reason: reason})
 		}
-		if !j.ended {
+		if !j.finished {
 			kept = append(kept, j)
 		}
 	}
 	q.jobs = kept
 }
 
-// refusedByAll tells whether a job may be made at none of the targets that there are.
+// refusedByAll reports whether there are targets and j may run on none of them.
 func (q *Queue) refusedByAll(j *Job) bool {
 	if j.Refused == nil || len(q.workers) == 0 {
 		return false
 	}
-	for _, s := range q.workers {
-		if !j.Refused(s.Target) {
+	for _, w := range q.workers {
+		if !j.Refused(w.Target) {
 			return false
 		}
 	}
 	return true
 }
 
-// Next returns the calls to make now, most urgent pieces first.
+// Next returns the calls to make at now, with the most urgent pieces first, and finishes
+// the jobs that can't meet their deadline or that every target refuses. The caller reports
+// the end of each call by Done or Withdraw.
 func (q *Queue) Next(now time.Time) []*Batch {
 	q.expireJobs(now)
-	q.refuse()
-	if q.first() == nil {
+	q.refuseJobs()
+	if q.mostUrgentJob() == nil {
 		return nil
 	}
 	sort.SliceStable(q.jobs, func(i, j int) bool { return q.jobs[i].before(q.jobs[j], now) })
-	open := q.open(now)
-	heap.Init(open)
+	available := q.availableWorkers(now)
+	heap.Init(available)
 	var batches []*Batch
-	for open.Len() > 0 && q.first() != nil {
-		s := heap.Pop(open).(*worker)
-		if q.trial.has(s) && !q.trial.may() {
+	for available.Len() > 0 && q.mostUrgentJob() != nil {
+		w := heap.Pop(available).(*worker)
+		if q.canary.includes(w) && !q.canary.allows() {
 			continue
 		}
-		if b := q.fill(s, now); b != nil {
-			q.trial.count(s)
+		if b := q.fillBatch(w, now); b != nil {
+			q.canary.countCall(w)
 			batches = append(batches, b)
 		}
 	}
--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -15,6 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
+// at returns the time ms milliseconds after start.
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 var spec = hookhall.PoolSpec{
@@ -30,8 +31,9 @@
 	return list
 }
 
-// job makes a job whose outcome lands in *Outcome.
-func job(call string, count int, due, end int) (*Job, *Outcome) {
+// newJob returns a job whose result is stored in the returned Outcome. due and end are in
+// milliseconds after start.
+func newJob(call string, count int, due, end int) (*Job, *Outcome) {
 	o := &Outcome{}
 	return &Job{
 		Call: call, Count: count, Bytes: 1, Due: at(due), End: at(end),
@@ -39,8 +41,8 @@
 	}, o
 }
 
-// answer makes all pieces of a call.
-func answer(b *Batch) []hookhall.PieceResult {
+// successResults returns a handle for each piece of a call.
+func successResults(b *Batch) []hookhall.PieceResult {
 	var list []hookhall.PieceResult
 	for _, p := range b.Pieces {
 		list = append(list, hookhall.PieceResult{Handle: fmt.Sprintf("%s/%s-%d", b.Target.ID, p.Call, p.Index)})
@@ -48,7 +50,8 @@
 	return list
 }
 
-func fail(b *Batch, f hookhall.PieceFailure) []hookhall.PieceResult {
+// failureResults returns the failure f for each piece of a call.
+func failureResults(b *Batch, f hookhall.PieceFailure) []hookhall.PieceResult {
 	list := make([]hookhall.PieceResult, len(b.Pieces))
 	for i := range list {
 		list[i].Failure = f
@@ -56,8 +59,8 @@
 	return list
 }
 
-// calls lists a batch's pieces as call-index.
-func calls(b *Batch) []string {
+// pieceNames returns the pieces of a call as request id and index.
+func pieceNames(b *Batch) []string {
 	var list []string
 	for _, p := range b.Pieces {
 		list = append(list, fmt.Sprintf("%s-%d", p.Call, p.Index))
@@ -70,41 +73,41 @@
 		q := NewQueue()
 		q.Configure(spec, targets("a"))
 		add := func(call string, count, due, end, urgency int) *Job {
-			j, _ := job(call, count, due, end)
+			j, _ := newJob(call, count, due, end)
 			j.Urgency = urgency
 			q.Add(j)
 			return j
 		}
-		Convey("the earliest latest start goes first", func() {
+		Convey("the job with the earliest latest start goes first", func() {
 			add("late", 2, 900, 5000, 0)
 			add("early", 2, 500, 5000, 0)
-			So(calls(q.Next(at(0))[0]), ShouldResemble, []string{"early-0", "early-1", "late-0", "late-1"})
+			So(pieceNames(q.Next(at(0))[0]), ShouldResemble, []string{"early-0", "early-1", "late-0", "late-1"})
 		})
-		Convey("urgency moves it", func() {
+		Convey("urgency shifts the latest start", func() {
 			add("idle", 4, 500, 5000, 2)
 			add("urgent", 4, 600, 5000, 0)
-			So(calls(q.Next(at(0))[0])[0], ShouldEqual, "urgent-0")
+			So(pieceNames(q.Next(at(0))[0])[0], ShouldEqual, "urgent-0")
 		})
-		Convey("what has missed its aim takes what is left", func() {
+		Convey("a job that missed its latency target uses the remaining slots", func() {
 			add("missed", 4, 10, 5000, 0)
 			add("fine", 3, 500, 5000, 3)
-			So(calls(q.Next(at(100))[0]), ShouldResemble, []string{"fine-0", "fine-1", "fine-2", "missed-0"})
+			So(pieceNames(q.Next(at(100))[0]), ShouldResemble, []string{"fine-0", "fine-1", "fine-2", "missed-0"})
 		})
-		Convey("a job that fits whole goes before one that would be split", func() {
+		Convey("a job that fits completely goes before one that would be split", func() {
 			add("three", 3, 100, 5000, 0)
 			add("two", 2, 200, 5000, 0)
 			add("one", 1, 300, 5000, 0)
-			So(calls(q.Next(at(0))[0]), ShouldResemble, []string{"three-0", "three-1", "three-2", "one-0"})
+			So(pieceNames(q.Next(at(0))[0]), ShouldResemble, []string{"three-0", "three-1", "three-2", "one-0"})
 		})
-		Convey("a job that was begun is ended first", func() {
+		Convey("a job that has started is completed first", func() {
 			add("big", 6, 100, 5000, 0)
 			b := q.Next(at(0))[0]
 			add("new", 4, 50, 5000, 0)
-			q.Done(b, answer(b), at(140))
-			So(calls(q.Next(at(140))[0])[:2], ShouldResemble, []string{"big-4", "big-5"})
+			q.Done(b, successResults(b), at(140))
+			So(pieceNames(q.Next(at(140))[0])[:2], ShouldResemble, []string{"big-4", "big-5"})
 		})
-		Convey("a job that can't be made in time is ended at once", func() {
-			j, o := job("hopeless", 1, 10, 150)
+		Convey("a job that can't meet its deadline fails at once", func() {
+			j, o := newJob("hopeless", 1, 10, 150)
 			q.Add(j)
 			So(q.Next(at(60)), ShouldBeEmpty)
 			So(o.Reason, ShouldEqual, hookhall.PieceLate)
@@ -112,27 +115,27 @@
 	})
 }
 
-func TestRoom(t *testing.T) {
-	Convey("Given a target with room for eight results", t, func() {
+func TestMemory(t *testing.T) {
+	Convey("Given a target with memory for eight results", t, func() {
 		q := NewQueue()
 		q.Configure(spec, targets("a"))
-		a, _ := job("a", 8, 500, 5000)
+		a, _ := newJob("a", 8, 500, 5000)
 		q.Add(a)
 		b := q.Next(at(0))[0]
-		q.Done(b, answer(b), at(100))
+		q.Done(b, successResults(b), at(100))
 		b = q.Next(at(100))[0]
-		q.Done(b, answer(b), at(200))
-		j, _ := job("b", 1, 500, 5000)
+		q.Done(b, successResults(b), at(200))
+		j, _ := newJob("b", 1, 500, 5000)
 		q.Add(j)
 		Convey("no call is made while it is full", func() {
 			So(q.Next(at(200)), ShouldBeEmpty)
 		})
-		Convey("a result given up opens it at once", func() {
+		Convey("releasing a result makes it available at once", func() {
 			So(q.Next(at(200)), ShouldBeEmpty)
 			q.Free([]string{"a/a-0"})
 			So(len(q.Next(at(201))), ShouldEqual, 1)
 		})
-		Convey("results expire as they do at the pool", func() {
+		Convey("results expire when the pool drops them", func() {
 			j.End = at(9000)
 			So(len(q.Next(at(4300))), ShouldEqual, 1)
 		})
@@ -143,101 +146,101 @@
 	Convey("Given two targets and a job of four", t, func() {
 		q := NewQueue()
 		q.Configure(spec, targets("a", "b"))
-		j, o := job("x", 4, 5000, 6000)
+		j, o := newJob("x", 4, 5000, 6000)
 		q.Add(j)
 		b := q.Next(at(0))[0]
 		first := b.Target.ID
-		Convey("a failed call's pieces go to the other target, and it gets a pause", func() {
+		Convey("pieces of a failed call go to the other target, and the first one gets a pause", func() {
 			q.Done(b, nil, at(1))
 			next := q.Next(at(1))
 			So(len(next), ShouldEqual, 1)
 			So(next[0].Target.ID, ShouldNotEqual, first)
-			Convey("which results given up elsewhere don't end", func() {
-				q.Done(next[0], answer(next[0]), at(120))
-				k, _ := job("y", 4, 5000, 6000)
+			Convey("that releasing results of the other target doesn't end", func() {
+				q.Done(next[0], successResults(next[0]), at(120))
+				k, _ := newJob("y", 4, 5000, 6000)
 				q.Add(k)
 				busy := q.Next(at(10))
 				So(len(busy), ShouldEqual, 1)
-				l, _ := job("z", 4, 5000, 6000)
+				l, _ := newJob("z", 4, 5000, 6000)
 				q.Add(l)
 				q.Free(o.Handles)
 				So(q.Next(at(10)), ShouldBeEmpty)
 			})
 		})
-		Convey("a call that takes too long is made elsewhere, too, and the first result counts", func() {
+		Convey("an overdue call is made elsewhere as well, and the first result counts", func() {
 			So(q.Overdue(b), ShouldBeTrue)
 			So(q.Overdue(b), ShouldBeFalse)
 			next := q.Next(at(300))
 			So(len(next), ShouldEqual, 1)
-			So(q.Done(next[0], answer(next[0]), at(400)), ShouldBeEmpty)
+			So(q.Done(next[0], successResults(next[0]), at(400)), ShouldBeEmpty)
 			So(o.Handles[0], ShouldEqual, next[0].Target.ID+"/x-0")
-			Convey("the other one is given up", func() {
-				So(len(q.Done(b, answer(b), at(900))), ShouldEqual, 4)
+			Convey("the results of the other one are unwanted", func() {
+				So(len(q.Done(b, successResults(b), at(900))), ShouldEqual, 4)
 			})
 		})
-		Convey("the late call may still win", func() {
+		Convey("the overdue call may still be first", func() {
 			q.Overdue(b)
-			So(q.Done(b, answer(b), at(250)), ShouldBeEmpty)
+			So(q.Done(b, successResults(b), at(250)), ShouldBeEmpty)
 			So(len(o.Handles), ShouldEqual, 4)
 			So(q.Waiting(), ShouldEqual, 0)
 		})
-		Convey("an input that is gone ends the job", func() {
-			q.Done(b, fail(b, hookhall.PieceGone), at(100))
+		Convey("a missing input fails the job", func() {
+			q.Done(b, failureResults(b, hookhall.PieceGone), at(100))
 			So(o.Reason, ShouldEqual, hookhall.PieceGone)
 		})
-		Convey("errors are tried again, not for ever", func() {
+		Convey("errors are retried a limited number of times", func() {
 			for i := 0; i < 40 && o.Reason == ""; i++ {
-				q.Done(b, fail(b, hookhall.PieceError), at(100+i))
+				q.Done(b, failureResults(b, hookhall.PieceError), at(100+i))
 				if more := q.Next(at(100 + i)); len(more) > 0 {
 					b = more[0]
 				}
 			}
 			So(o.Reason, ShouldEqual, hookhall.PieceError)
 		})
-		Convey("results of a job that was dropped are given up", func() {
+		Convey("results of a dropped job are unwanted", func() {
 			q.Drop(j)
-			So(len(q.Done(b, answer(b), at(100))), ShouldEqual, 4)
+			So(len(q.Done(b, successResults(b), at(100))), ShouldEqual, 4)
 		})
 	})
 }
 
 func TestSlowTarget(t *testing.T) {
-	Convey("Given a target that turned out four times slower", t, func() {
+	Convey("Given a target four times slower than expected", t, func() {
 		q := NewQueue()
 		q.Configure(spec, targets("a"))
-		j, _ := job("x", 4, 5000, 60000)
+		j, _ := newJob("x", 4, 5000, 60000)
 		q.Add(j)
 		b := q.Next(at(0))[0]
 		for range 4 {
-			q.Done(b, answer(b), b.began.Add(4*b.Expected))
-			n, _ := job("again", 4, 60000, 90000)
+			q.Done(b, successResults(b), b.began.Add(4*b.Expected))
+			n, _ := newJob("again", 4, 60000, 90000)
 			q.Add(n)
 			q.Free(j.Handles())
 			b = q.Next(b.began.Add(4 * b.Expected))[0]
 			j = n
 		}
-		q.Done(b, answer(b), b.began.Add(4*b.Expected))
+		q.Done(b, successResults(b), b.began.Add(4*b.Expected))
 		now := b.began.Add(4 * b.Expected)
-		tight, _ := job("tight", 2, 0, 90000)
+		tight, _ := newJob("tight", 2, 0, 90000)
 		tight.Due = now.Add(100 * time.Millisecond)
 		q.Add(tight)
-		Convey("it gets no job whose aim that would cost", func() {
+		Convey("it gets no job that would miss its latency target there", func() {
 			So(q.Next(now), ShouldBeEmpty)
 		})
-		Convey("it gets jobs that have missed theirs", func() {
+		Convey("it gets jobs that have missed theirs already", func() {
 			So(len(q.Next(now.Add(200*time.Millisecond))), ShouldEqual, 1)
 		})
 	})
 }
 
-// TestRandom drives a queue through random calls, failures and drops: the room
-// counted never exceeds what there is, and each job ends once.
+// TestRandom applies random calls, failures and drops, and guards against accounting errors:
+// the bytes counted at a target stay within 0 and its memory, and no job finishes twice.
 func TestRandom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
 		q.Configure(spec, targets("a", "b", "c"))
 		now := start
-		ended := map[string]int{}
+		finished := map[string]int{}
 		var jobs []*Job
 		var open []*Batch
 		handles := map[string]bool{}
@@ -248,7 +251,7 @@
 				id := fmt.Sprint("j", step)
 				j := &Job{Call: id, Count: rapid.IntRange(1, 6).Draw(t, "count"), Bytes: 1, Due: now.Add(time.Second), End: now.Add(3 * time.Second)}
 				j.Finish = func(o Outcome) {
-					ended[id]++
+					finished[id]++
 					for _, h := range o.Handles {
 						handles[h] = true
 					}
@@ -259,7 +262,7 @@
 				if len(open) > 0 {
 					b := open[0]
 					open = open[1:]
-					results := answer(b)
+					results := successResults(b)
 					if rapid.Bool().Draw(t, "failed") {
 						results = nil
 					}
@@ -289,17 +292,18 @@
 				}
 			}
 		}
-		for id, n := range ended {
+		for id, n := range finished {
 			if n != 1 {
-				t.Fatalf("job %s ended %d times", id, n)
+				t.Fatalf("job %s finished %d times", id, n)
 			}
 		}
 	})
 }
 
-// TestRoomForWholeJobs: jobs that are begun with the room that is left hold it, half
-// made, while others wait: 700 pieces, at targets that hold 51 results each.
-func TestRoomForWholeJobs(t *testing.T) {
+// TestMemoryForCompleteJobs guards against a memory deadlock: jobs that start in what
+// little memory is left hold it, half made, while other jobs wait. It was seen with 700
+// pieces at targets that hold 51 results each.
+func TestMemoryForCompleteJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue()
 	q.Configure(hookhall.PoolSpec{Slots: 1, Batch: 8, CallTime: 100 * time.Millisecond, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
@@ -310,21 +314,21 @@
 	}
 	add("first", 7)
 	first := q.Next(now)
-	q.Done(first[0], handles("first", 7), now)
-	t.Run("a job that does not fit whole is not begun", func(t *testing.T) {
+	q.Done(first[0], pieceResults("first", 7), now)
+	t.Run("a job that does not fit completely is not started", func(t *testing.T) {
 		j := add("second", 4)
 		if b := q.Next(now); len(b) != 0 {
-			t.Errorf("%d pieces were taken, with room for 3", len(b[0].Pieces))
+			t.Errorf("%d pieces in a call, with memory for 3", len(b[0].Pieces))
 		}
 		q.Drop(j)
 	})
-	t.Run("one that fits is", func(t *testing.T) {
+	t.Run("a job that fits is started", func(t *testing.T) {
 		add("third", 3)
 		if b := q.Next(now); len(b) != 1 || len(b[0].Pieces) != 3 {
 			t.Errorf("%v", b)
 		}
 	})
-	t.Run("one that no target holds whole is begun", func(t *testing.T) {
+	t.Run("a job too large for any target is started", func(t *testing.T) {
 		q := NewQueue()
 		q.Configure(hookhall.PoolSpec{Slots: 1, Batch: 8, Room: 3}, []hookhall.Target{{ID: "a", Hall: "h"}})
 		q.Add(&Job{Call: "large", Count: 5, Bytes: 1, Due: now.Add(time.Second), End: now.Add(5 * time.Second), Finish: func(Outcome) {}})
@@ -334,17 +338,17 @@
 	})
 }
 
-// handles are the results of n pieces that were all made.
-func handles(call string, n int) (list []hookhall.PieceResult) {
+// pieceResults returns the results of n pieces that all succeeded.
+func pieceResults(call string, n int) (list []hookhall.PieceResult) {
 	for i := range n {
 		list = append(list, hookhall.PieceResult{Handle: fmt.Sprint(call, "-", i)})
 	}
 	return list
 }
 
-// crowd has a queue whose only target holds ten results, with a call of seven
-// pieces of the job "first" at work.
-func crowd(t *testing.T, inputsRead func()) (q *Queue, first *Job, b *Batch) {
+// newConstrainedQueue returns a queue whose only target has memory for ten results, with a
+// call of seven pieces of the job "first" in progress.
+func newConstrainedQueue(t *testing.T, inputsRead func()) (q *Queue, first *Job, b *Batch) {
 	t.Helper()
 	q = NewQueue()
 	q.Configure(hookhall.PoolSpec{Slots: 2, Batch: 8, CallTime: 100 * time.Millisecond, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
@@ -357,40 +361,42 @@
 	return q, first, calls[0]
 }
 
+// TestInputsRead guards against releasing inputs that a call may still need: InputsRead of
+// a job is called once, and only when each piece is in a call that has read its inputs.
 func TestInputsRead(t *testing.T) {
-	t.Run("told once, when all pieces are in calls that have read them", func(t *testing.T) {
-		told := 0
-		q, _, b := crowd(t, func() { told++ })
-		if b.ReadBy != readLeast || told != 0 {
-			t.Fatalf("read after %v, told %d times", b.ReadBy, told)
+	t.Run("called once, when all pieces are in calls that have read them", func(t *testing.T) {
+		callCount := 0
+		q, _, b := newConstrainedQueue(t, func() { callCount++ })
+		if b.ReadBy != minInputsReadDelay || callCount != 0 {
+			t.Fatalf("read after %v, called %d times", b.ReadBy, callCount)
 		}
 		q.InputsRead(b, at(50))
 		q.InputsRead(b, at(50))
-		q.Done(b, handles("first", 7), at(100))
-		if told != 1 {
-			t.Errorf("told %d times", told)
+		q.Done(b, pieceResults("first", 7), at(100))
+		if callCount != 1 {
+			t.Errorf("called %d times", callCount)
 		}
 	})
-	t.Run("not told while targets hold results that are not accounted for", func(t *testing.T) {
-		told := 0
-		q, _, b := crowd(t, func() { told++ })
-		q.unsure = at(60)
+	t.Run("not called while targets hold results that are not accounted for", func(t *testing.T) {
+		callCount := 0
+		q, _, b := newConstrainedQueue(t, func() { callCount++ })
+		q.unaccountedUntil = at(60)
 		q.InputsRead(b, at(50))
-		if told != 0 {
-			t.Errorf("told %d times", told)
+		if callCount != 0 {
+			t.Errorf("called %d times", callCount)
 		}
 	})
-	t.Run("not told of a call that has ended before", func(t *testing.T) {
-		told := 0
-		q, _, b := crowd(t, func() { told++ })
+	t.Run("not called for a call that has ended before", func(t *testing.T) {
+		callCount := 0
+		q, _, b := newConstrainedQueue(t, func() { callCount++ })
 		q.Done(b, nil, at(10))
 		q.InputsRead(b, at(50))
-		if told != 0 {
-			t.Errorf("told %d times", told)
+		if callCount != 0 {
+			t.Errorf("called %d times", callCount)
 		}
 	})
-	t.Run("a second call that finds them gone leaves the first one's work alone", func(t *testing.T) {
-		q, first, b := crowd(t, nil)
+	t.Run("a second call that misses them does not fail pieces in the first one", func(t *testing.T) {
+		q, first, b := newConstrainedQueue(t, nil)
 		q.Overdue(b)
 		q.Configure(hookhall.PoolSpec{Slots: 2, Batch: 8, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}, {ID: "b", Hall: "h"}})
 		again := q.Next(at(300))
@@ -403,51 +409,54 @@
 		}
 		again[0].overdue = false
 		q.Done(again[0], gone, at(350))
-		if first.ended {
-			t.Fatal("the job has ended")
+		if first.finished {
+			t.Fatal("the job is finished")
 		}
-		q.Done(b, handles("first", 7), at(400))
-		if first.left != 0 {
-			t.Errorf("%d pieces are not made", first.left)
+		q.Done(b, pieceResults("first", 7), at(400))
+		if first.unfinishedCount != 0 {
+			t.Errorf("%d pieces are unfinished", first.unfinishedCount)
 		}
 	})
 }
 
-func TestCrowded(t *testing.T) {
-	q, _, _ := crowd(t, nil)
+// TestMemoryConstrained guards against reporting a lack of memory when nothing waits for
+// it, or long after pieces last did not fit.
+func TestMemoryConstrained(t *testing.T) {
+	q, _, _ := newConstrainedQueue(t, nil)
 	if q.Crowded(start) {
-		t.Error("nothing waits")
+		t.Error("memory-constrained while nothing waits")
 	}
 	q.Add(&Job{Call: "second", Count: 8, Bytes: 1, Due: at(1000), End: at(5000), Finish: func(Outcome) {}})
 	q.Next(at(10))
 	if !q.Crowded(at(20)) {
-		t.Error("a call's worth of work found no room")
+		t.Error("not memory-constrained, though enough pieces for a call did not fit")
 	}
 	if q.Crowded(at(500)) {
-		t.Error("that was long ago")
+		t.Error("memory-constrained long after pieces did not fit")
 	}
 }
 
-// TestAbandon: jobs that need another call end at once when no target may get one;
-// what is at work goes on.
+// TestAbandon guards against jobs that wait until their deadline when no target may get a
+// call: those that need another call fail at once, those whose pieces are all in calls
+// continue.
 func TestAbandon(t *testing.T) {
 	q := NewQueue()
 	q.Configure(spec, targets("a"))
-	atWork, first := job("one", 4, 500, 5000)
-	q.Add(atWork)
+	inCall, first := newJob("one", 4, 500, 5000)
+	q.Add(inCall)
 	b := q.Next(at(0))
-	waiting, second := job("two", 2, 500, 5000)
+	waiting, second := newJob("two", 2, 500, 5000)
 	q.Add(waiting)
 	q.Configure(spec, nil)
 	q.Abandon()
 	if second.Reason != hookhall.PieceNoTarget {
-		t.Errorf("the job that waits ended as %q", second.Reason)
+		t.Errorf("the waiting job finished with reason %q", second.Reason)
 	}
 	if len(b) != 1 || first.Reason != "" {
-		t.Fatalf("%d calls, the job at work ended as %q", len(b), first.Reason)
+		t.Fatalf("%d calls, the job in a call finished with reason %q", len(b), first.Reason)
 	}
-	q.Done(b[0], answer(b[0]), at(150))
+	q.Done(b[0], successResults(b[0]), at(150))
 	if len(first.Handles) != 4 {
-		t.Errorf("%d results of the call at work", len(first.Handles))
+		t.Errorf("%d results of the call in progress", len(first.Handles))
 	}
 }
--- a/internal/state/batch/results.go
+++ b/internal/state/batch/results.go
@@ -10,22 +10,22 @@
 	"github.com/hookhall/hookhall"
 )
 
-// InputsRead takes in that a call which is still at work has read its inputs. While
-// targets hold results that this queue does not know of, pieces may find no room
-// and need their inputs again, so that nobody is told.
+// InputsRead records that a call which is still in progress has read its inputs. It does
+// nothing while targets may hold results that this queue does not know: pieces may then
+// find no memory and need their inputs again, so Job.InputsRead must not be called.
 func (q *Queue) InputsRead(b *Batch, now time.Time) {
-	if b.read || b.done || now.Before(q.unsure) {
+	if b.inputsRead || b.done || now.Before(q.unaccountedUntil) {
 		return
 	}
-	b.read = true
+	b.inputsRead = true
 	for i, j := range b.jobs {
-		j.inputsRead(b.Pieces[i].Index)
+		j.markInputsRead(b.Pieces[i].Index)
 	}
 }
 
-// Overdue lets the pieces of a call that takes too long wait for another one as
-// well. Whichever makes a piece first is taken; the other result is not needed.
-// It tells whether there was anything to do.
+// Overdue makes the unfinished pieces of a call that takes too long wait for another call
+// as well. The result that comes first is used; Done returns the other one as unwanted.
+// Overdue returns false if it was called for b before.
 func (q *Queue) Overdue(b *Batch) bool {
 	if b.overdue {
 		return false
@@ -33,151 +33,158 @@
 	b.overdue = true
 	for i, j := range b.jobs {
 		if index := b.Pieces[i].Index; j.handles[index] == "" {
-			q.again(j, index)
+			q.requeue(j, index)
 		}
 	}
 	return true
 }
 
-// Ended takes in that a call's target ended while it was at work: each of the jobs may be
-// the one that ended it.
+// Ended records that the target of b crashed during the call. Any of the jobs may have
+// caused the crash, so each is isolated from other jobs from now on.
 func (q *Queue) Ended(b *Batch) {
 	for _, j := range b.jobs {
-		j.alone = true
+		j.isolated = true
 	}
 }
 
-// Done takes in a call's answers; a nil list means that the call failed. It
-// returns handles that nobody needs, for the caller to release.
+// Done records the results of a call, one per piece; a list of any other length, such as
+// nil, means that the call failed. It returns handles that are not needed, for the caller
+// to release.
 func (q *Queue) Done(b *Batch, results []hookhall.PieceResult, now time.Time) []string {
-	s := q.over(b)
-	defer q.settle(s)
+	w := q.endCall(b)
+	defer q.updateAfterCall(w)
 	if len(results) != len(b.Pieces) {
-		s.failed(now)
+		w.recordFailure(now)
 		q.Overdue(b)
 		return nil
 	}
-	s.fails = 0
-	s.learn(now.Sub(b.began), b.Expected)
+	w.failures = 0
+	w.recordCallTime(now.Sub(b.began), b.Expected)
 	var unwanted []string
 	for i, r := range results {
 		index := b.Pieces[i].Index
 		if r.Handle == "" && b.overdue {
-			continue // it waits, or is made elsewhere
+			continue // it waits, or is in another call
 		}
-		if h := q.take(s, b.jobs[i], index, r, now); h != "" {
+		if h := q.applyResult(w, b.jobs[i], index, r, now); h != "" {
 			unwanted = append(unwanted, h)
 		}
 	}
 	return unwanted
 }
 
-// Withdraw takes back a call that was not made: its pieces wait for another one.
+// Withdraw returns the pieces of a call that was not made to the queue. It must be called
+// instead of Done.
 func (q *Queue) Withdraw(b *Batch) {
-	s := q.over(b)
-	defer q.settle(s)
+	w := q.endCall(b)
+	defer q.updateAfterCall(w)
 	q.Overdue(b)
 }
 
-// over takes in that a call is no longer at work, and returns the worker that had it.
-func (q *Queue) over(b *Batch) *worker {
-	s := q.workers[b.Target.Life()]
-	if s == nil {
-		s = newWorker(b.Target)
+// endCall updates the counts for a call that is no longer in progress, and returns the
+// worker that had it.
+func (q *Queue) endCall(b *Batch) *worker {
+	w := q.workers[b.Target.Life()]
+	if w == nil {
+		w = newWorker(b.Target)
 	}
-	s.busy--
+	w.activeCalls--
 	b.done = true
 	for i, j := range b.jobs {
-		q.charge(s, -j.Bytes)
-		j.calls[b.Pieces[i].Index]--
+		q.addBytes(w, -j.Bytes)
+		j.activeCalls[b.Pieces[i].Index]--
 	}
-	return s
+	return w
 }
 
-// settle keeps the accounts of a worker after a call has ended there.
-func (q *Queue) settle(s *worker) {
-	q.count(s)
-	if s.gone && s.busy == 0 {
-		q.forget(s.Target.Life(), s)
-		q.list = slices.DeleteFunc(q.list, func(o *worker) bool { return o == s })
+// updateAfterCall updates the health of w after a call, and removes w if it is no longer
+// listed and this was its last call.
+func (q *Queue) updateAfterCall(w *worker) {
+	q.updateHealthy(w)
+	if w.removed && w.activeCalls == 0 {
+		q.removeWorker(w.Target.Life(), w)
+		q.workerList = slices.DeleteFunc(q.workerList, func(o *worker) bool { return o == w })
 	}
 }
 
-// take takes in one piece's result and returns its handle if nobody needs it.
-func (q *Queue) take(s *worker, j *Job, index int, r hookhall.PieceResult, now time.Time) string {
+// applyResult records the result of one piece. It returns the handle if it is not needed.
+func (q *Queue) applyResult(w *worker, j *Job, index int, r hookhall.PieceResult, now time.Time) string {
 	if r.Handle == "" {
-		q.fail(s, j, index, r.Failure, now)
+		q.applyFailure(w, j, index, r.Failure, now)
 		return ""
 	}
-	if j.ended || j.handles[index] != "" {
+	if j.finished || j.handles[index] != "" {
 		return r.Handle
 	}
-	j.drop(index)
-	j.inputsRead(index)
-	s.held[r.Handle] = held{j.Bytes, now.Add(q.spec.Keep)}
-	q.holders[r.Handle] = s
-	q.charge(s, j.Bytes)
+	j.removeWaiting(index)
+	j.markInputsRead(index)
+	w.results[r.Handle] = heldResult{j.Bytes, now.Add(q.spec.Keep)}
+	q.workersByHandle[r.Handle] = w
+	q.addBytes(w, j.Bytes)
 	j.handles[index] = r.Handle
-	j.left--
-	if j.left == 0 {
-		q.remove(j)
-		j.end(Outcome{Handles: j.handles})
+	j.unfinishedCount--
+	if j.unfinishedCount == 0 {
+		q.removeJob(j)
+		j.finish(Outcome{Handles: j.handles})
 	}
 	return ""
 }
 
-func (q *Queue) fail(s *worker, j *Job, index int, f hookhall.PieceFailure, now time.Time) {
+// applyFailure handles the failure of one piece: it makes the piece wait for another call
+// or finishes the job.
+func (q *Queue) applyFailure(w *worker, j *Job, index int, f hookhall.PieceFailure, now time.Time) {
 	switch f {
 	case hookhall.PieceGone, hookhall.PieceLate:
-		if j.calls[index] > 0 {
-			return // another call began earlier, and has read the inputs
+		if j.activeCalls[index] > 0 {
+			return // another call started earlier and has read the inputs
 		}
-		q.remove(j)
-		j.end(Outcome{Reason: f})
+		q.removeJob(j)
+		j.finish(Outcome{Reason: f})
 	case hookhall.PieceNoRoom:
-		s.noRoom = now.Add(roomPause)
-		q.unsure = now.Add(q.spec.Keep)
-		q.again(j, index)
+		w.noMemoryUntil = now.Add(noMemoryPause)
+		q.unaccountedUntil = now.Add(q.spec.Keep)
+		q.requeue(j, index)
 	default:
-		q.again(j, index)
+		q.requeue(j, index)
 		j.failures++
 	}
-	if j.failures >= mostFailures {
-		q.remove(j)
-		j.end(Outcome{Reason: hookhall.PieceError})
+	if j.failures >= maxPieceFailures {
+		q.removeJob(j)
+		j.finish(Outcome{Reason: hookhall.PieceError})
 	}
 }
 
-// again lets a piece wait for another call.
-func (q *Queue) again(j *Job, index int) {
-	if !j.ended {
+// requeue makes a piece wait for another call.
+func (q *Queue) requeue(j *Job, index int) {
+	if !j.finished {
 		j.waiting = append(j.waiting, index)
 	}
 }
 
-// Free takes released results off the account of room.
+// Free records that results were released, so that their memory is available at once.
 func (q *Queue) Free(handles []string) {
 	for _, h := range handles {
-		if s := q.release(h); s != nil {
-			s.noRoom = time.Time{}
+		if w := q.releaseResult(h); w != nil {
+			w.noMemoryUntil = time.Time{}
 		}
 	}
 }
 
-// release takes one result off the account, and returns the worker that held it, nil
-// when none did.
-func (q *Queue) release(handle string) *worker {
-	s := q.holders[handle]
-	if s == nil {
+// releaseResult removes one result and its bytes. It returns the worker that held the
+// result, or nil if it is unknown.
+func (q *Queue) releaseResult(handle string) *worker {
+	w := q.workersByHandle[handle]
+	if w == nil {
 		return nil
 	}
-	q.charge(s, -s.held[handle].bytes)
-	delete(s.held, handle)
-	delete(q.holders, handle)
-	return s
+	q.addBytes(w, -w.results[handle].bytes)
+	delete(w.results, handle)
+	delete(q.workersByHandle, handle)
+	return w
 }
 
-// Handles are the results of j so far; after Drop the caller should release them.
+// Handles returns the handles of the job's results so far. After Drop the caller should
+// release them.
 func (j *Job) Handles() []string {
 	var list []string
 	for _, h := range j.handles {
@@ -188,6 +195,6 @@
 	return list
 }
 
-// Held is how many bytes results take up at all targets, by the queue's account,
-// and how many results there are.
-func (q *Queue) Held() (bytes float64, results int) { return q.bytes, len(q.holders) }
+// Held returns how many bytes are counted at all targets, including those reserved for
+// calls in progress, and the number of results held there.
+func (q *Queue) Held() (bytes float64, results int) { return q.bytes, len(q.workersByHandle) }
--- a/internal/state/batch/scale_test.go
+++ b/internal/state/batch/scale_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// many are targets in five halls.
-func many(n int) []hookhall.Target {
+// manyTargets returns n targets spread over five halls.
+func manyTargets(n int) []hookhall.Target {
 	var list []hookhall.Target
 	for i := range n {
 		id := fmt.Sprintf("t%05d", i)
@@ -22,14 +22,14 @@
 	return list
 }
 
-// BenchmarkJob is a job of three pieces on its way through the queue of a pool, beside
-// forty whose pieces are at work.
+// BenchmarkJob measures a job of three pieces from Add to the release of its results, beside
+// up to 40 jobs whose pieces are in calls.
 func BenchmarkJob(b *testing.B) {
 	for _, n := range []int{5, 100, 1358} {
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
 			q := NewQueue()
-			wide := hookhall.PoolSpec{Slots: 1, Batch: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, Room: 41e6, Keep: 4 * time.Second}
-			q.Configure(wide, many(n))
+			largeSpec := hookhall.PoolSpec{Slots: 1, Batch: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, Room: 41e6, Keep: 4 * time.Second}
+			q.Configure(largeSpec, manyTargets(n))
 			now := start
 			add := func(call string) *Batch {
 				j := &Job{Call: call, Count: 3, Bytes: 3e6, Hall: "hall-1", Cross: 3e6, Due: now.Add(time.Second), End: now.Add(time.Hour), Finish: func(Outcome) {}}
@@ -41,17 +41,17 @@
 				return calls[0]
 			}
 			for i := range min(40, n/10) {
-				add(fmt.Sprint("beside ", i))
+				add(fmt.Sprint("other ", i))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
 				c := add("measured")
 				if c == nil {
-					b.Fatal("no target takes the job")
+					b.Fatal("no target gets the job")
 				}
-				q.Done(c, answer(c), now)
-				for _, r := range answer(c) {
+				q.Done(c, successResults(c), now)
+				for _, r := range successResults(c) {
 					q.Free([]string{r.Handle})
 				}
 			}
@@ -59,12 +59,12 @@
 	}
 }
 
-// TestAccounts: over any series of jobs, calls, answers and lists of targets, the sums
-// that the queue keeps are those of its workers.
-func TestAccounts(t *testing.T) {
+// TestAccounting guards against sums of the queue that drift from its workers, over any
+// series of jobs, calls, results and target lists.
+func TestAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewQueue()
-		all := many(8)
+		all := manyTargets(8)
 		now := start
 		var open []*Batch
 		var held []string
@@ -80,7 +80,7 @@
 					q.Withdraw(open[0])
 					open = open[1:]
 				} else if len(open) > 0 {
-					results := answer(open[0])
+					results := successResults(open[0])
 					for _, r := range results {
 						held = append(held, r.Handle)
 					}
@@ -96,7 +96,7 @@
 					held = held[1:]
 				}
 			default:
-				j, _ := job(fmt.Sprint("j", step), rapid.IntRange(1, 6).Draw(t, "pieces"), 10000, 60000)
+				j, _ := newJob(fmt.Sprint("j", step), rapid.IntRange(1, 6).Draw(t, "pieces"), 10000, 60000)
 				q.Add(j)
 			}
 			open = append(open, q.Next(now)...)
@@ -105,65 +105,67 @@
 	})
 }
 
+// checkAccounts compares the sums of q with those of its workers.
 func checkAccounts(t *rapid.T, q *Queue) {
 	t.Helper()
 	bytes, results := 0.0, 0
-	working := map[string]int{}
+	healthyByHall := map[string]int{}
 	for _, s := range q.workers {
 		bytes += s.bytes
-		results += len(s.held)
-		for h := range s.held {
-			if q.holders[h] != s {
-				t.Fatalf("%s is not found at %s", h, s.Target.ID)
+		results += len(s.results)
+		for h := range s.results {
+			if q.workersByHandle[h] != s {
+				t.Fatalf("result %s is not registered for target %s", h, s.Target.ID)
 			}
 		}
-		if s.works() {
-			working[s.Target.Hall]++
+		if s.healthy() {
+			healthyByHall[s.Target.Hall]++
 		}
 	}
 	if b, n := q.Held(); b != bytes || n != results {
-		t.Fatalf("%v bytes of %d results, not %v of %d", b, n, bytes, results)
+		t.Fatalf("the queue counts %v bytes and %d results, its workers %v and %d", b, n, bytes, results)
 	}
-	if len(q.list) != len(q.workers) {
-		t.Fatalf("%d of %d workers are listed", len(q.list), len(q.workers))
+	if len(q.workerList) != len(q.workers) {
+		t.Fatalf("%d of %d workers are listed", len(q.workerList), len(q.workers))
 	}
-	for hall, n := range q.working {
-		if n != working[hall] {
-			t.Fatalf("%d targets work in %s, not %d", n, hall, working[hall])
+	for hall, n := range q.healthyByHall {
+		if n != healthyByHall[hall] {
+			t.Fatalf("%d healthy targets counted in %s, not %d", n, hall, healthyByHall[hall])
 		}
 	}
 }
 
-// TestTrial: targets of a version on trial get their share of the calls, and no more,
-// however many they are and whoever else is busy.
-func TestTrial(t *testing.T) {
+// TestCanaryShare guards against a version that is being rolled out getting more than its
+// share of the calls when it has most of the targets or the others are busy, and against
+// it getting less.
+func TestCanaryShare(t *testing.T) {
 	const share = 0.1
-	list := many(10)
+	list := manyTargets(10)
 	for i := range list[:6] {
 		list[i].Version = "new"
 	}
 	q := NewQueue()
 	q.Configure(spec, list)
 	q.Try("new", share)
-	tried, calls := 0, 0
+	canaryCalls, calls := 0, 0
 	for i := range 400 {
-		j, _ := job(fmt.Sprint("job ", i), 4, 60000, 90000)
+		j, _ := newJob(fmt.Sprint("job ", i), 4, 60000, 90000)
 		q.Add(j)
 		for _, b := range q.Next(at(i)) {
 			calls++
 			if b.Target.Version == "new" {
-				tried++
+				canaryCalls++
 			}
-			if float64(tried) > share*float64(calls) {
-				t.Fatalf("%d of %d calls", tried, calls)
+			if float64(canaryCalls) > share*float64(calls) {
+				t.Fatalf("%d of %d calls to the new version", canaryCalls, calls)
 			}
-			if i%3 > 0 { // some stay at work
-				q.Done(b, answer(b), at(i))
+			if i%3 > 0 { // the other calls stay in progress
+				q.Done(b, successResults(b), at(i))
 				q.Free(j.Handles())
 			}
 		}
 	}
-	if float64(tried) < share*float64(calls)-1 {
-		t.Errorf("%d of %d calls", tried, calls)
+	if float64(canaryCalls) < share*float64(calls)-1 {
+		t.Errorf("%d of %d calls to the new version", canaryCalls, calls)
 	}
 }
--- a/internal/state/batch/worker.go
+++ b/internal/state/batch/worker.go
@@ -10,80 +10,84 @@
 )
 
 const (
-	// roomPause is how long a target that reported no room gets no calls, unless a
+	// noMemoryPause is how long a target that reported no memory gets no calls, unless a
 	// result there is released before: a tenth of a short call.
-	roomPause = 40 * time.Millisecond
-	// failPause is the first pause after a failed call; it doubles with each. A
-	// crashed target is noticed within a call, and one that restarts is back soon.
-	failPause = 100 * time.Millisecond
-	// failPauseMost bounds it.
-	failPauseMost = 2 * time.Second
-	// slowPace is the pace from which a target counts as slow: it takes half as long
-	// again as its calls should.
-	slowPace = 1.5
-	// overdueAfter is how many times the expected time, at the target's pace, a
-	// call may take before its pieces are offered to others as well.
-	overdueAfter = 1.8
-	// readShare is the part of a call's fixed time after which its inputs have been
-	// read. A target reads them when the call's turn comes, which takes some
-	// milliseconds, and then spends the fixed time: half of it is well past that.
-	// readLeast is for pools whose fixed time is short: some twenty round trips
-	// between halls.
-	readShare = 0.5
-	readLeast = 80 * time.Millisecond
-	// paceMost bounds the pace that is believed of a call in progress.
-	paceMost = 2.0
+	noMemoryPause = 40 * time.Millisecond
+	// minFailurePause is how long a target gets no calls after a failed one. It doubles with
+	// each consecutive failure. It can be short, since a crashed target is noticed within one
+	// call and a restarted one is back soon.
+	minFailurePause = 100 * time.Millisecond
+	// maxFailurePause limits the pause after consecutive failures.
+	maxFailurePause = 2 * time.Second
+	// minSlow is the slowdown from which a target counts as slow: its calls take half as long
+	// again as expected.
+	minSlow = 1.5
+	// overdueFactor times the expected duration, adjusted to the target's slowdown, is how
+	// long a call may take before its pieces are offered to other targets as well.
+	overdueFactor = 1.8
+	// inputsReadShare is the part of a call's fixed time after which the target has read the
+	// inputs. It reads them within milliseconds when it starts the call, and then spends the
+	// fixed time, so half of that leaves an ample margin. minInputsReadDelay replaces the
+	// share in pools whose fixed time is short: it is some 20 round trips between halls.
+	inputsReadShare    = 0.5
+	minInputsReadDelay = 80 * time.Millisecond
+	// maxOverdueSlowdown limits the slowdown that extends the stall timeout of a call.
+	maxOverdueSlowdown = 2.0
 )
 
-// worker is what the queue knows of one life of a target.
+// worker is the queue's state of one incarnation of a target.
 type worker struct {
-	Target hookhall.Target
-	busy   int
-	held   map[string]held // results by handle
-	bytes  float64         // of held, and of calls at work
-	noRoom time.Time       // gets no calls until then, or until a result is released
-	until  time.Time       // left alone until then: calls failed
-	fails  int
-	pace   float64 // its calls' time against what was expected, 1 being as expected
-	// gone is set while calls are at work at a target that is not named any more.
-	gone bool
-	// counted is set while the queue counts it among those that work.
-	counted bool
+	Target        hookhall.Target
+	activeCalls   int                   // calls in progress
+	results       map[string]heldResult // by handle
+	bytes         float64               // of results, and reserved for calls in progress
+	noMemoryUntil time.Time             // no calls until then, or until a result is released
+	pausedUntil   time.Time             // no calls until then, because of failed ones
+	failures      int                   // consecutive failed calls
+	slowdown      float64               // moving average of actual to expected call duration; 1 is as expected
+	// removed is set while calls are in progress on a target that is no longer listed.
+	removed bool
+	// countedHealthy is set while Queue.healthyByHall includes this worker.
+	countedHealthy bool
 }
 
-type held struct {
+// heldResult is a result that occupies a target's memory.
+type heldResult struct {
 	bytes  float64
-	expiry time.Time
+	expiry time.Time // when the pool drops it
 }
 
+// newWorker returns a worker for t without calls or results.
 func newWorker(t hookhall.Target) *worker {
-	return &worker{Target: t, held: map[string]held{}, pace: 1}
+	return &worker{Target: t, results: map[string]heldResult{}, slowdown: 1}
 }
 
-// works tells whether calls may be expected to go well there.
-func (s *worker) works() bool { return !s.Target.Leaving && s.fails == 0 && s.pace < slowPace }
+// healthy reports whether calls to the target are expected to succeed in time.
+func (w *worker) healthy() bool { return !w.Target.Leaving && w.failures == 0 && w.slowdown < minSlow }
 
-// open tells whether the target may get a call.
-func (s *worker) open(slots int, now time.Time) bool {
-	return s.busy < max(slots, 1) && !s.Target.Leaving && !now.Before(s.until) && !now.Before(s.noRoom)
+// isAvailable reports whether the target may get a call at now; slots is the number of
+// calls that it runs at once.
+func (w *worker) isAvailable(slots int, now time.Time) bool {
+	return w.activeCalls < max(slots, 1) && !w.Target.Leaving && !now.Before(w.pausedUntil) && !now.Before(w.noMemoryUntil)
 }
 
-func (s *worker) failed(now time.Time) {
-	pause := min(failPause<<min(s.fails, 8), failPauseMost)
-	s.fails++
-	s.until = now.Add(pause)
+// recordFailure starts a pause after a failed call.
+func (w *worker) recordFailure(now time.Time) {
+	pause := min(minFailurePause<<min(w.failures, 8), maxFailurePause)
+	w.failures++
+	w.pausedUntil = now.Add(pause)
 }
 
-// patience is how long a call may take before others are asked as well.
-func (s *worker) patience(expected time.Duration) time.Duration {
-	return time.Duration(overdueAfter * min(max(s.pace, 1), paceMost) * float64(expected))
+// overdueAfter returns the stall timeout of a call with the given expected duration.
+func (w *worker) overdueAfter(expected time.Duration) time.Duration {
+	return time.Duration(overdueFactor * min(max(w.slowdown, 1), maxOverdueSlowdown) * float64(expected))
 }
 
-// learn takes in how long a call took against what was expected.
-func (s *worker) learn(took, expected time.Duration) {
+// recordCallTime updates the slowdown with the duration of a call.
+func (w *worker) recordCallTime(duration, expected time.Duration) {
 	if expected <= 0 {
 		return
 	}
-	ratio := min(float64(took)/float64(expected), 10)
-	s.pace += (ratio - s.pace) / 3
+	ratio := min(float64(duration)/float64(expected), 10)
+	w.slowdown += (ratio - w.slowdown) / 3
 }
