--- a/internal/state/batch/canary.go
+++ b/internal/state/batch/canary.go
@@ -22,18 +22,18 @@
 }
 
 // includes reports whether w runs the limited version.
-func (c *canary) includes(w *worker) bool { return c.version != "" && w.Target.Version == c.version }
+func (t *canary) includes(w *worker) bool { return t.version != "" && w.Target.Version == t.version }
 
 // allows reports whether the next call may go to a target of the limited version.
-func (c *canary) allows() bool { return float64(c.canaryCalls+1) <= c.share*float64(c.totalCalls+1) }
+func (t *canary) allows() bool { return float64(t.canaryCalls+1) <= t.share*float64(t.totalCalls+1) }
 
 // countCall counts a call to w.
-func (c *canary) countCall(w *worker) {
-	if c.version == "" {
+func (t *canary) countCall(w *worker) {
+	if t.version == "" {
 		return
 	}
-	c.totalCalls++
-	if c.includes(w) {
-		c.canaryCalls++
+	t.totalCalls++
+	if t.includes(w) {
+		t.canaryCalls++
 	}
 }
--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -68,6 +68,8 @@
 	return list
 }
 
+// TestOrder guards against a wrong order of jobs: urgent ones that wait behind others, and
+// jobs that hold memory because they stay incomplete.
 func TestOrder(t *testing.T) {
 	Convey("Given a queue with one target and a batch of four", t, func() {
 		q := NewQueue()
@@ -115,6 +117,8 @@
 	})
 }
 
+// TestMemory guards against calls to a target whose memory is full, and against a target
+// that stays without calls after its results were released or have expired.
 func TestMemory(t *testing.T) {
 	Convey("Given a target with memory for eight results", t, func() {
 		q := NewQueue()
@@ -142,6 +146,8 @@
 	})
 }
 
+// TestFailures guards against pieces that are lost, made twice or retried without limit
+// when calls fail, take too long or end after their job.
 func TestFailures(t *testing.T) {
 	Convey("Given two targets and a job of four", t, func() {
 		q := NewQueue()
@@ -204,6 +210,8 @@
 	})
 }
 
+// TestSlowTarget guards against jobs that miss their latency target because a call to a
+// slow target takes longer than described.
 func TestSlowTarget(t *testing.T) {
 	Convey("Given a target four times slower than expected", t, func() {
 		q := NewQueue()
@@ -301,8 +309,8 @@
 }
 
 // TestMemoryForCompleteJobs guards against a memory deadlock: jobs that start in what
-// little memory is left hold it, half made, while other jobs wait. It was seen with 700
-// pieces at targets that hold 51 results each.
+// little memory is left hold it, half made, while other jobs wait, as with 700 pieces at
+// targets that hold 51 results each.
 func TestMemoryForCompleteJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue()
