--- a/internal/state/crashes/crash.go
+++ b/internal/state/crashes/crash.go
@@ -11,25 +11,26 @@
 	"github.com/hookhall/hookhall"
 )
 
-// End is the end of a target's life while it ran a content.
+// End records that an incarnation of a target crashed while it ran a request content.
 type End struct {
 	Content Digest
-	// Account bears the cost of remembering the content, "" for requests without one.
+	// Account is the client account whose capacity the content counts against, "" for
+	// requests without one.
 	Account string
-	Life    hookhall.Life
-	// Software is what the target ran: its service and the version of that.
+	Life    hookhall.Life // the incarnation that crashed
+	// Software is what the target ran: its service and version.
 	Software string
-	// Served is set when whoever reported it had served the content a moment before: then
-	// it does not end each target that runs it.
+	// Served reports whether the reporting process had served the content shortly before the
+	// crash, so that it does not crash every target that runs it.
 	Served bool
-	// Cleared is set once a target gave a whole answer to the content.
+	// Cleared is set once a target gave a complete response to the content.
 	Cleared bool
-	// At is when it was first reported, by this process's clock.
+	// At is the time of the first report, by the clock of this process.
 	At time.Time
 }
 
-// sum is the End's part of the ledger's sum.
-func (e *End) sum() uint64 {
+// checksum returns the contribution of e to Ledger.Sum.
+func (e *End) checksum() uint64 {
 	b := make([]byte, 0, 128)
 	b = append(b, e.Content[:]...)
 	b = append(append(b, e.Life.ID...), 0)
--- a/internal/state/crashes/digest.go
+++ b/internal/state/crashes/digest.go
@@ -10,25 +10,25 @@
 	"io"
 )
 
-// digestSize is how many bytes of a SHA-256 sum a Digest keeps. With 16, nobody finds
-// another account's or path's content with an equal one.
+// digestSize is the number of bytes of a SHA-256 sum that a Digest keeps. With 16, it is
+// infeasible to find a content with the digest of another account's or path's.
 const digestSize = 16
 
-// Digest names what a client asks: its account, host, path with query, and body.
-// Requests that repeat the same content have equal ones, whatever their ids.
+// Digest identifies a request content: client account, host, path with query, and body.
+// Requests with the same content have equal digests, whatever their ids.
 type Digest [digestSize]byte
 
-// Sum makes the digest of a request. Each part is written behind its length, so that
-// no two requests share their bytes by another division.
+// Sum returns the digest of a request. Each part but the body is preceded by its length, so
+// that no two requests yield the same bytes by splitting them differently.
 func Sum(account, host, uri string, body []byte) Digest {
 	h := sha256.New()
 	for _, s := range []string{account, host, uri} {
-		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(s)))) // a hash takes everything
+		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(s)))) // a hash never returns an error
 		_, _ = io.WriteString(h, s)
 	}
 	_, _ = h.Write(body)
 	return Digest(h.Sum(nil)[:digestSize])
 }
 
-// String is the digest in hex, as logs show it.
+// String returns the digest in hex, as in logs.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/internal/state/crashes/doc.go
+++ b/internal/state/crashes/doc.go
@@ -1,27 +1,29 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package crashes knows requests by their content, and which targets ended while
-// they ran them.
+// Package crashes identifies requests by their content, and records which targets
+// crashed while they ran a request content.
 //
 // # Model
 //
-// A request may end each target that runs it, and come again under another id, at
-// any gateway. So what counts is its content: account, host, path and body, named by
-// a Digest. A Ledger holds an End for each life of a target that ended while it ran a
-// content. A content with ends at enough lives is refused. A whole answer of a target
-// to a content clears all its ends so far: what ran beside a guilty request, or while
-// targets ended for other reasons, is served by the next target.
+// A request may crash every target that runs it, and be sent again under another id and
+// through any gateway. So crashes are counted by content: client account, host, path
+// with query, and body, identified by a Digest. A Ledger holds one record for each
+// incarnation of a target that crashed while it ran a content. A content with crashes of
+// enough incarnations is refused. A complete response of a target to a content clears all
+// its crashes so far, so that contents that only ran beside a faulty one, or on targets
+// that crashed for other reasons, are served by the next target.
 //
-// Ledgers of several processes are merged by union. An End that was cleared stays
-// cleared. So they may learn the same in any order, twice or over detours, and get to
-// equal ledgers, which Sum shows.
+// Ledgers of several processes are merged by union, and a cleared crash stays cleared.
+// So reports may arrive in any order, more than once and through other processes, and
+// the ledgers still become equal, which Ledger.Sum shows.
 //
 // # Invariants
 //
-//   - A content is refused only with ends at Limits.Ends lives, none of them cleared.
-//   - An End counts for Limits.Keep at most, from the first report of it.
-//   - A ledger has a bounded number of contents, and no account can take the room of
-//     others.
-//   - Readers take an immutable Standing and need no lock.
+//   - A content is refused only with crashes of at least Limits.Ends incarnations, none of
+//     them cleared.
+//   - A crash counts for Limits.Keep at most, from its first report.
+//   - The number of contents in a ledger is bounded, and no account can use the capacity
+//     of others.
+//   - Readers get an immutable Standing and need no lock.
 package crashes
--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -15,96 +15,99 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Limits bound a ledger.
+// Limits bound a Ledger.
 type Limits struct {
-	// Ends is at how many lives a content is refused.
+	// Ends is the number of incarnations with an uncleared crash from which a content is
+	// refused.
 	Ends int
-	// Keep is for how long an End counts.
+	// Keep is how long a crash counts, from its first report.
 	Keep time.Duration
-	// Contents is how many contents are remembered, and PerAccount how many of one
-	// account.
+	// Contents is the maximum number of contents, and PerAccount that of one account.
 	Contents   int
 	PerAccount int
 }
 
-// Ledger holds the ends of targets by content. It is safe for concurrent use.
+// Ledger holds the crashes of targets by request content. It is safe for concurrent use.
 type Ledger struct {
 	limits Limits
-	// standings has what is held against contents, Digest to Standing, for readers on
-	// the path of requests; held counts them.
-	standings sync.Map
-	held      atomic.Int64
+	// statuses maps a Digest to its Standing, so that requests read it without a lock.
+	// heldCount counts its entries.
+	statuses  sync.Map
+	heldCount atomic.Int64
 
-	mu       sync.Mutex
-	contents map[Digest]*content
-	accounts map[string]int // contents by account
-	refused  map[Digest]Standing
+	mu                sync.Mutex
+	contents          map[Digest]*content
+	contentsByAccount map[string]int      // number of contents by account
+	refused           map[Digest]Standing // the contents that are refused
 }
 
-// content is what is known of one content.
+// content is the state of one request content.
 type content struct {
-	account string
-	ends    map[hookhall.Life]*End
-	first   time.Time // the earliest report
+	account       string
+	crashes       map[hookhall.Life]*End
+	firstReported time.Time // the earliest report of its crashes
 }
 
-// NewLedger makes an empty Ledger.
+// NewLedger returns an empty Ledger.
 func NewLedger(l Limits) *Ledger {
-	return &Ledger{limits: l, contents: map[Digest]*content{}, accounts: map[string]int{}, refused: map[Digest]Standing{}}
+	return &Ledger{limits: l, contents: map[Digest]*content{}, contentsByAccount: map[string]int{}, refused: map[Digest]Standing{}}
 }
 
-// Empty tells whether nothing is held against any content.
-func (b *Ledger) Empty() bool { return b.held.Load() == 0 }
+// Empty reports whether no content has uncleared crashes. It takes no lock.
+func (l *Ledger) Empty() bool { return l.heldCount.Load() == 0 }
 
-// Standing is what is held against a content.
-func (b *Ledger) Standing(d Digest) Standing {
-	if s, ok := b.standings.Load(d); ok {
+// Standing returns the crash status of a content, the zero Standing if it has no uncleared
+// crashes. It takes no lock.
+func (l *Ledger) Standing(d Digest) Standing {
+	if s, ok := l.statuses.Load(d); ok {
 		return s.(Standing)
 	}
 	return Standing{}
 }
 
-// Refused has the contents that are refused.
-func (b *Ledger) Refused() map[Digest]Standing {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return maps.Clone(b.refused)
+// Refused returns a copy of the refused contents with their status.
+func (l *Ledger) Refused() map[Digest]Standing {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return maps.Clone(l.refused)
 }
 
-// Learn takes ends in, and returns those that were new here or are newly cleared.
-func (b *Ledger) Learn(ends []End, now time.Time) (fresh []End) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Learn merges reported crashes into the ledger, except those older than Limits.Keep. It
+// returns those that are new or newly cleared.
+func (l *Ledger) Learn(ends []End, now time.Time) (changed []End) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, e := range ends {
-		if now.Sub(e.At) < b.limits.Keep && b.learn(e) {
-			fresh = append(fresh, e)
-			b.publish(e.Content)
+		if now.Sub(e.At) < l.limits.Keep && l.merge(e) {
+			changed = append(changed, e)
+			l.publish(e.Content)
 		}
 	}
-	return fresh
+	return changed
 }
 
-// learn takes one End in and tells whether it was new. The caller holds b.mu.
-func (b *Ledger) learn(e End) bool {
-	c := b.contents[e.Content]
+// merge merges one crash and reports whether it is new or newly cleared. It returns false
+// as well if there is no capacity for its content. l.mu must be held.
+func (l *Ledger) merge(e End) bool {
+	c := l.contents[e.Content]
 	if c == nil {
-		if !b.makeRoom(e.Account) {
+		if !l.makeSpace(e.Account) {
 			return false
 		}
-		c = &content{account: e.Account, ends: map[hookhall.Life]*End{}, first: e.At}
-		b.contents[e.Content] = c
-		b.accounts[e.Account]++
+		c = &content{account: e.Account, crashes: map[hookhall.Life]*End{}, firstReported: e.At}
+		l.contents[e.Content] = c
+		l.contentsByAccount[e.Account]++
 	}
-	if e.At.Before(c.first) {
-		c.first = e.At
+	if e.At.Before(c.firstReported) {
+		c.firstReported = e.At
 	}
-	known := c.ends[e.Life]
+	known := c.crashes[e.Life]
 	if known == nil {
-		c.ends[e.Life] = &e
+		c.crashes[e.Life] = &e
 		return true
 	}
 	if e.At.Before(known.At) {
-		known.At = e.At // it counts from its first report, whoever heard that
+		known.At = e.At // the first report counts, whichever process received it
 	}
 	if e.Cleared && !known.Cleared {
 		known.Cleared = true
@@ -113,62 +116,62 @@
 	return false
 }
 
-// Clear takes in that a target gave a whole answer to a content, and returns the ends
-// that this clears.
-func (b *Ledger) Clear(d Digest) (cleared []End) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c := b.contents[d]
+// Clear clears the crashes of a content after a complete response of a target, and returns
+// those that were not cleared before.
+func (l *Ledger) Clear(d Digest) (cleared []End) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := l.contents[d]
 	if c == nil {
 		return nil
 	}
-	for _, e := range c.ends {
+	for _, e := range c.crashes {
 		if !e.Cleared {
 			e.Cleared = true
 			cleared = append(cleared, *e)
 		}
 	}
-	b.publish(d)
+	l.publish(d)
 	return cleared
 }
 
-// Expire forgets what is past its time.
-func (b *Ledger) Expire(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for d, c := range b.contents {
-		was := len(c.ends)
-		maps.DeleteFunc(c.ends, func(_ hookhall.Life, e *End) bool { return now.Sub(e.At) >= b.limits.Keep })
-		switch len(c.ends) {
+// Expire removes crashes older than Limits.Keep.
+func (l *Ledger) Expire(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for d, c := range l.contents {
+		oldCount := len(c.crashes)
+		maps.DeleteFunc(c.crashes, func(_ hookhall.Life, e *End) bool { return now.Sub(e.At) >= l.limits.Keep })
+		switch len(c.crashes) {
 		case 0:
-			b.forget(d, c)
-		case was:
+			l.removeContent(d, c)
+		case oldCount:
 		default:
-			b.publish(d)
+			l.publish(d)
 		}
 	}
 }
 
-// All lists all ends.
-func (b *Ledger) All() []End {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// All returns all crashes, cleared ones included, in no particular order.
+func (l *Ledger) All() []End {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var all []End
-	for _, c := range b.contents {
-		for _, e := range c.ends {
+	for _, c := range l.contents {
+		for _, e := range c.crashes {
 			all = append(all, *e)
 		}
 	}
 	return all
 }
 
-// Of lists the ends of one content, sorted by target.
-func (b *Ledger) Of(d Digest) []End {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Of returns the crashes of one content, sorted by target id and start of the incarnation.
+func (l *Ledger) Of(d Digest) []End {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var list []End
-	if c := b.contents[d]; c != nil {
-		for _, e := range c.ends {
+	if c := l.contents[d]; c != nil {
+		for _, e := range c.crashes {
 			list = append(list, *e)
 		}
 	}
@@ -178,80 +181,81 @@
 	return list
 }
 
-// settle is for how long before its time an End is left out of the sum: processes count
-// its time from moments that differ by how long a report was on its way.
-const settle = 5 * time.Second
+// checksumMargin is how long before its expiry a crash is left out of Sum. Processes count
+// the age of a crash from times that differ by the transmission time of the report.
+const checksumMargin = 5 * time.Second
 
-// Sum sums up the ledger; equal sums mean equal ledgers. An empty one has 0.
-func (b *Ledger) Sum(now time.Time) uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Sum returns a checksum of the crashes that don't expire soon; ledgers with equal
+// checksums are taken for equal. That of an empty ledger is 0.
+func (l *Ledger) Sum(now time.Time) uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	sum := uint64(0)
-	for _, c := range b.contents {
-		for _, e := range c.ends {
-			if now.Sub(e.At) < b.limits.Keep-settle {
-				sum ^= e.sum()
+	for _, c := range l.contents {
+		for _, e := range c.crashes {
+			if now.Sub(e.At) < l.limits.Keep-checksumMargin {
+				sum ^= e.checksum()
 			}
 		}
 	}
 	return sum
 }
 
-// makeRoom forgets a content for the first one of another, if it has to, and tells
-// whether there is room. An account that has its most gives up one of its own. The
-// caller holds b.mu.
-func (b *Ledger) makeRoom(account string) bool {
+// makeSpace evicts a content if needed for a new one of account, and reports whether there
+// is capacity. An account at its limit loses one of its own contents. l.mu must be held.
+func (l *Ledger) makeSpace(account string) bool {
 	switch {
-	case b.accounts[account] >= b.limits.PerAccount:
-		return b.forgetOne(func(c *content) bool { return c.account == account })
-	case len(b.contents) >= b.limits.Contents:
-		return b.forgetOne(func(*content) bool { return true })
+	case l.contentsByAccount[account] >= l.limits.PerAccount:
+		return l.evictOne(func(c *content) bool { return c.account == account })
+	case len(l.contents) >= l.limits.Contents:
+		return l.evictOne(func(*content) bool { return true })
 	}
 	return true
 }
 
-// forgetOne forgets the content with the fewest ends, the oldest of them, among some.
-// It tells whether there was one that is not refused. The caller holds b.mu.
-func (b *Ledger) forgetOne(among func(c *content) bool) bool {
+// evictOne removes, of the contents for which among returns true and which are not refused,
+// the one with the fewest uncleared crashes, and of those the oldest. It reports whether
+// there was one. l.mu must be held.
+func (l *Ledger) evictOne(among func(c *content) bool) bool {
 	var (
-		worst  Digest
+		digest Digest
 		chosen *content
 	)
-	for d, c := range b.contents {
-		if !among(c) || c.open() >= b.limits.Ends {
+	for d, c := range l.contents {
+		if !among(c) || c.unclearedCount() >= l.limits.Ends {
 			continue
 		}
-		if chosen == nil || c.open() < chosen.open() || (c.open() == chosen.open() && c.first.Before(chosen.first)) {
-			worst, chosen = d, c
+		if chosen == nil || c.unclearedCount() < chosen.unclearedCount() || (c.unclearedCount() == chosen.unclearedCount() && c.firstReported.Before(chosen.firstReported)) {
+			digest, chosen = d, c
 		}
 	}
 	if chosen == nil {
 		return false
 	}
-	b.forget(worst, chosen)
+	l.removeContent(digest, chosen)
 	return true
 }
 
-// forget drops a content. The caller holds b.mu.
-func (b *Ledger) forget(d Digest, c *content) {
-	delete(b.contents, d)
-	if b.accounts[c.account]--; b.accounts[c.account] == 0 {
-		delete(b.accounts, c.account)
+// removeContent removes a content. l.mu must be held.
+func (l *Ledger) removeContent(d Digest, c *content) {
+	delete(l.contents, d)
+	if l.contentsByAccount[c.account]--; l.contentsByAccount[c.account] == 0 {
+		delete(l.contentsByAccount, c.account)
 	}
-	b.publish(d)
+	l.publish(d)
 }
 
-// sorted are the ends in the order of their reports.
-func (c *content) sorted() []*End {
-	list := slices.Collect(maps.Values(c.ends))
+// sortedCrashes returns the crashes in the order of their first reports.
+func (c *content) sortedCrashes() []*End {
+	list := slices.Collect(maps.Values(c.crashes))
 	slices.SortFunc(list, func(a, b *End) int { return a.At.Compare(b.At) })
 	return list
 }
 
-// open is how many ends are not cleared.
-func (c *content) open() int {
+// unclearedCount returns the number of crashes that are not cleared.
+func (c *content) unclearedCount() int {
 	n := 0
-	for _, e := range c.ends {
+	for _, e := range c.crashes {
 		if !e.Cleared {
 			n++
 		}
@@ -259,46 +263,46 @@
 	return n
 }
 
-// publish has readers see what is held against a content. The caller holds b.mu.
-func (b *Ledger) publish(d Digest) {
+// publish updates the status of a content for readers. l.mu must be held.
+func (l *Ledger) publish(d Digest) {
 	var s Standing
-	if c := b.contents[d]; c != nil {
-		s = b.standing(c)
+	if c := l.contents[d]; c != nil {
+		s = l.status(c)
 	}
-	was, known := b.standings.Load(d)
+	old, known := l.statuses.Load(d)
 	switch {
 	case s.Ends > 0:
-		b.standings.Store(d, s)
+		l.statuses.Store(d, s)
 		if !known {
-			b.held.Add(1)
+			l.heldCount.Add(1)
 		}
 	case known:
-		b.standings.Delete(d)
-		b.held.Add(-1)
+		l.statuses.Delete(d)
+		l.heldCount.Add(-1)
 	}
 	if s.refused {
-		b.refused[d] = s
-	} else if known && was.(Standing).refused {
-		delete(b.refused, d)
+		l.refused[d] = s
+	} else if known && old.(Standing).refused {
+		delete(l.refused, d)
 	}
 }
 
-// oneMoment is within which time ends under a content that was served a moment before
-// count as one: many targets that end at once, while each runs what many clients ask
-// alike, have another cause.
-const oneMoment = time.Second
+// simultaneousWindow is the time within which crashes under a recently served content
+// count as one: if many targets crash at once while each runs a content that many clients
+// request, the content is not the cause.
+const simultaneousWindow = time.Second
 
-// standing sums up what is held against a content.
-func (b *Ledger) standing(c *content) Standing {
+// status computes the status of a content. l.mu must be held.
+func (l *Ledger) status(c *content) Standing {
 	var s Standing
-	var counted time.Time // when the last end came that counts
-	for _, e := range c.sorted() {
+	var lastCounted time.Time // time of the last crash that counted
+	for _, e := range c.sortedCrashes() {
 		if e.Cleared {
 			continue
 		}
-		if !e.Served || counted.IsZero() || e.At.Sub(counted) >= oneMoment {
+		if !e.Served || lastCounted.IsZero() || e.At.Sub(lastCounted) >= simultaneousWindow {
 			s.Ends++
-			counted = e.At
+			lastCounted = e.At
 		}
 		if s.Since.IsZero() || e.At.Before(s.Since) {
 			s.Since = e.At
@@ -308,6 +312,6 @@
 		}
 	}
 	slices.Sort(s.Software)
-	s.refused = s.Ends >= b.limits.Ends
+	s.refused = s.Ends >= l.limits.Ends
 	return s
 }
--- a/internal/state/crashes/ledger_test.go
+++ b/internal/state/crashes/ledger_test.go
@@ -18,116 +18,122 @@
 	start  = time.Unix(1000, 0)
 )
 
-// end is the end of target n of version v1 under a content of account a, when the tests
-// begin.
-func end(content byte, n int) End {
+// newCrash returns a crash of target n under a content of account a, at the start of a test.
+func newCrash(content byte, n int) End {
 	return End{Content: Digest{content}, Account: "a", Life: hookhall.Life{ID: fmt.Sprint("target-", n)}, Software: "s v1", At: start}
 }
 
-func cleared(e End) End {
+// clearedCrash returns e as cleared.
+func clearedCrash(e End) End {
 	e.Cleared = true
 	return e
 }
 
-// wantStanding holds how many ends count against a content, and whether it is refused.
-func wantStanding(t *testing.T, l *Ledger, content byte, ends int, refused bool) {
+// wantStatus checks how many crashes count against a content, and whether it is refused.
+func wantStatus(t *testing.T, l *Ledger, content byte, ends int, refused bool) {
 	t.Helper()
 	s := l.Standing(Digest{content})
 	if _, listed := l.Refused()[Digest{content}]; s.Ends != ends || s.Refused() != refused || listed != refused {
-		t.Errorf("content %d: %d ends, refused %v; want %d, %v", content, s.Ends, s.Refused(), ends, refused)
+		t.Errorf("content %d: %d crashes, refused %v; want %d, %v", content, s.Ends, s.Refused(), ends, refused)
 	}
 }
 
+// TestSum guards against digests that are equal for different requests, or different for
+// the same one.
 func TestSum(t *testing.T) {
 	one := Sum("account", "host", "/path?a=1", []byte("body"))
 	for name, c := range map[string]struct {
 		account, host, uri, body string
 		same                     bool
 	}{
-		"the same":         {"account", "host", "/path?a=1", "body", true},
+		"the same request": {"account", "host", "/path?a=1", "body", true},
 		"another account":  {"account2", "host", "/path?a=1", "body", false},
 		"another host":     {"account", "host2", "/path?a=1", "body", false},
 		"another path":     {"account", "host", "/path2?a=1", "body", false},
 		"another query":    {"account", "host", "/path?a=2", "body", false},
 		"another body":     {"account", "host", "/path?a=1", "body2", false},
-		"another division": {"accounth", "ost", "/path?a=1", "body", false},
+		"another split":    {"accounth", "ost", "/path?a=1", "body", false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := Sum(c.account, c.host, c.uri, []byte(c.body)); (got == one) != c.same {
-				t.Errorf("%s, %s", got, one)
+				t.Errorf("digest %s, that of the first request %s", got, one)
 			}
 		})
 	}
 }
 
+// TestStanding guards against miscounted crashes: repeated reports count once, two
+// incarnations of a target count twice, and cleared or expired crashes don't count.
 func TestStanding(t *testing.T) {
-	reborn := end(1, 1)
-	reborn.Life.Born = 5
+	restarted := newCrash(1, 1)
+	restarted.Life.Born = 5
 	for name, c := range map[string]struct {
 		ends    []End
 		count   int
 		refused bool
 	}{
-		"one end":                      {[]End{end(1, 1)}, 1, false},
-		"two ends":                     {[]End{end(1, 1), end(1, 2)}, 2, false},
-		"three ends":                   {[]End{end(1, 1), end(1, 2), end(1, 3)}, 3, true},
-		"the same end told thrice":     {[]End{end(1, 1), end(1, 1), end(1, 1)}, 1, false},
-		"two lives of one target":      {[]End{end(1, 1), reborn, end(1, 2)}, 3, true},
-		"ends under another content":   {[]End{end(1, 1), end(1, 2), end(2, 3)}, 2, false},
-		"one is cleared":               {[]End{end(1, 1), end(1, 2), cleared(end(1, 3))}, 2, false},
-		"one is cleared later":         {[]End{end(1, 1), end(1, 2), end(1, 3), cleared(end(1, 3))}, 2, false},
-		"cleared news comes first":     {[]End{cleared(end(1, 3)), end(1, 3), end(1, 1), end(1, 2)}, 2, false},
-		"three after three cleared":    {[]End{cleared(end(1, 1)), cleared(end(1, 2)), cleared(end(1, 3)), end(1, 4), end(1, 5), end(1, 6)}, 3, true},
-		"an end that is past its time": {[]End{end(1, 1), end(1, 2), {Content: Digest{1}, Account: "a", Life: hookhall.Life{ID: "old"}, At: start.Add(-time.Hour)}}, 2, false},
+		"one crash":                           {[]End{newCrash(1, 1)}, 1, false},
+		"two crashes":                         {[]End{newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three crashes":                       {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, 3, true},
+		"the same crash reported three times": {[]End{newCrash(1, 1), newCrash(1, 1), newCrash(1, 1)}, 1, false},
+		"two incarnations of one target":      {[]End{newCrash(1, 1), restarted, newCrash(1, 2)}, 3, true},
+		"crashes under another content":       {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(2, 3)}, 2, false},
+		"one is cleared":                      {[]End{newCrash(1, 1), newCrash(1, 2), clearedCrash(newCrash(1, 3))}, 2, false},
+		"one is cleared later":                {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3), clearedCrash(newCrash(1, 3))}, 2, false},
+		"the cleared report comes first":      {[]End{clearedCrash(newCrash(1, 3)), newCrash(1, 3), newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three after three cleared":           {[]End{clearedCrash(newCrash(1, 1)), clearedCrash(newCrash(1, 2)), clearedCrash(newCrash(1, 3)), newCrash(1, 4), newCrash(1, 5), newCrash(1, 6)}, 3, true},
+		"an expired crash":                    {[]End{newCrash(1, 1), newCrash(1, 2), {Content: Digest{1}, Account: "a", Life: hookhall.Life{ID: "old"}, At: start.Add(-time.Hour)}}, 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
 			for _, e := range c.ends {
 				l.Learn([]End{e}, start)
 			}
-			wantStanding(t, l, 1, c.count, c.refused)
+			wantStatus(t, l, 1, c.count, c.refused)
 		})
 	}
 }
 
-// TestOneMoment: ends at one moment under a content that was served before count once; under
-// one that was not, each counts.
-func TestOneMoment(t *testing.T) {
+// TestSimultaneousCrashes guards against refusing a content that many clients request when
+// many targets crash at once for another reason: simultaneous crashes under a content that
+// was served shortly before count once, under any other content each counts.
+func TestSimultaneousCrashes(t *testing.T) {
 	for name, c := range map[string]struct {
-		served  bool
-		apart   time.Duration
-		ends    int
-		refused bool
+		served   bool
+		interval time.Duration
+		ends     int
+		refused  bool
 	}{
-		"at once, never served":       {false, 0, 3, true},
-		"at once, served before":      {true, 0, 1, false},
-		"in one moment, served":       {true, 100 * time.Millisecond, 1, false},
-		"one after the other, served": {true, oneMoment, 3, true},
+		"at once, never served":             {false, 0, 3, true},
+		"at once, served before":            {true, 0, 1, false},
+		"within the window, served before":  {true, 100 * time.Millisecond, 1, false},
+		"outside the window, served before": {true, simultaneousWindow, 3, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
 			for n := range 3 {
-				e := end(1, n)
+				e := newCrash(1, n)
 				e.Served = c.served
-				e.At = start.Add(time.Duration(n) * c.apart)
+				e.At = start.Add(time.Duration(n) * c.interval)
 				l.Learn([]End{e}, e.At)
 			}
-			wantStanding(t, l, 1, c.ends, c.refused)
+			wantStatus(t, l, 1, c.ends, c.refused)
 		})
 	}
 }
 
-// TestRecent: what was served is remembered for a while, and not for long.
+// TestRecent guards against served contents that are forgotten too early, remembered too
+// long, or that exceed the limit of a generation.
 func TestRecent(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
 		want  bool
 	}{
-		"at once":              {0, true},
-		"within its time":      {recentTime - time.Second, true},
-		"in the next":          {recentTime + time.Second, true},
-		"after both":           {2 * recentTime, false},
-		"after a long silence": {time.Hour, false},
+		"at once":                {0, true},
+		"within its generation":  {generationDuration - time.Second, true},
+		"in the next generation": {generationDuration + time.Second, true},
+		"after both generations": {2 * generationDuration, false},
+		"after a long time":      {time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRecent(start)
@@ -138,128 +144,134 @@
 		})
 	}
 	r := NewRecent(start)
-	for n := range 3 * recentMost {
+	for n := range 3 * maxGenerationContents {
 		r.Add(Digest{byte(n), byte(n >> 8)}, start)
 	}
-	if n := r.current.Load().count.Load(); n > recentMost {
+	if n := r.current.Load().count.Load(); n > maxGenerationContents {
 		t.Errorf("%d contents are remembered", n)
 	}
 }
 
-// TestClear: a whole answer clears what came before, not what comes after.
+// TestClear guards against a complete response that leaves earlier crashes uncleared, or
+// clears later ones.
 func TestClear(t *testing.T) {
 	l := NewLedger(limits)
-	l.Learn([]End{end(1, 1), end(1, 2), end(1, 3)}, start)
-	wantStanding(t, l, 1, 3, true)
+	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
+	wantStatus(t, l, 1, 3, true)
 	if got := l.Clear(Digest{1}); len(got) != 3 {
-		t.Errorf("%d ends were cleared", len(got))
+		t.Errorf("%d crashes were cleared", len(got))
 	}
-	wantStanding(t, l, 1, 0, false)
-	l.Learn([]End{end(1, 4), end(1, 3)}, start)
-	wantStanding(t, l, 1, 1, false)
+	wantStatus(t, l, 1, 0, false)
+	l.Learn([]End{newCrash(1, 4), newCrash(1, 3)}, start)
+	wantStatus(t, l, 1, 1, false)
 	if got := l.Clear(Digest{7}); len(got) != 0 {
-		t.Errorf("%d ends of an unknown content were cleared", len(got))
+		t.Errorf("%d crashes of an unknown content were cleared", len(got))
 	}
 }
 
-// TestVersions: another version of the software is tried once more.
-func TestVersions(t *testing.T) {
+// TestOtherVersionNotRefused guards against refusing a content for good: another version of
+// the software may run it until that version has crashed under it.
+func TestOtherVersionNotRefused(t *testing.T) {
 	l := NewLedger(limits)
-	l.Learn([]End{end(1, 1), end(1, 2), end(1, 3)}, start)
+	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
 	s := l.Standing(Digest{1})
 	if !s.RefusedBy("s v1") || s.RefusedBy("s v2") {
 		t.Errorf("refused by v1 %v, by v2 %v", s.RefusedBy("s v1"), s.RefusedBy("s v2"))
 	}
-	newer := end(1, 4)
+	newer := newCrash(1, 4)
 	newer.Software = "s v2"
 	l.Learn([]End{newer}, start)
 	if s := l.Standing(Digest{1}); !s.RefusedBy("s v2") {
-		t.Error("v2 ended under it, and would get it again")
+		t.Error("v2 crashed under the content and is not refused")
 	}
 }
 
-// TestExpire: ends are forgotten after their time, counted from their first report.
+// TestExpire guards against crashes that never expire because each repeated report renews
+// them: the age counts from the first report.
 func TestExpire(t *testing.T) {
 	l := NewLedger(limits)
-	late := end(1, 3)
+	late := newCrash(1, 3)
 	late.At = start.Add(30 * time.Second)
-	l.Learn([]End{end(1, 1), end(1, 2), late}, late.At)
-	wantStanding(t, l, 1, 3, true)
+	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), late}, late.At)
+	wantStatus(t, l, 1, 3, true)
 	early := late
 	early.At = start.Add(10 * time.Second)
-	l.Learn([]End{early}, late.At) // somebody heard of it before
+	l.Learn([]End{early}, late.At) // another process received the report earlier
 	l.Expire(start.Add(limits.Keep))
-	wantStanding(t, l, 1, 1, false)
+	wantStatus(t, l, 1, 1, false)
 	l.Expire(start.Add(limits.Keep + 10*time.Second))
 	if len(l.All()) != 0 {
-		t.Errorf("%d ends are kept", len(l.All()))
+		t.Errorf("%d crashes are kept", len(l.All()))
 	}
 }
 
-// TestBounds: the ledger stays within its bounds, and no account takes others' room.
+// TestBounds guards against a ledger that exceeds its limits, and against an account that
+// displaces the contents of others or a refused content.
 func TestBounds(t *testing.T) {
 	l := NewLedger(limits)
-	guilty := []End{end(200, 1), end(200, 2), end(200, 3)}
-	for i := range guilty {
-		guilty[i].Account = "b"
+	faulty := []End{newCrash(200, 1), newCrash(200, 2), newCrash(200, 3)}
+	for i := range faulty {
+		faulty[i].Account = "b"
 	}
-	l.Learn(guilty, start)
+	l.Learn(faulty, start)
 	for n := range 100 {
-		e := end(byte(n), n)
+		e := newCrash(byte(n), n)
 		e.At = start.Add(time.Duration(n) * time.Millisecond)
 		l.Learn([]End{e}, start.Add(time.Second))
 	}
-	if n := int(l.held.Load()); n != limits.PerAccount+1 {
+	if n := int(l.heldCount.Load()); n != limits.PerAccount+1 {
 		t.Errorf("%d contents are remembered", n)
 	}
-	wantStanding(t, l, 200, 3, true)
-	wantStanding(t, l, 99, 1, false) // the newest of its account
+	wantStatus(t, l, 200, 3, true)
+	wantStatus(t, l, 99, 1, false) // the newest of its account
 	for n := range 100 {
-		e := end(byte(n), n)
+		e := newCrash(byte(n), n)
 		e.Account = fmt.Sprint("account-", n)
 		l.Learn([]End{e}, start)
 	}
-	if n := int(l.held.Load()); n != limits.Contents {
+	if n := int(l.heldCount.Load()); n != limits.Contents {
 		t.Errorf("%d contents are remembered", n)
 	}
-	wantStanding(t, l, 200, 3, true)
+	wantStatus(t, l, 200, 3, true)
 }
 
-// TestMerge: ledgers that learn the same get equal, in any order and however often.
+// TestMerge guards against ledgers that differ although they got the same reports, in any
+// order and number.
 func TestMerge(t *testing.T) {
-	wide := Limits{Ends: 3, Keep: time.Minute, Contents: 100, PerAccount: 100}
+	wideLimits := Limits{Ends: 3, Keep: time.Minute, Contents: 100, PerAccount: 100}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 0))
 		var ends []End
 		for range 30 {
-			e := end(byte(r.IntN(5)), r.IntN(6))
+			e := newCrash(byte(r.IntN(5)), r.IntN(6))
 			e.Cleared = r.IntN(4) == 0
 			e.Life.Born = int64(r.IntN(2))
 			ends = append(ends, e)
 		}
 		var sums []uint64
 		for range 4 {
-			l := NewLedger(wide)
-			told := append(slices.Clone(ends), ends[:r.IntN(len(ends))]...)
-			r.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-			for len(told) > 0 {
-				n := min(1+r.IntN(5), len(told))
-				l.Learn(told[:n], start)
-				told = told[n:]
+			l := NewLedger(wideLimits)
+			reports := append(slices.Clone(ends), ends[:r.IntN(len(ends))]...)
+			r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+			for len(reports) > 0 {
+				n := min(1+r.IntN(5), len(reports))
+				l.Learn(reports[:n], start)
+				reports = reports[n:]
 			}
 			sums = append(sums, l.Sum(start))
 		}
 		if slices.Min(sums) != slices.Max(sums) {
-			t.Fatalf("seed %d: sums %v", seed, sums)
+			t.Fatalf("seed %d: checksums %v", seed, sums)
 		}
 	}
-	if sum := NewLedger(wide).Sum(start); sum != 0 {
-		t.Errorf("an empty ledger has the sum %d", sum)
+	if sum := NewLedger(wideLimits).Sum(start); sum != 0 {
+		t.Errorf("an empty ledger has the checksum %d", sum)
 	}
 }
 
 var sink Digest
 
+// BenchmarkSum measures the digest of requests by size of the body.
 func BenchmarkSum(b *testing.B) {
 	for _, size := range []int{1 << 10, 64 << 10, 10 << 20} {
 		b.Run(fmt.Sprint(size>>10, "KB"), func(b *testing.B) {
@@ -272,6 +284,7 @@
 	}
 }
 
+// BenchmarkStanding measures reading the status of one of 4,096 contents.
 func BenchmarkStanding(b *testing.B) {
 	l := NewLedger(Limits{Ends: 3, Keep: time.Minute, Contents: 4096, PerAccount: 4096})
 	for n := range 4096 {
@@ -284,7 +297,7 @@
 	}
 }
 
-// BenchmarkLearn: one more end under one of 4,096 contents.
+// BenchmarkLearn measures the report of a crash under one of 4,096 contents.
 func BenchmarkLearn(b *testing.B) {
 	l := NewLedger(Limits{Ends: 3, Keep: time.Hour, Contents: 4096, PerAccount: 4096})
 	for n := range 4096 {
--- a/internal/state/crashes/mass_test.go
+++ b/internal/state/crashes/mass_test.go
@@ -14,18 +14,19 @@
 	"github.com/hookhall/hookhall"
 )
 
-// judge is a way of telling guilty contents from innocent ones.
-type judge struct {
-	clears bool // a whole answer clears
-	moment bool // ends at one moment count once for what was served before
+// refusalRule selects which parts of the rule for refusing contents a simulation applies.
+type refusalRule struct {
+	clearsOnAnswer     bool // a complete response clears earlier crashes
+	mergesSimultaneous bool // simultaneous crashes under a recently served content count once
 }
 
-// event is something that happens in a simulation.
+// event is a function that runs at a simulated time.
 type event struct {
 	at time.Time
 	do func()
 }
 
+// events is a heap of events, the earliest first.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -38,139 +39,146 @@
 	return last
 }
 
-// fleet is a simulation of targets whose gateways share one ledger at once.
-type fleet struct {
-	judge
-	rand    *rand.Rand
-	now     time.Time
-	queue   events
-	ledger  *Ledger
-	recent  *Recent
-	running []map[*run]bool // by target
-	lives   []int64
-	refused int // innocent requests
-	lost    int // targets that ended by a guilty content
+// sim simulates targets whose gateways share one ledger without delay.
+type sim struct {
+	refusalRule
+	rand            *rand.Rand
+	now             time.Time
+	queue           events
+	ledger          *Ledger
+	recent          *Recent
+	running         []map[*request]bool // requests in progress by target
+	incarnations    []int64             // by target
+	harmlessRefused int                 // refused requests that crash no target
+	crashedTargets  int                 // targets that the faulty content crashed
 }
 
-type run struct {
-	content Digest
-	tries   int
-	guilty  bool
-	over    bool
+// request is one request of a client.
+type request struct {
+	content  Digest
+	attempts int  // so far
+	faulty   bool // crashes every target that runs it
+	finished bool // the attempt in progress has ended
 }
 
 const simulatedTargets = 100
 
-func newFleet(j judge, seed uint64) *fleet {
-	f := &fleet{
-		judge: j, rand: rand.New(rand.NewPCG(seed, 0)), now: start, recent: NewRecent(start),
-		ledger: NewLedger(Limits{Ends: 3, Keep: 10 * time.Minute, Contents: 4096, PerAccount: 4096}),
-		lives:  make([]int64, simulatedTargets),
+// newSimulation returns a simulation with an empty ledger and no events.
+func newSimulation(rule refusalRule, seed uint64) *sim {
+	s := &sim{
+		refusalRule: rule, rand: rand.New(rand.NewPCG(seed, 0)), now: start, recent: NewRecent(start),
+		ledger:       NewLedger(Limits{Ends: 3, Keep: 10 * time.Minute, Contents: 4096, PerAccount: 4096}),
+		incarnations: make([]int64, simulatedTargets),
 	}
 	for range simulatedTargets {
-		f.running = append(f.running, map[*run]bool{})
+		s.running = append(s.running, map[*request]bool{})
 	}
-	return f
+	return s
 }
 
-func (f *fleet) after(d time.Duration, do func()) { heap.Push(&f.queue, event{f.now.Add(d), do}) }
+// schedule runs do after d of simulated time.
+func (s *sim) schedule(d time.Duration, do func()) { heap.Push(&s.queue, event{s.now.Add(d), do}) }
 
-func (f *fleet) play() {
-	for len(f.queue) > 0 {
-		e := heap.Pop(&f.queue).(event)
-		f.now = e.at
+// runEvents runs all events, including those that they schedule.
+func (s *sim) runEvents() {
+	for len(s.queue) > 0 {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.do()
 	}
 }
 
-// send has a target run a request, unless its content is refused.
-func (f *fleet) send(r *run) {
-	if f.ledger.Standing(r.content).Refused() {
-		if !r.guilty {
-			f.refused++
+// send starts a request on a random target, unless its content is refused.
+func (s *sim) send(r *request) {
+	if s.ledger.Standing(r.content).Refused() {
+		if !r.faulty {
+			s.harmlessRefused++
 		}
 		return
 	}
-	r.over = false
-	n := f.rand.IntN(simulatedTargets)
-	f.running[n][r] = true
-	f.after(time.Duration(50+f.rand.IntN(450))*time.Millisecond, func() {
+	r.finished = false
+	n := s.rand.IntN(simulatedTargets)
+	s.running[n][r] = true
+	s.schedule(time.Duration(50+s.rand.IntN(450))*time.Millisecond, func() {
 		switch {
-		case r.over:
-		case r.guilty:
-			f.lost++
-			f.crash(n)
+		case r.finished:
+		case r.faulty:
+			s.crashedTargets++
+			s.crash(n)
 		default:
-			delete(f.running[n], r)
-			f.recent.Add(r.content, f.now)
-			if f.clears {
-				f.ledger.Clear(r.content)
+			delete(s.running[n], r)
+			s.recent.Add(r.content, s.now)
+			if s.clearsOnAnswer {
+				s.ledger.Clear(r.content)
 			}
 		}
 	})
 }
 
-// crash ends a target with all that it runs; each request is repeated once.
-func (f *fleet) crash(n int) {
-	f.lives[n]++
-	for r := range f.running[n] {
-		delete(f.running[n], r)
-		r.over = true
-		f.ledger.Learn([]End{{
-			Content: r.content, Life: hookhall.Life{ID: fmt.Sprint(n), Born: f.lives[n]}, At: f.now,
-			Served: f.moment && f.recent.Has(r.content, f.now),
-		}}, f.now)
-		if r.tries++; r.tries < 2 {
-			f.after(100*time.Millisecond, func() { f.send(&run{content: r.content, tries: r.tries, guilty: r.guilty}) })
+// crash crashes target n with all its requests; each request is retried once.
+func (s *sim) crash(n int) {
+	s.incarnations[n]++
+	for r := range s.running[n] {
+		delete(s.running[n], r)
+		r.finished = true
+		s.ledger.Learn([]End{{
+			Content: r.content, Life: hookhall.Life{ID: fmt.Sprint(n), Born: s.incarnations[n]}, At: s.now,
+			Served: s.mergesSimultaneous && s.recent.Has(r.content, s.now),
+		}}, s.now)
+		if r.attempts++; r.attempts < 2 {
+			s.schedule(100*time.Millisecond, func() { s.send(&request{content: r.content, attempts: r.attempts, faulty: r.faulty}) })
 		}
 	}
 }
 
-// requests has clients send: a third of them what many ask alike, the others each their own.
-func (f *fleet) requests(n int, over time.Duration) {
+// scheduleRequests schedules n requests at random times: a third of them have one of 50
+// contents that many clients request, each of the others has its own content.
+func (s *sim) scheduleRequests(n int, over time.Duration) {
 	for i := range n {
 		var content Digest
 		binary.LittleEndian.PutUint64(content[:], uint64(i)+1000)
 		if i%3 == 0 {
-			binary.LittleEndian.PutUint64(content[:], uint64(f.rand.IntN(50)))
+			binary.LittleEndian.PutUint64(content[:], uint64(s.rand.IntN(50)))
 		}
-		f.after(time.Duration(f.rand.Int64N(int64(over))), func() { f.send(&run{content: content}) })
+		s.schedule(time.Duration(s.rand.Int64N(int64(over))), func() { s.send(&request{content: content}) })
 	}
 }
 
-// TestMassCrash: 100,000 requests, a fifth of all targets ends at once, then a fifth one
-// after the other, and one content ends each target that runs it, sent 200 times.
+// TestMassCrash guards against refusing harmless contents when many targets crash for other
+// reasons, and against a faulty content that crashes more than 10 targets. Of 100
+// targets with 100,000 requests, a fifth crash at once, then a fifth one after another,
+// and a content that crashes every target is sent 200 times.
 func TestMassCrash(t *testing.T) {
 	for name, c := range map[string]struct {
-		judge
-		refusedMost int // innocent requests
+		refusalRule
+		maxRefused int // harmless requests
 	}{
-		"a plain count":                   {judge{}, 100000},
-		"whole answers clear":             {judge{clears: true}, 100000},
-		"whole answers clear, one moment": {judge{clears: true, moment: true}, 0},
+		"each crash counts":        {refusalRule{}, 100000},
+		"complete responses clear": {refusalRule{clearsOnAnswer: true}, 100000},
+		"complete responses clear, simultaneous crashes count once": {refusalRule{clearsOnAnswer: true, mergesSimultaneous: true}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				f := newFleet(c.judge, seed)
-				f.requests(100000, 60*time.Second)
-				f.after(10*time.Second, func() {
+				f := newSimulation(c.refusalRule, seed)
+				f.scheduleRequests(100000, 60*time.Second)
+				f.schedule(10*time.Second, func() {
 					for n := range simulatedTargets / 5 {
 						f.crash(n)
 					}
 				})
 				for n := range simulatedTargets / 5 {
-					f.after(30*time.Second+time.Duration(n)*50*time.Millisecond, func() { f.crash(50 + n) })
+					f.schedule(30*time.Second+time.Duration(n)*50*time.Millisecond, func() { f.crash(50 + n) })
 				}
 				for n := range 200 {
-					f.after(20*time.Second+time.Duration(n)*100*time.Millisecond, func() { f.send(&run{content: Digest{15: 1}, guilty: true}) })
+					f.schedule(20*time.Second+time.Duration(n)*100*time.Millisecond, func() { f.send(&request{content: Digest{15: 1}, faulty: true}) })
 				}
-				f.play()
-				t.Logf("seed %d: %d innocent requests refused, %d targets ended by the guilty one", seed, f.refused, f.lost)
-				if f.refused > c.refusedMost {
-					t.Errorf("seed %d: %d innocent requests were refused", seed, f.refused)
+				f.runEvents()
+				t.Logf("seed %d: %d harmless requests refused, %d targets crashed by the faulty content", seed, f.harmlessRefused, f.crashedTargets)
+				if f.harmlessRefused > c.maxRefused {
+					t.Errorf("seed %d: %d harmless requests were refused", seed, f.harmlessRefused)
 				}
-				if f.lost > 10 {
-					t.Errorf("seed %d: %d targets ended by the guilty content", seed, f.lost)
+				if f.crashedTargets > 10 {
+					t.Errorf("seed %d: %d targets crashed by the faulty content", seed, f.crashedTargets)
 				}
 			}
 		})
--- a/internal/state/crashes/recent.go
+++ b/internal/state/crashes/recent.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// recentTime is for how long at least a served content is remembered, twice that at
-	// most.
-	recentTime = 10 * time.Second
-	// recentMost bounds the contents of one such time, to 200 KB or so: beyond it a content
-	// that comes often is remembered with those of the next.
-	recentMost = 2048
+	// generationDuration is the minimum time for which a served content is remembered; the
+	// maximum is twice as long.
+	generationDuration = 10 * time.Second
+	// maxGenerationContents limits the contents of one generation to some 200 KB. Contents
+	// beyond it are not remembered; one that is served often gets into the next generation.
+	maxGenerationContents = 2048
 )
 
-// Recent remembers which contents were served lately. It is safe for concurrent use.
+// Recent remembers which contents were served recently. It is safe for concurrent use.
 type Recent struct {
-	mu      sync.Mutex // while generations change
-	current atomic.Pointer[generation]
-	before  atomic.Pointer[generation]
+	mu       sync.Mutex // held while generations change
+	current  atomic.Pointer[generation]
+	previous atomic.Pointer[generation]
 }
 
-// generation has the contents of one time.
+// generation holds the contents served in one period of generationDuration.
 type generation struct {
-	began    time.Time
-	contents sync.Map // Digest to nothing
-	count    atomic.Int64
+	startedAt time.Time
+	contents  sync.Map     // set of Digest
+	count     atomic.Int64 // entries of contents
 }
 
-// NewRecent makes an empty Recent.
+// NewRecent returns an empty Recent.
 func NewRecent(now time.Time) *Recent {
 	r := &Recent{}
-	r.current.Store(&generation{began: now})
-	r.before.Store(&generation{began: now})
+	r.current.Store(&generation{startedAt: now})
+	r.previous.Store(&generation{startedAt: now})
 	return r
 }
 
-// Add takes in that a content was served.
+// Add records that a content was served at now.
 func (r *Recent) Add(d Digest, now time.Time) {
-	g := r.generation(now)
-	if g.count.Load() >= recentMost {
+	g := r.currentGeneration(now)
+	if g.count.Load() >= maxGenerationContents {
 		return
 	}
 	if _, known := g.contents.LoadOrStore(d, struct{}{}); !known {
@@ -51,32 +51,33 @@
 	}
 }
 
-// Has tells whether a content was served lately.
+// Has reports whether a content was served recently: within the last generationDuration
+// for certain, and at most twice as long ago.
 func (r *Recent) Has(d Digest, now time.Time) bool {
-	if _, ok := r.generation(now).contents.Load(d); ok {
+	if _, ok := r.currentGeneration(now).contents.Load(d); ok {
 		return true
 	}
-	_, ok := r.before.Load().contents.Load(d)
+	_, ok := r.previous.Load().contents.Load(d)
 	return ok
 }
 
-// generation is the present one.
-func (r *Recent) generation(now time.Time) *generation {
-	if g := r.current.Load(); now.Sub(g.began) < recentTime {
+// currentGeneration returns the generation that contains now, and starts one if needed.
+func (r *Recent) currentGeneration(now time.Time) *generation {
+	if g := r.current.Load(); now.Sub(g.startedAt) < generationDuration {
 		return g
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	g := r.current.Load()
-	age := now.Sub(g.began)
-	if age < recentTime {
-		return g // another one made it
+	age := now.Sub(g.startedAt)
+	if age < generationDuration {
+		return g // another goroutine started it
 	}
-	if age >= 2*recentTime {
-		g = &generation{} // nothing was served in between
+	if age >= 2*generationDuration {
+		g = &generation{} // the current one is too old to be remembered
 	}
-	r.before.Store(g)
-	next := &generation{began: now}
+	r.previous.Store(g)
+	next := &generation{startedAt: now}
 	r.current.Store(next)
 	return next
 }
--- a/internal/state/crashes/status.go
+++ b/internal/state/crashes/status.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// Standing is what is held against a content. It never changes.
+// Standing is the crash status of a request content. It is immutable.
 type Standing struct {
-	// Ends is how many lives of targets ended under it and were not cleared.
+	// Ends is the number of target incarnations with an uncleared crash under the content.
+	// Simultaneous crashes under a recently served content count as one.
 	Ends int
-	// Since is when the first of them was reported.
+	// Since is the first report of those crashes, by the clock of this process.
 	Since time.Time
-	// Software is what ended under it, sorted.
+	// Software is what the crashed targets ran, as in End.Software, sorted.
 	Software []string
-	// refused is set when there are enough of them.
+	// refused is set when Ends has reached Limits.Ends.
 	refused bool
 }
 
-// Refused tells whether the content may not be sent to any target whose software ended
-// under it.
+// Refused reports whether the content must not be sent to targets with the software that
+// crashed under it.
 func (s Standing) Refused() bool { return s.refused }
 
-// RefusedBy tells whether it may not be sent to a target with some software. Another
-// version, or another service, may bear what ended the one before; the first end proves
-// that it doesn't.
+// RefusedBy reports whether the content must not be sent to targets with some software.
+// Another version or service may handle the content without a crash; its first crash
+// proves that it doesn't.
 func (s Standing) RefusedBy(software string) bool {
 	return s.refused && slices.Contains(s.Software, software)
 }
