--- a/internal/state/batch/job.go
+++ b/internal/state/batch/job.go
@@ -37,16 +37,16 @@
 	Request
 	// Bytes is the approximate size of one result.
 	Bytes float64
-	// Due is the latest start that meets the request's latency target. End is the deadline:
-	// results that come later are useless.
+	// Due is the latest start that meets the request's latency target.
 	Due time.Time
+	// End is the deadline of the request: results that come later are useless.
 	End time.Time
 	// Urgency ranks the request; lower values go first.
 	Urgency int
-	// Hall is where the job's data is or will be read; "" means any. Cross is how many bytes
-	// cross halls if the job runs in another one. If Hall is empty, the queue sets it to the
-	// hall of the first target that gets pieces of the job.
-	Hall  string
+	// Hall is where the job's data is or will be read; "" means any. If it is empty, the queue
+	// sets it to the hall of the first target that gets pieces of the job.
+	Hall string
+	// Cross is how many bytes cross halls if the job runs in another hall.
 	Cross float64
 	// Refused reports whether the job must not run on a target; nil means that none refuses
 	// it. It must not block or call the queue.
--- a/internal/state/batch/queue.go
+++ b/internal/state/batch/queue.go
@@ -18,8 +18,8 @@
 	Pieces []hookhall.Piece
 	// Expected is the expected duration of the call.
 	Expected time.Duration
-	// Patience is the stall timeout: how long after the start of the call Overdue should be
-	// called.
+	// Patience is how long after the start of the call it is overdue, so that its pieces
+	// should be offered to other targets as well.
 	Patience time.Duration
 	// ReadBy is how long after the start of the call the target has read all inputs.
 	ReadBy     time.Duration
--- a/internal/state/crashes/doc.go
+++ b/internal/state/crashes/doc.go
@@ -25,5 +25,5 @@
 //   - A crash counts for Limits.Keep at most, from its first report.
 //   - The number of contents in a ledger is bounded, and no account can use the capacity
 //     of others.
-//   - Readers get an immutable Standing and need no lock.
+//   - Readers get an immutable status and need no lock.
 package crashes
--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -22,15 +22,16 @@
 	Ends int
 	// Keep is how long a crash counts, from its first report.
 	Keep time.Duration
-	// Contents is the maximum number of contents, and PerAccount that of one account.
-	Contents   int
+	// Contents is the maximum number of contents.
+	Contents int
+	// PerAccount is the maximum number of contents of one account.
 	PerAccount int
 }
 
 // Ledger holds the crashes of targets by request content. It is safe for concurrent use.
 type Ledger struct {
 	limits Limits
-	// statuses maps a Digest to its Standing, so that requests read it without a lock.
+	// statuses maps a Digest to its crash status, so that requests read it without a lock.
 	// heldCount counts its entries.
 	statuses  sync.Map
 	heldCount atomic.Int64
@@ -56,7 +57,7 @@
 // Empty reports whether no content has uncleared crashes. It takes no lock.
 func (l *Ledger) Empty() bool { return l.heldCount.Load() == 0 }
 
-// Standing returns the crash status of a content, the zero Standing if it has no uncleared
+// Standing returns the crash status of a content, the zero value if it has no uncleared
 // crashes. It takes no lock.
 func (l *Ledger) Standing(d Digest) Standing {
 	if s, ok := l.statuses.Load(d); ok {
@@ -181,8 +182,9 @@
 	return list
 }
 
-// checksumMargin is how long before its expiry a crash is left out of Sum. Processes count
-// the age of a crash from times that differ by the transmission time of the report.
+// checksumMargin is how long before its expiry a crash is left out of the checksum.
+// Processes count the age of a crash from times that differ by the transmission time of
+// the report.
 const checksumMargin = 5 * time.Second
 
 // Sum returns a checksum of the crashes that don't expire soon; ledgers with equal
--- a/internal/state/crashes/recent.go
+++ b/internal/state/crashes/recent.go
@@ -32,7 +32,7 @@
 	count     atomic.Int64 // entries of contents
 }
 
-// NewRecent returns an empty Recent.
+// NewRecent returns an empty set of recently served contents.
 func NewRecent(now time.Time) *Recent {
 	r := &Recent{}
 	r.current.Store(&generation{startedAt: now})
--- a/internal/state/crashes/status.go
+++ b/internal/state/crashes/status.go
@@ -15,9 +15,9 @@
 	Ends int
 	// Since is the first report of those crashes, by the clock of this process.
 	Since time.Time
-	// Software is what the crashed targets ran, as in End.Software, sorted.
+	// Software is what the crashed targets ran, service and version, sorted.
 	Software []string
-	// refused is set when Ends has reached Limits.Ends.
+	// refused is set when the number of crashes has reached that in Limits.
 	refused bool
 }
 
