--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -31,12 +31,12 @@
 	return list
 }
 
-// newJob returns a job whose result is stored in the returned Outcome. due and end are in
-// milliseconds after start.
-func newJob(call string, count int, due, end int) (*Job, *Outcome) {
+// newJob returns a job whose result is stored in the returned Outcome. latestStart and
+// deadline are in milliseconds after start.
+func newJob(call string, count int, latestStart, deadline int) (*Job, *Outcome) {
 	o := &Outcome{}
 	return &Job{
-		Call: call, Count: count, Bytes: 1, Due: at(due), End: at(end),
+		Call: call, Count: count, Bytes: 1, Due: at(latestStart), End: at(deadline),
 		Finish: func(got Outcome) { *o = got },
 	}, o
 }
@@ -74,8 +74,8 @@
 	Convey("Given a queue with one target and a batch of four", t, func() {
 		q := NewQueue()
 		q.Configure(spec, targets("a"))
-		add := func(call string, count, due, end, urgency int) *Job {
-			j, _ := newJob(call, count, due, end)
+		add := func(call string, count, latestStart, deadline, urgency int) *Job {
+			j, _ := newJob(call, count, latestStart, deadline)
 			j.Urgency = urgency
 			q.Add(j)
 			return j
@@ -250,7 +250,7 @@
 		now := start
 		finished := map[string]int{}
 		var jobs []*Job
-		var open []*Batch
+		var inProgress []*Batch
 		handles := map[string]bool{}
 		for step := range rapid.IntRange(1, 150).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 80).Draw(t, "ms")) * time.Millisecond)
@@ -267,9 +267,9 @@
 				q.Add(j)
 				jobs = append(jobs, j)
 			case 2:
-				if len(open) > 0 {
-					b := open[0]
-					open = open[1:]
+				if len(inProgress) > 0 {
+					b := inProgress[0]
+					inProgress = inProgress[1:]
 					results := successResults(b)
 					if rapid.Bool().Draw(t, "failed") {
 						results = nil
@@ -277,8 +277,8 @@
 					q.Done(b, results, now)
 				}
 			case 3:
-				if len(open) > 0 {
-					q.Overdue(open[len(open)-1])
+				if len(inProgress) > 0 {
+					q.Overdue(inProgress[len(inProgress)-1])
 				}
 			case 4:
 				for h := range handles {
@@ -293,7 +293,7 @@
 					q.Free(j.Handles())
 				}
 			}
-			open = append(open, q.Next(now)...)
+			inProgress = append(inProgress, q.Next(now)...)
 			for _, s := range q.workers {
 				if s.bytes < 0 || s.bytes > spec.Room {
 					t.Fatalf("%v bytes at %s", s.bytes, s.Target.ID)
--- a/internal/state/batch/scale_test.go
+++ b/internal/state/batch/scale_test.go
@@ -66,7 +66,7 @@
 		q := NewQueue()
 		all := manyTargets(8)
 		now := start
-		var open []*Batch
+		var inProgress []*Batch
 		var held []string
 		q.Configure(spec, all)
 		for step := range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -76,19 +76,19 @@
 				from := rapid.IntRange(0, 7).Draw(t, "first listed")
 				q.Configure(spec, all[from:])
 			case 1:
-				if len(open) > 0 && rapid.IntRange(0, 3).Draw(t, "withdrawn") == 0 {
-					q.Withdraw(open[0])
-					open = open[1:]
-				} else if len(open) > 0 {
-					results := successResults(open[0])
+				if len(inProgress) > 0 && rapid.IntRange(0, 3).Draw(t, "withdrawn") == 0 {
+					q.Withdraw(inProgress[0])
+					inProgress = inProgress[1:]
+				} else if len(inProgress) > 0 {
+					results := successResults(inProgress[0])
 					for _, r := range results {
 						held = append(held, r.Handle)
 					}
 					if rapid.Bool().Draw(t, "failed") {
 						results = nil
 					}
-					q.Done(open[0], results, now)
-					open = open[1:]
+					q.Done(inProgress[0], results, now)
+					inProgress = inProgress[1:]
 				}
 			case 2:
 				if len(held) > 0 {
@@ -99,7 +99,7 @@
 				j, _ := newJob(fmt.Sprint("j", step), rapid.IntRange(1, 6).Draw(t, "pieces"), 10000, 60000)
 				q.Add(j)
 			}
-			open = append(open, q.Next(now)...)
+			inProgress = append(inProgress, q.Next(now)...)
 			checkAccounts(t, q)
 		}
 	})
--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -75,10 +75,10 @@
 
 // Learn merges reported crashes into the ledger, except those older than Limits.Keep. It
 // returns those that are new or newly cleared.
-func (l *Ledger) Learn(ends []End, now time.Time) (changed []End) {
+func (l *Ledger) Learn(reported []End, now time.Time) (changed []End) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range ends {
+	for _, e := range reported {
 		if now.Sub(e.At) < l.limits.Keep && l.merge(e) {
 			changed = append(changed, e)
 			l.publish(e.Content)
--- a/internal/state/crashes/ledger_test.go
+++ b/internal/state/crashes/ledger_test.go
@@ -30,11 +30,11 @@
 }
 
 // wantStatus checks how many crashes count against a content, and whether it is refused.
-func wantStatus(t *testing.T, l *Ledger, content byte, ends int, refused bool) {
+func wantStatus(t *testing.T, l *Ledger, content byte, crashes int, refused bool) {
 	t.Helper()
 	s := l.Standing(Digest{content})
-	if _, listed := l.Refused()[Digest{content}]; s.Ends != ends || s.Refused() != refused || listed != refused {
-		t.Errorf("content %d: %d crashes, refused %v; want %d, %v", content, s.Ends, s.Refused(), ends, refused)
+	if _, listed := l.Refused()[Digest{content}]; s.Ends != crashes || s.Refused() != refused || listed != refused {
+		t.Errorf("content %d: %d crashes, refused %v; want %d, %v", content, s.Ends, s.Refused(), crashes, refused)
 	}
 }
 
@@ -68,7 +68,7 @@
 	restarted := newCrash(1, 1)
 	restarted.Life.Born = 5
 	for name, c := range map[string]struct {
-		ends    []End
+		crashes []End
 		count   int
 		refused bool
 	}{
@@ -86,7 +86,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
-			for _, e := range c.ends {
+			for _, e := range c.crashes {
 				l.Learn([]End{e}, start)
 			}
 			wantStatus(t, l, 1, c.count, c.refused)
@@ -101,7 +101,7 @@
 	for name, c := range map[string]struct {
 		served   bool
 		interval time.Duration
-		ends     int
+		crashes  int
 		refused  bool
 	}{
 		"at once, never served":             {false, 0, 3, true},
@@ -117,7 +117,7 @@
 				e.At = start.Add(time.Duration(n) * c.interval)
 				l.Learn([]End{e}, e.At)
 			}
-			wantStatus(t, l, 1, c.ends, c.refused)
+			wantStatus(t, l, 1, c.crashes, c.refused)
 		})
 	}
 }
@@ -241,17 +241,17 @@
 	wideLimits := Limits{Ends: 3, Keep: time.Minute, Contents: 100, PerAccount: 100}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		var ends []End
+		var crashes []End
 		for range 30 {
 			e := newCrash(byte(r.IntN(5)), r.IntN(6))
 			e.Cleared = r.IntN(4) == 0
 			e.Life.Born = int64(r.IntN(2))
-			ends = append(ends, e)
+			crashes = append(crashes, e)
 		}
 		var sums []uint64
 		for range 4 {
 			l := NewLedger(wideLimits)
-			reports := append(slices.Clone(ends), ends[:r.IntN(len(ends))]...)
+			reports := append(slices.Clone(crashes), crashes[:r.IntN(len(crashes))]...)
 			r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
 			for len(reports) > 0 {
 				n := min(1+r.IntN(5), len(reports))
