--- /dev/null
+++ b/internal/state/crashes/crash.go
@@ -0,0 +1,42 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package crashes
+
+import (
+	"encoding/binary"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/hookhall/hookhall"
+)
+
+// End records that an incarnation of a target crashed while it ran a request content.
+type End struct {
+	Content Digest
+	// Account is the client account whose capacity the content counts against, "" for
+	// requests without one.
+	Account string
+	Life    hookhall.Life // the incarnation that crashed
+	// Software is what the target ran: its service and version.
+	Software string
+	// Served reports whether the reporting process had served the content shortly before the
+	// crash, so that it does not crash every target that runs it.
+	Served bool
+	// Cleared is set once a target gave a complete response to the content.
+	Cleared bool
+	// At is the time of the first report, by the clock of this process.
+	At time.Time
+}
+
+// checksum returns the contribution of e to Ledger.Sum.
+func (e *End) checksum() uint64 {
+	b := make([]byte, 0, 128)
+	b = append(b, e.Content[:]...)
+	b = append(append(b, e.Life.ID...), 0)
+	b = binary.AppendVarint(b, e.Life.Born)
+	if e.Cleared {
+		b = append(b, 1)
+	}
+	return xxhash.Sum64(b)
+}
