--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -215,9 +215,9 @@
 	return true
 }
 
-// evictOne removes, of the contents for which among returns true and which are not refused,
-// the one with the fewest uncleared crashes, and of those the oldest. It reports whether
-// there was one. l.mu must be held.
+// evictOne removes one of the contents for which among returns true and whose uncleared
+// crashes are too few to refuse them: that with the fewest, and of those the oldest. It
+// reports whether there was one. l.mu must be held.
 func (l *Ledger) evictOne(among func(c *content) bool) bool {
 	var (
 		digest Digest
