--- a/internal/coordination/outage/gate.go
+++ b/internal/coordination/outage/gate.go
@@ -15,276 +15,284 @@
 )
 
 const (
-	// pauseFirst is how long the store is left alone after the first failure; the
-	// pause doubles with each further one. An answer that is lost once costs little.
-	pauseFirst = 50 * time.Millisecond
-	// probeWait is how long a watch may wait that is made on behalf of all.
-	probeWait = 20 * time.Millisecond
+	// initialPause is the pause after the first failure; the pause doubles with each
+	// further one. It is short, so that a single lost answer costs little.
+	initialPause = 50 * time.Millisecond
+	// probeWatchTimeout is how long a watch that is made as a probe may wait for
+	// changes: the other callers wait for its result.
+	probeWatchTimeout = 20 * time.Millisecond
 )
 
-// errShared is the failure of a call that was made on behalf of all.
-var errShared = errors.Wrap(hookhall.ErrUnavailable, "the store does not answer this process; another call has just failed")
+// errProbeFailed is returned to the callers that waited for a failed probe.
+var errProbeFailed = errors.Wrap(hookhall.ErrUnavailable, "the store does not answer this process: the probe of a concurrent call failed")
 
-// Pace is how a process asks for a store that is away.
+// Pace sets how often a process probes a store that does not answer.
 type Pace struct {
-	// PauseMost bounds the pause after a call that failed.
+	// PauseMost is the upper limit of the pause after a failed probe. Jitter adds
+	// up to a quarter to it.
 	PauseMost time.Duration
-	// Again is after how long a call that is not answered yet is made once more
-	// beside it, 0 for never. What was asked while the store was away is not
-	// answered after its return either: gateways that had begun in an outage, with
-	// one call at a time of up to 900 ms, were ready 1.1 s after its end.
+	// Again is the interval at which a probe that is not answered yet is sent again
+	// beside the earlier attempts; 0 sends it once. The store does not answer calls
+	// that were sent during its outage even after it is back: with one call at a
+	// time of up to 900 ms, gateways that had started in an outage were ready 1.1 s
+	// after its end.
 	Again time.Duration
 }
 
-// Gate is a hookhall.Store before another one.
+// Gate is a hookhall.Store that passes calls on to another one and makes one call at a
+// time while that one does not answer. It is safe for concurrent use.
 type Gate struct {
 	store hookhall.Store
-	// Pace is asked before each call on behalf of all. Set before the first call.
+	// Pace returns the current pace. It is called for each probe and each failed call,
+	// in the latter case with g.mu held. Set it before the first call.
 	Pace func() Pace
 
-	mu      sync.Mutex
-	failing bool
-	since   time.Time     // when the first call failed
-	pause   time.Duration // after the next failure
-	next    time.Time     // no call before
-	heard   time.Time     // when a call began that somebody had an answer to
-	woken   bool          // a pause was left out because of that, in this outage
-	probing chan struct{} // closed when the call on behalf of all has ended; nil while there is none
-	wake    chan struct{} // closed to end the pause
+	mu          sync.Mutex    // guards the fields below
+	failing     bool          // the last call was not answered, or none was made yet
+	failedAt    time.Time     // when the first call of this outage failed; zero before the first failure
+	nextPause   time.Duration // pause after the next failure, before jitter
+	nextProbeAt time.Time     // no probe is made earlier
+	answeredAt  time.Time     // start of the latest call that the store answered to a peer
+	skipped     bool          // a pause of this outage was skipped because of answeredAt
+	probeDone   chan struct{} // closed when the running probe has ended; nil without one
+	wake        chan struct{} // closed to end the current pause; nil outside one
 }
 
-// NewGate makes a Gate before a store of which it is not known whether it answers.
+// NewGate returns a Gate for s. Its first call is a probe, since it is not known
+// whether s answers.
 func NewGate(s hookhall.Store) *Gate {
-	return &Gate{store: s, Pace: func() Pace { return Pace{PauseMost: pauseFirst} }, failing: true, pause: pauseFirst}
+	return &Gate{store: s, Pace: func() Pace { return Pace{PauseMost: initialPause} }, failing: true, nextPause: initialPause}
 }
 
-// Heard takes in that somebody had an answer of the store to a call that began at
-// a time. It ends the present pause or leaves the next one out, once in each
-// outage: the store may still turn this process away.
+// Heard reports that the store answered a peer's call that began at the given time.
+// If this process's outage began earlier, Heard ends the current pause or skips the
+// next one, once per outage: the store may still be unavailable to this process alone.
 func (g *Gate) Heard(began time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if began.After(g.heard) {
-		g.heard = began
+	if began.After(g.answeredAt) {
+		g.answeredAt = began
 	}
-	if g.wake != nil && g.early() {
+	if g.wake != nil && g.maySkipPause() {
 		close(g.wake)
 		g.wake = nil
 	}
 }
 
-// early tells whether a pause is to be left out. The caller holds g.mu.
-func (g *Gate) early() bool { return g.failing && !g.woken && g.heard.After(g.since) }
+// maySkipPause reports whether the store has answered a peer since this outage began, and
+// no pause was skipped for that yet. g.mu must be held.
+func (g *Gate) maySkipPause() bool { return g.failing && !g.skipped && g.answeredAt.After(g.failedAt) }
 
-// answer is what a call of the store brought.
-type answer struct {
-	item  hookhall.Item
-	items []hookhall.Item
-	at    hookhall.Revision
-	lease hookhall.Lease
+// result holds the return values of a store call; each call sets its own.
+type result struct {
+	item     hookhall.Item
+	items    []hookhall.Item
+	revision hookhall.Revision
+	lease    hookhall.Lease
 }
 
-// ask is one call of the store. probe tells that others wait for it.
-type ask func(ctx context.Context, probe bool) (answer, error)
+// storeCall makes one call to the store. probe is set if other callers wait for it.
+type storeCall func(ctx context.Context, probe bool) (result, error)
 
 // Get implements hookhall.Store.
 func (g *Gate) Get(ctx context.Context, key string) (hookhall.Item, hookhall.Revision, error) {
-	a, err := g.call(ctx, func(ctx context.Context, _ bool) (a answer, err error) {
-		a.item, a.at, err = g.store.Get(ctx, key)
-		return a, err
+	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
+		r.item, r.revision, err = g.store.Get(ctx, key)
+		return r, err
 	})
-	return a.item, a.at, err
+	return r.item, r.revision, err
 }
 
 // Range implements hookhall.Store.
 func (g *Gate) Range(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
-	a, err := g.call(ctx, func(ctx context.Context, _ bool) (a answer, err error) {
-		a.items, a.at, err = g.store.Range(ctx, prefix)
-		return a, err
+	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
+		r.items, r.revision, err = g.store.Range(ctx, prefix)
+		return r, err
 	})
-	return a.items, a.at, err
+	return r.items, r.revision, err
 }
 
 // RangeStale implements hookhall.Store.
 func (g *Gate) RangeStale(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
-	a, err := g.call(ctx, func(ctx context.Context, _ bool) (a answer, err error) {
-		a.items, a.at, err = g.store.RangeStale(ctx, prefix)
-		return a, err
+	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
+		r.items, r.revision, err = g.store.RangeStale(ctx, prefix)
+		return r, err
 	})
-	return a.items, a.at, err
+	return r.items, r.revision, err
 }
 
-// Watch implements hookhall.Store. While the store is away it does not wait: the
-// others want to know soon whether it answers.
+// Watch implements hookhall.Store. As a probe it waits for changes no longer than
+// probeWatchTimeout, since other callers wait to learn whether the store answers.
 func (g *Gate) Watch(ctx context.Context, prefix string, since hookhall.Revision, wait time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
-	a, err := g.call(ctx, func(ctx context.Context, probe bool) (a answer, err error) {
-		most := wait
+	r, err := g.call(ctx, func(ctx context.Context, probe bool) (r result, err error) {
+		timeout := wait
 		if probe {
-			most = min(wait, probeWait)
+			timeout = min(wait, probeWatchTimeout)
 		}
-		a.items, a.at, err = g.store.Watch(ctx, prefix, since, most)
-		return a, err
+		r.items, r.revision, err = g.store.Watch(ctx, prefix, since, timeout)
+		return r, err
 	})
-	return a.items, a.at, err
+	return r.items, r.revision, err
 }
 
 // Put implements hookhall.Store.
 func (g *Gate) Put(ctx context.Context, key string, value []byte, lease hookhall.Lease) error {
-	_, err := g.call(ctx, func(ctx context.Context, _ bool) (answer, error) {
-		return answer{}, g.store.Put(ctx, key, value, lease)
+	_, err := g.call(ctx, func(ctx context.Context, _ bool) (result, error) {
+		return result{}, g.store.Put(ctx, key, value, lease)
 	})
 	return err
 }
 
-// Swap implements hookhall.Store. Of two calls on behalf of all, the second finds what the
-// first has written, which is a conflict: the caller reads what stands there.
-func (g *Gate) Swap(ctx context.Context, key string, value []byte, was hookhall.Revision) (hookhall.Revision, error) {
-	a, err := g.call(ctx, func(ctx context.Context, _ bool) (a answer, err error) {
-		a.at, err = g.store.Swap(ctx, key, value, was)
-		return a, err
+// Swap implements hookhall.Store. If a probe is sent twice, the second attempt may find
+// what the first has written, which is a conflict: the caller reads the current value.
+func (g *Gate) Swap(ctx context.Context, key string, value []byte, expected hookhall.Revision) (hookhall.Revision, error) {
+	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
+		r.revision, err = g.store.Swap(ctx, key, value, expected)
+		return r, err
 	})
-	return a.at, err
+	return r.revision, err
 }
 
-// Grant implements hookhall.Store. Of two calls on behalf of all, one lease may be
-// left to run out.
+// Grant implements hookhall.Store. If a probe is sent twice, one of two leases may stay
+// unused until it expires.
 func (g *Gate) Grant(ctx context.Context, ttl time.Duration) (hookhall.Lease, error) {
-	a, err := g.call(ctx, func(ctx context.Context, _ bool) (a answer, err error) {
-		a.lease, err = g.store.Grant(ctx, ttl)
-		return a, err
+	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
+		r.lease, err = g.store.Grant(ctx, ttl)
+		return r, err
 	})
-	return a.lease, err
+	return r.lease, err
 }
 
 // Renew implements hookhall.Store.
 func (g *Gate) Renew(ctx context.Context, lease hookhall.Lease) error {
-	_, err := g.call(ctx, func(ctx context.Context, _ bool) (answer, error) {
-		return answer{}, g.store.Renew(ctx, lease)
+	_, err := g.call(ctx, func(ctx context.Context, _ bool) (result, error) {
+		return result{}, g.store.Renew(ctx, lease)
 	})
 	return err
 }
 
-// Revoke implements hookhall.Store. It is tried at once, whatever others met: it is
-// the last call of a process that stops.
+// Revoke implements hookhall.Store. It is always sent at once, also in an outage: it
+// is the last call of a process that stops.
 func (g *Gate) Revoke(ctx context.Context, lease hookhall.Lease) error {
 	return g.store.Revoke(ctx, lease)
 }
 
-// call makes a call, or shares the outcome of the one that is made for all.
-func (g *Gate) call(ctx context.Context, do ask) (answer, error) {
+// call makes a call directly while the store answers. Otherwise the call becomes the
+// probe, or waits for the running probe and shares its failure.
+func (g *Gate) call(ctx context.Context, do storeCall) (result, error) {
 	for {
-		probe, shared := g.enter()
+		probe, pending := g.enterCall()
 		switch {
-		case shared != nil:
-			if err := g.share(ctx, shared); err != nil {
-				return answer{}, err
+		case pending != nil:
+			if err := g.awaitProbe(ctx, pending); err != nil {
+				return result{}, err
 			}
 		case probe:
 			return g.probe(ctx, do)
 		default:
-			a, err := do(ctx, false)
-			g.note(ctx, err)
-			return a, err
+			r, err := do(ctx, false)
+			g.recordResult(ctx, err)
+			return r, err
 		}
 	}
 }
 
-// enter tells whether the caller is to make the call on behalf of all, or on whose
-// call it should wait.
-func (g *Gate) enter() (probe bool, shared chan struct{}) {
+// enterCall decides how a call is made: as the probe, after the running probe, whose end
+// closes pending, or directly if neither result is set.
+func (g *Gate) enterCall() (probe bool, pending chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
 	case !g.failing:
 		return false, nil
-	case g.probing != nil:
-		return false, g.probing
+	case g.probeDone != nil:
+		return false, g.probeDone
 	}
-	g.probing = make(chan struct{})
+	g.probeDone = make(chan struct{})
 	return true, nil
 }
 
-// share waits for the call on behalf of all. nil means that the store answers.
-func (g *Gate) share(ctx context.Context, ended chan struct{}) error {
+// awaitProbe waits for the running probe. It returns nil if the store answers.
+func (g *Gate) awaitProbe(ctx context.Context, done chan struct{}) error {
 	select {
-	case <-ended:
+	case <-done:
 	case <-ctx.Done():
 		return errors.Wrap(hookhall.ErrUnavailable, ctx.Err().Error())
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.failing {
-		return errShared
+		return errProbeFailed
 	}
 	return nil
 }
 
-// probe waits out the pause and makes the call on behalf of all.
-func (g *Gate) probe(ctx context.Context, do ask) (answer, error) {
+// probe waits for the end of the pause, makes the call and ends the probe.
+func (g *Gate) probe(ctx context.Context, do storeCall) (result, error) {
 	defer func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		close(g.probing)
-		g.probing = nil
+		close(g.probeDone)
+		g.probeDone = nil
 	}()
-	if err := g.rest(ctx); err != nil {
-		return answer{}, err
+	if err := g.awaitPause(ctx); err != nil {
+		return result{}, err
 	}
-	a, err := g.repeat(ctx, do)
-	g.note(ctx, err)
-	return a, err
+	r, err := g.hedge(ctx, do)
+	g.recordResult(ctx, err)
+	return r, err
 }
 
-// outcome is how one of several equal calls ended.
-type outcome struct {
-	answer answer
+// attemptResult is the outcome of one attempt of a probe.
+type attemptResult struct {
+	result result
 	err    error
 }
 
-// repeat makes a call, and again beside it while none is answered. The first
-// outcome counts.
-func (g *Gate) repeat(ctx context.Context, do ask) (answer, error) {
+// hedge makes a call and sends it again every Pace.Again while no attempt has ended. It
+// returns the outcome of the attempt that ends first and cancels the others.
+func (g *Gate) hedge(ctx context.Context, do storeCall) (result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	first := make(chan outcome, 1)
-	try := func() {
-		a, err := do(ctx, true)
+	first := make(chan attemptResult, 1)
+	attempt := func() {
+		r, err := do(ctx, true)
 		select {
-		case first <- outcome{a, err}:
-		default: // another one was first
+		case first <- attemptResult{r, err}:
+		default: // another attempt ended first
 		}
 	}
-	var again <-chan time.Time // never, without a pace
-	if every := g.Pace().Again; every > 0 {
-		tick := time.NewTicker(every)
-		defer tick.Stop()
-		again = tick.C
+	var hedgeDue <-chan time.Time // nil never fires
+	if interval := g.Pace().Again; interval > 0 {
+		ticker := time.NewTicker(interval)
+		defer ticker.Stop()
+		hedgeDue = ticker.C
 	}
 	for {
-		go try()
+		go attempt()
 		select {
 		case o := <-first:
-			return o.answer, o.err
-		case <-again:
+			return o.result, o.err
+		case <-hedgeDue:
 		}
 	}
 }
 
-// rest waits until the next call is due.
-func (g *Gate) rest(ctx context.Context) error {
+// awaitPause waits until the next probe is due, or until Heard ends the pause.
+func (g *Gate) awaitPause(ctx context.Context) error {
 	g.mu.Lock()
 	wake := make(chan struct{})
 	g.wake = wake
-	if g.early() {
-		g.next = time.Time{}
+	if g.maySkipPause() {
+		g.nextProbeAt = time.Time{}
 	}
-	wait := clock.Until(g.next)
+	wait := clock.Until(g.nextProbeAt)
 	g.mu.Unlock()
-	t := time.NewTimer(wait)
-	defer t.Stop()
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	var err error
 	select {
-	case <-t.C:
+	case <-timer.C:
 	case <-wake:
 	case <-ctx.Done():
 		err = errors.Wrap(hookhall.ErrUnavailable, ctx.Err().Error())
@@ -292,25 +300,26 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.wake = nil
-	g.woken = g.woken || g.early()
+	g.skipped = g.skipped || g.maySkipPause()
 	return err
 }
 
-// note takes in how a call ended. Calls that their own caller gave up tell nothing.
-func (g *Gate) note(ctx context.Context, err error) {
+// recordResult updates the state of the outage after a call. Failed calls whose own
+// ctx has ended are ignored: they say nothing about the store.
+func (g *Gate) recordResult(ctx context.Context, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !errors.Is(err, hookhall.ErrUnavailable) {
-		g.failing, g.woken, g.pause = false, false, pauseFirst
+		g.failing, g.skipped, g.nextPause = false, false, initialPause
 		return
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	now := clock.Now()
-	if !g.failing || g.since.IsZero() {
-		g.failing, g.since = true, now
+	if !g.failing || g.failedAt.IsZero() {
+		g.failing, g.failedAt = true, now
 	}
-	g.next = now.Add(retry.Jitter(g.pause))
-	g.pause = min(2*g.pause, g.Pace().PauseMost)
+	g.nextProbeAt = now.Add(retry.Jitter(g.nextPause))
+	g.nextPause = min(2*g.nextPause, g.Pace().PauseMost)
 }
--- a/internal/coordination/outage/gate_test.go
+++ b/internal/coordination/outage/gate_test.go
@@ -14,36 +14,38 @@
 	"github.com/pkg/errors"
 )
 
-// silence is how long a call of a store that is away takes.
-const silence = 900 * time.Millisecond
+// unavailableCallTime is how long a call to an unavailable store takes.
+const unavailableCallTime = 900 * time.Millisecond
 
-// fakeStore is away while it says so, and counts its calls.
+// fakeStore fails each call after unavailableCallTime while it is unavailable. It counts
+// its calls.
 type fakeStore struct {
-	mu     sync.Mutex
-	away   bool
-	calls  int
-	waited time.Duration // by the last watch
+	mu            sync.Mutex
+	unavailable   bool
+	calls         int
+	lastWatchWait time.Duration // wait argument of the last Watch
 }
 
 func (s *fakeStore) answer(ctx context.Context) error {
 	s.mu.Lock()
 	s.calls++
-	away := s.away
+	unavailable := s.unavailable
 	s.mu.Unlock()
-	if !away {
+	if !unavailable {
 		return nil
 	}
 	select {
-	case <-time.After(silence):
+	case <-time.After(unavailableCallTime):
 	case <-ctx.Done():
 	}
 	return hookhall.ErrUnavailable
 }
 
-func (s *fakeStore) set(away bool) (calls int) {
+// setUnavailable changes whether the store answers, and returns and resets the call count.
+func (s *fakeStore) setUnavailable(unavailable bool) (calls int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 	calls, s.calls = s.calls, 0
 	return calls
 }
@@ -58,14 +60,14 @@
 	return nil, 1, s.answer(ctx)
 }
 func (s *fakeStore) Watch(ctx context.Context, _ string, since hookhall.Revision, wait time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
-	s.waited = wait
+	s.lastWatchWait = wait
 	return nil, since, s.answer(ctx)
 }
 func (s *fakeStore) Put(ctx context.Context, _ string, _ []byte, _ hookhall.Lease) error {
 	return s.answer(ctx)
 }
-func (s *fakeStore) Swap(ctx context.Context, _ string, _ []byte, was hookhall.Revision) (hookhall.Revision, error) {
-	return was + 1, s.answer(ctx)
+func (s *fakeStore) Swap(ctx context.Context, _ string, _ []byte, expected hookhall.Revision) (hookhall.Revision, error) {
+	return expected + 1, s.answer(ctx)
 }
 func (s *fakeStore) Grant(ctx context.Context, _ time.Duration) (hookhall.Lease, error) {
 	return hookhall.Lease{Number: 1}, s.answer(ctx)
@@ -73,185 +75,190 @@
 func (s *fakeStore) Renew(ctx context.Context, _ hookhall.Lease) error  { return s.answer(ctx) }
 func (s *fakeStore) Revoke(ctx context.Context, _ hookhall.Lease) error { return s.answer(ctx) }
 
-// bench is a gate with three users that call it again 50 ms after each outcome.
-type bench struct {
-	store  *fakeStore
-	gate   *Gate
-	mu     sync.Mutex
-	served int
-	failed int
+// harness is a Gate with three users that call it again 50 ms after each result.
+type harness struct {
+	store     *fakeStore
+	gate      *Gate
+	mu        sync.Mutex
+	succeeded int
+	failed    int
 }
 
-// run plays a test in virtual time.
-func run(t *testing.T, pace Pace, test func(t *testing.T, b *bench)) {
+// runHarness runs a test in virtual time.
+func runHarness(t *testing.T, pace Pace, test func(t *testing.T, h *harness)) {
 	synctest.Test(t, func(t *testing.T) {
-		b := &bench{store: &fakeStore{}}
-		b.gate = NewGate(b.store)
-		b.gate.Pace = func() Pace { return pace }
+		h := &harness{store: &fakeStore{}}
+		h.gate = NewGate(h.store)
+		h.gate.Pace = func() Pace { return pace }
 		ctx, cancel := context.WithCancel(t.Context())
 		var users sync.WaitGroup
 		for range 3 {
-			users.Go(func() { b.use(ctx) })
+			users.Go(func() { h.callRepeatedly(ctx) })
 		}
-		test(t, b)
+		test(t, h)
 		cancel()
 		users.Wait()
 	})
 }
 
-func (b *bench) use(ctx context.Context) {
+// callRepeatedly makes and counts calls until ctx ends.
+func (h *harness) callRepeatedly(ctx context.Context) {
 	for ctx.Err() == nil {
-		_, _, err := b.gate.Range(ctx, "k/")
-		b.mu.Lock()
+		_, _, err := h.gate.Range(ctx, "k/")
+		h.mu.Lock()
 		if err == nil {
-			b.served++
+			h.succeeded++
 		} else {
-			b.failed++
+			h.failed++
 		}
-		b.mu.Unlock()
+		h.mu.Unlock()
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-// rests waits for the beginning of a pause that has grown long.
-func (b *bench) rests() {
-	b.after(5 * time.Minute)
-	for b.store.set(true); b.store.set(true) == 0; b.after(time.Second) {
+// awaitLongPause waits for the start of a pause of the maximum length.
+func (h *harness) awaitLongPause() {
+	h.advance(5 * time.Minute)
+	for h.store.setUnavailable(true); h.store.setUnavailable(true) == 0; h.advance(time.Second) {
 	}
-	b.after(2 * silence)
-	b.store.set(true)
+	h.advance(2 * unavailableCallTime)
+	h.store.setUnavailable(true)
 }
 
-// after waits and gives what came of the users' calls meanwhile.
-func (b *bench) after(d time.Duration) (served, failed int) {
+// advance waits for d and returns how many calls of the users succeeded and failed in it.
+func (h *harness) advance(d time.Duration) (succeeded, failed int) {
 	time.Sleep(d)
 	synctest.Wait()
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	served, failed = b.served, b.failed
-	b.served, b.failed = 0, 0
-	return served, failed
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	succeeded, failed = h.succeeded, h.failed
+	h.succeeded, h.failed = 0, 0
+	return succeeded, failed
 }
 
+// TestGate guards against an outage of the store in which every user of the process keeps
+// calling it, and against a Gate that notices the store's return late or never.
 func TestGate(t *testing.T) {
 	t.Run("calls pass while the store answers", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Second}, func(t *testing.T, b *bench) {
-			if served, failed := b.after(time.Second); served < 57 || failed > 0 {
-				t.Errorf("%d calls were served, %d failed", served, failed)
+		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+			if succeeded, failed := h.advance(time.Second); succeeded < 57 || failed > 0 {
+				t.Errorf("%d calls succeeded, %d failed", succeeded, failed)
 			}
 		})
 	})
-	t.Run("one call at a time is made for all while it is away", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Second}, func(t *testing.T, b *bench) {
-			b.after(time.Second)
-			b.store.set(true)
-			_, failed := b.after(20 * time.Second)
-			calls := b.store.set(true)
+	t.Run("one call at a time is made while the store is unavailable", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+			h.advance(time.Second)
+			h.store.setUnavailable(true)
+			_, failed := h.advance(20 * time.Second)
+			calls := h.store.setUnavailable(true)
 			if calls > 18 {
-				t.Errorf("%d calls were made in 20 s; one in %v was enough", calls, silence+time.Second)
+				t.Errorf("%d calls were made in 20 s; one in %v is enough", calls, unavailableCallTime+time.Second)
 			}
 			if failed < 3*calls-9 {
-				t.Errorf("%d failures were told to 3 users, with %d calls", failed, calls)
+				t.Errorf("%d failures were returned to 3 users, with %d calls", failed, calls)
 			}
 		})
 	})
-	t.Run("the store's return is noticed after one pause", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Second}, func(t *testing.T, b *bench) {
-			b.store.set(true)
-			b.after(20 * time.Second)
-			b.store.set(false)
-			b.after(silence + 1300*time.Millisecond)
-			if served, failed := b.after(time.Second); served < 57 || failed > 0 {
-				t.Errorf("%d calls were served, %d failed", served, failed)
+	t.Run("calls succeed within one pause of the store's return", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+			h.store.setUnavailable(true)
+			h.advance(20 * time.Second)
+			h.store.setUnavailable(false)
+			h.advance(unavailableCallTime + 1300*time.Millisecond)
+			if succeeded, failed := h.advance(time.Second); succeeded < 57 || failed > 0 {
+				t.Errorf("%d calls succeeded, %d failed", succeeded, failed)
 			}
 		})
 	})
-	t.Run("it is noticed sooner when calls are made again", func(t *testing.T) {
+	t.Run("calls succeed sooner when the probe is sent again", func(t *testing.T) {
 		pace := Pace{PauseMost: 150 * time.Millisecond, Again: 250 * time.Millisecond}
-		run(t, pace, func(t *testing.T, b *bench) {
-			b.store.set(true)
-			b.after(20 * time.Second)
+		runHarness(t, pace, func(t *testing.T, h *harness) {
+			h.store.setUnavailable(true)
+			h.advance(20 * time.Second)
 			for range 20 {
-				b.store.set(false)
-				if served, _ := b.after(450 * time.Millisecond); served == 0 {
-					t.Error("nothing was served within 450 ms")
+				h.store.setUnavailable(false)
+				if succeeded, _ := h.advance(450 * time.Millisecond); succeeded == 0 {
+					t.Error("no call succeeded within 450 ms")
 				}
-				b.store.set(true)
-				b.after(7110 * time.Millisecond) // at another point of a call each time
+				h.store.setUnavailable(true)
+				h.advance(7110 * time.Millisecond) // the store returns at another point of a call each time
 			}
 		})
 	})
-	t.Run("who hears that the store answers asks at once, but only once", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Minute}, func(t *testing.T, b *bench) {
-			b.store.set(true)
-			b.rests()
-			b.gate.Heard(time.Now())
-			b.after(2 * time.Second)
-			if calls := b.store.set(true); calls != 1 {
+	t.Run("a peer's answer ends the pause at once, but only once per outage", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+			h.store.setUnavailable(true)
+			h.awaitLongPause()
+			h.gate.Heard(time.Now())
+			h.advance(2 * time.Second)
+			if calls := h.store.setUnavailable(true); calls != 1 {
 				t.Errorf("%d calls followed", calls)
 			}
-			b.gate.Heard(time.Now())
-			b.after(2 * time.Second)
-			if calls := b.store.set(true); calls != 0 {
-				t.Errorf("%d calls followed the second word", calls)
+			h.gate.Heard(time.Now())
+			h.advance(2 * time.Second)
+			if calls := h.store.setUnavailable(true); calls != 0 {
+				t.Errorf("%d calls followed the second report", calls)
 			}
 		})
 	})
-	t.Run("news from before the outage ends no pause", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Minute}, func(t *testing.T, b *bench) {
-			old := time.Now().Add(-time.Millisecond)
-			b.store.set(true)
-			b.rests()
-			b.gate.Heard(old)
-			b.after(2 * time.Second)
-			if calls := b.store.set(true); calls != 0 {
+	t.Run("a peer's answer from before the outage ends no pause", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+			earlier := time.Now().Add(-time.Millisecond)
+			h.store.setUnavailable(true)
+			h.awaitLongPause()
+			h.gate.Heard(earlier)
+			h.advance(2 * time.Second)
+			if calls := h.store.setUnavailable(true); calls != 0 {
 				t.Errorf("%d calls followed", calls)
 			}
 		})
 	})
-	t.Run("the last word of a process that stops is not held back", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Minute}, func(t *testing.T, b *bench) {
-			b.store.set(true)
-			b.after(time.Minute)
-			b.store.set(false)
+	t.Run("Revoke does not wait for the pause", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+			h.store.setUnavailable(true)
+			h.advance(time.Minute)
+			h.store.setUnavailable(false)
 			began := time.Now()
-			if err := b.gate.Revoke(t.Context(), hookhall.Lease{Number: 1}); err != nil || time.Since(began) > 0 {
+			if err := h.gate.Revoke(t.Context(), hookhall.Lease{Number: 1}); err != nil || time.Since(began) > 0 {
 				t.Errorf("%v after %v", err, time.Since(began))
 			}
 		})
 	})
-	t.Run("a caller that leaves is let go", func(t *testing.T) {
-		run(t, Pace{PauseMost: time.Minute}, func(t *testing.T, b *bench) {
-			b.store.set(true)
-			b.after(time.Minute)
+	t.Run("a call ends with its context", func(t *testing.T) {
+		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+			h.store.setUnavailable(true)
+			h.advance(time.Minute)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			began := time.Now()
-			if err := b.gate.Renew(ctx, hookhall.Lease{Number: 1}); !errors.Is(err, hookhall.ErrUnavailable) || time.Since(began) > time.Second {
+			if err := h.gate.Renew(ctx, hookhall.Lease{Number: 1}); !errors.Is(err, hookhall.ErrUnavailable) || time.Since(began) > time.Second {
 				t.Errorf("%v after %v", err, time.Since(began))
 			}
 		})
 	})
 }
 
-func TestWatchOnBehalfOfAll(t *testing.T) {
+// TestProbeWatchTimeout guards against a watch that, made as the probe, holds up all other
+// callers for its whole wait although the store answers.
+func TestProbeWatchTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeStore{}
 		g := NewGate(s)
 		watch := func(want time.Duration) {
 			t.Helper()
-			if _, _, err := g.Watch(t.Context(), "k/", 1, 8*time.Second); err != nil || s.waited != want {
-				t.Errorf("the watch waited %v, %v; want %v", s.waited, err, want)
+			if _, _, err := g.Watch(t.Context(), "k/", 1, 8*time.Second); err != nil || s.lastWatchWait != want {
+				t.Errorf("the watch waited %v, %v; want %v", s.lastWatchWait, err, want)
 			}
 		}
-		watch(probeWait) // it is not known yet whether the store answers
+		watch(probeWatchTimeout) // the first call is a probe
 		watch(8 * time.Second)
-		s.set(true)
+		s.setUnavailable(true)
 		if err := g.Renew(t.Context(), hookhall.Lease{Number: 1}); !errors.Is(err, hookhall.ErrUnavailable) {
 			t.Fatal(err)
 		}
-		s.set(false)
-		watch(probeWait)
+		s.setUnavailable(false)
+		watch(probeWatchTimeout)
 		watch(8 * time.Second)
 	})
 }
