--- a/internal/coordination/members/doc.go
+++ b/internal/coordination/members/doc.go
@@ -1,19 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package members tells which gateways there are.
+// Package members keeps the list of the gateways of the fleet and chooses owners of
+// shared work among them.
 //
 // # Model
 //
-// Each process keeps a key under a lease in the platform's store. Two of them
-// follow the keys of all by waiting watches and tell the others what changed, as
-// they tell what changed of the targets; who is told nothing for some seconds, or
-// finds by the digest that it has missed something, reads for itself. A peer that
-// does not answer is left out for a while, whatever the store says.
+// Each process keeps a key under a lease in the platform's store. Two processes, the
+// leaders, follow all keys with long-polling watches and send the changes to the
+// others, together with the changes of the targets. A process that receives no
+// update for some seconds, or whose digest shows that it has missed one, reads the
+// list from the store itself. A peer that does not answer is suspected and excluded
+// for a short time, whatever the store lists.
 //
 // # Invariants
 //
-//   - Membership only divides work. A wrong list costs time, never a promise:
-//     nothing may rest on two processes having the same one.
+//   - Membership only divides work. A wrong list costs time, never a guarantee:
+//     nothing may depend on two processes having the same list.
 //   - This process is always in its own list, unless it stops.
 package members
--- a/internal/coordination/members/follow.go
+++ b/internal/coordination/members/follow.go
@@ -16,28 +16,29 @@
 	"github.com/pkg/errors"
 )
 
-// follow keeps the list: by watches, or by what others tell.
+// follow keeps the list current until ctx ends: by watches of the store, or by the updates
+// of a leader while those arrive.
 func (m *Members) follow(ctx context.Context) {
-	pause := retry.Between(pauseFirst, pauseMost)
-	at := hookhall.Revision(0)
+	pause := retry.Between(minRetryDelay, maxRetryDelay)
+	revision := hookhall.Revision(0)
 	for ctx.Err() == nil {
-		if m.settled(clock.Now()) {
-			at = 0 // whoever has not registered again is gone
+		if m.finishRestore(clock.Now()) {
+			revision = 0 // reading removes members that have not registered again
 		}
-		if m.told(clock.Now()) {
-			at = 0 // news may be ahead of an old watch
-			retry.Sleep(ctx, look)
+		if m.isKeptCurrent(clock.Now()) {
+			revision = 0 // updates may be ahead of the revision of an old watch
+			retry.Sleep(ctx, followCheckInterval)
 			continue
 		}
 		var err error
-		if at == 0 {
-			at, err = m.read(ctx)
+		if revision == 0 {
+			revision, err = m.read(ctx)
 		} else {
-			at, err = m.watch(ctx, at)
+			revision, err = m.watch(ctx, revision)
 		}
 		if err != nil {
 			if errors.Is(err, hookhall.ErrHistoryGone) {
-				at = 0
+				revision = 0
 			}
 			pause.Wait(ctx)
 			continue
@@ -46,161 +47,171 @@
 	}
 }
 
-// read reads the list and returns the revision to watch from. A copy of some
-// seconds ago will do, but for those that tell all others: membership only divides
-// work, and news or a watch brings what the copy lacks. Six pages for each of the
-// 604 starts of a day of 295 gateways were a third of its 10,215 calls.
+// read reads the list from the store and returns the revision to watch from. Leaders that
+// know a list read the current one; other processes read a copy that may be some seconds
+// old, since membership only divides work and updates or a watch bring what the copy
+// lacks. Current reads by all are expensive: six pages for each of the 604 starts in a
+// day of 295 gateways were a third of the day's 10,215 store calls.
 func (m *Members) read(ctx context.Context) (hookhall.Revision, error) {
-	list := m.store.RangeStale
+	readItems := m.store.RangeStale
 	if m.Met() && m.Leads() {
-		list = m.store.Range
+		readItems = m.store.Range
 	}
-	items, at, err := list(ctx, prefix)
+	items, revision, err := readItems(ctx, keyPrefix)
 	if err != nil {
 		return 0, err
 	}
 	now := clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if at < m.revision {
-		return m.revision, nil // news was newer than the copy
+	if revision < m.revision {
+		return m.revision, nil // updates were newer than the copy
 	}
-	learned := now
+	learnedAt := now
 	if m.revision == 0 {
-		learned = time.Time{} // what is news to a newcomer is none to the others
+		learnedAt = time.Time{} // a first read is no change that others lack
 	}
-	if m.revision > 0 && at.Era() > m.revision.Era() {
-		m.restored, m.restoredAt = now, at
+	if m.revision > 0 && revision.Era() > m.revision.Era() {
+		m.restoreSeenAt, m.restoredRevision = now, revision
 	}
-	listed := map[string]bool{}
-	for _, i := range items {
-		m.take(i, learned)
-		listed[i.Key] = true
+	isListed := map[string]bool{}
+	for _, item := range items {
+		m.applyItem(item, learnedAt)
+		isListed[item.Key] = true
 	}
-	for key := range m.byKey {
-		if !listed[key] && m.restored.IsZero() {
-			m.remove(key, now)
+	for key := range m.listingByKey {
+		if !isListed[key] && m.restoreSeenAt.IsZero() {
+			m.removeKey(key, now)
 		}
 	}
-	at = max(at, 1)
-	m.revision, m.heard, m.gap = at, now, false
-	m.meet(now)
+	revision = max(revision, 1)
+	m.revision, m.confirmedAt, m.hasGap = revision, now, false
+	m.markListKnown(now)
 	m.publish()
-	return at, nil
+	return revision, nil
 }
 
-// copied tells whether what a later era of the store says of a member is the copy's word.
-// The caller holds m.mu.
-func (m *Members) copied(was listing, i hookhall.Item) bool {
-	return !m.restored.IsZero() && i.Revision <= m.restoredAt && was.item.Revision.Era() < i.Revision.Era()
+// isRestoredCopy reports whether item was part of the copy that the store was restored from,
+// while previous is from an era before the restore, so that item is not newer. m.mu must be
+// held.
+func (m *Members) isRestoredCopy(previous listing, item hookhall.Item) bool {
+	return !m.restoreSeenAt.IsZero() && item.Revision <= m.restoredRevision && previous.item.Revision.Era() < item.Revision.Era()
 }
 
-// settled tells, once, that all that live have had the time to register again since the
-// store came back from a copy. Until then nobody is taken off the list: work would change
-// hands for the restore alone, and those that are gone don't answer.
-func (m *Members) settled(now time.Time) bool {
+// finishRestore ends the handling of a restore of the store from an older copy once leaseTTL
+// has passed, by when all running members had the time to register again. It returns true
+// once, and the caller then reads the list. Until then no member is removed: work would
+// change owners because of the restore alone, and members that have stopped are excluded
+// because they don't answer.
+func (m *Members) finishRestore(now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.restored.IsZero() || now.Sub(m.restored) < ttl {
+	if m.restoreSeenAt.IsZero() || now.Sub(m.restoreSeenAt) < leaseTTL {
 		return false
 	}
-	m.restored = time.Time{}
-	m.gap = true
+	m.restoreSeenAt = time.Time{}
+	m.hasGap = true
 	return true
 }
 
+// watch waits for changes after since, applies them and returns the revision to watch
+// from next. After changes it waits for batchDelay.
 func (m *Members) watch(ctx context.Context, since hookhall.Revision) (hookhall.Revision, error) {
-	events, at, err := m.store.Watch(ctx, prefix, since, watchTime)
+	events, revision, err := m.store.Watch(ctx, keyPrefix, since, watchTimeout)
 	if err != nil {
 		return since, err
 	}
-	m.change(events, at)
+	m.applyEvents(events, revision)
 	if len(events) > 0 {
-		retry.Sleep(ctx, gather)
+		retry.Sleep(ctx, batchDelay)
 	}
-	return at, nil
+	return revision, nil
 }
 
-// change takes in what a watch told, as of a revision of the store.
-func (m *Members) change(events []hookhall.Item, at hookhall.Revision) {
+// applyEvents applies the changes that a watch returned, as of a revision of the store.
+func (m *Members) applyEvents(events []hookhall.Item, revision hookhall.Revision) {
 	now := clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.revision = max(m.revision, at)
-	m.heard = now
-	for _, i := range events {
-		m.take(i, now)
+	m.revision = max(m.revision, revision)
+	m.confirmedAt = now
+	for _, item := range events {
+		m.applyItem(item, now)
 	}
 	if len(events) > 0 {
 		m.publish()
 	}
 }
 
-// take takes in one key, unless it is known to be so. The caller holds m.mu.
-func (m *Members) take(i hookhall.Item, now time.Time) {
-	if !strings.HasPrefix(i.Key, prefix) {
+// applyItem applies the current state of one key, unless it is known already or a restore
+// makes it unreliable. now is the time of the change for later updates, zero if it is not to
+// be reported. m.mu must be held.
+func (m *Members) applyItem(item hookhall.Item, now time.Time) {
+	if !strings.HasPrefix(item.Key, keyPrefix) {
 		return
 	}
-	was, listed := m.byKey[i.Key]
+	previous, listed := m.listingByKey[item.Key]
 	switch {
-	case listed && m.copied(was, i):
-		// It registers again, with what is true now.
-	case i.Gone && listed && !m.restored.IsZero():
-		// Its lease is gone with what the store has lost, and it registers again.
-	case i.Gone && listed:
-		m.remove(i.Key, now)
-	case !i.Gone && (!listed || was.item.Revision < i.Revision):
-		m.takeNew(i, now)
+	case listed && m.isRestoredCopy(previous, item):
+		// An outdated record: the member registers again with its current state.
+	case item.Gone && listed && !m.restoreSeenAt.IsZero():
+		// The restore lost its lease; the member registers again.
+	case item.Gone && listed:
+		m.removeKey(item.Key, now)
+	case !item.Gone && (!listed || previous.item.Revision < item.Revision):
+		m.addMember(item, now)
 	}
 }
 
-// takeNew takes in a member that has registered: if it was silent, that was
-// before it did. The caller holds m.mu.
-func (m *Members) takeNew(i hookhall.Item, now time.Time) {
-	o, err := readMember(i)
+// addMember adds or replaces the member that item describes. It clears a suspicion of that
+// member, which dates from before its registration. An invalid item is rejected. m.mu must
+// be held.
+func (m *Members) addMember(item hookhall.Item, now time.Time) {
+	member, err := decodeMember(item)
 	if err != nil {
-		m.reject(i, err, now)
+		m.rejectItem(item, err, now)
 		return
 	}
-	delete(m.rejected, i.Key)
-	m.byKey[i.Key] = listing{i, o, now}
-	delete(m.gone, i.Key)
-	m.suspects.Delete(o.Address)
+	delete(m.rejectedRevisionByKey, item.Key)
+	m.listingByKey[item.Key] = listing{item, member, now}
+	delete(m.keyRemovedAt, item.Key)
+	m.suspectedUntil.Delete(member.Address)
 }
 
-// readMember reads a member's key, which another writer may have written.
-func readMember(i hookhall.Item) (hookhall.Member, error) {
-	var o hookhall.Member
-	if err := json.Unmarshal(i.Value, &o); err != nil {
-		return o, errors.Wrap(err, "member")
+// decodeMember decodes and checks a member's record. The key may have been written by
+// another program, so that any value is possible.
+func decodeMember(item hookhall.Item) (hookhall.Member, error) {
+	var member hookhall.Member
+	if err := json.Unmarshal(item.Value, &member); err != nil {
+		return member, errors.Wrap(err, "member")
 	}
-	if _, err := netip.ParseAddrPort(o.Address); err != nil {
-		return o, errors.Wrap(err, "member")
+	if _, err := netip.ParseAddrPort(member.Address); err != nil {
+		return member, errors.Wrap(err, "member")
 	}
-	if o.Power < 0 || o.Power > powerMost {
-		return o, errors.Errorf("member: a power of %g", o.Power)
+	if member.Power < 0 || member.Power > maxPower {
+		return member, errors.Errorf("member: power %g is not between 0 and the maximum", member.Power)
 	}
-	return o, nil
+	return member, nil
 }
 
-// reject takes in a key that names no member, logged once for each change of it. The
-// caller holds m.mu.
-func (m *Members) reject(i hookhall.Item, why error, now time.Time) {
-	if _, listed := m.byKey[i.Key]; listed {
-		m.remove(i.Key, now)
+// rejectItem removes a member whose record became invalid for the given reason, and logs that
+// once per revision of the key. m.mu must be held.
+func (m *Members) rejectItem(item hookhall.Item, reason error, now time.Time) {
+	if _, listed := m.listingByKey[item.Key]; listed {
+		m.removeKey(item.Key, now)
 	}
-	if m.rejected[i.Key] == i.Revision {
+	if m.rejectedRevisionByKey[item.Key] == item.Revision {
 		return
 	}
-	if len(m.rejected) >= rejectedMost {
-		clear(m.rejected)
+	if len(m.rejectedRevisionByKey) >= maxRejectedKeys {
+		clear(m.rejectedRevisionByKey)
 	}
-	m.rejected[i.Key] = i.Revision
-	m.log.Warn("A key names no gateway.", "key", i.Key, "bytes", len(i.Value), "error", why.Error())
+	m.rejectedRevisionByKey[item.Key] = item.Revision
+	m.log.Warn("invalid gateway record ignored", "key", item.Key, "bytes", len(item.Value), "error", reason.Error())
 }
 
-// remove takes a key off the list. The caller holds m.mu.
-func (m *Members) remove(key string, now time.Time) {
-	delete(m.byKey, key)
-	m.gone[key] = now
+// removeKey removes a key from the list as of now. m.mu must be held.
+func (m *Members) removeKey(key string, now time.Time) {
+	delete(m.listingByKey, key)
+	m.keyRemovedAt[key] = now
 }
--- a/internal/coordination/members/lag.go
+++ b/internal/coordination/members/lag.go
@@ -12,85 +12,89 @@
 )
 
 const (
-	// lagEvery is how often a process looks how late its timers are. Timers wait
-	// for the processor as everything else does.
-	lagEvery = 50 * time.Millisecond
-	// lagShare is the weight of one look in the mean: some five looks count.
-	lagShare = 0.2
-	// lagMost bounds a single look, so that one pause does not make a process rest:
-	// three in a row do, which takes less than a second.
-	lagMost = 250 * time.Millisecond
-	// lagRest is the mean lateness from which a process rests. Each hop of a
-	// request through an owner of work is later by that; answers are due in some
-	// hundred milliseconds.
-	lagRest = 100 * time.Millisecond
-	// lagCalm is the mean lateness below which it works again, well under lagRest.
-	lagCalm = 20 * time.Millisecond
-	// restLeast is how long it rests at least. Work that changes hands costs a
-	// second or two, during which two processes have a part of it each.
-	restLeast = 10 * time.Second
+	// lagSampleInterval is the time between two measurements of how late timers fire.
+	// Timers wait for the processor as all other work does, so their lateness shows how
+	// late the process is.
+	lagSampleInterval = 50 * time.Millisecond
+	// lagSampleWeight is the weight of a sample in the moving average of the lateness:
+	// about five samples count.
+	lagSampleWeight = 0.2
+	// maxLagSample is the upper limit of a sample, so that a single pause does not make
+	// a process decline ownership: three such samples in a row do, in less than a second.
+	maxLagSample = 250 * time.Millisecond
+	// declineThreshold is the average lateness from which a process declines ownership.
+	// It delays each hop of a request through this owner, while responses are due within
+	// some hundred milliseconds.
+	declineThreshold = 100 * time.Millisecond
+	// resumeThreshold is the average lateness below which a process accepts ownership
+	// again. It is well below declineThreshold, so that the state does not flap.
+	resumeThreshold = 20 * time.Millisecond
+	// minDeclineDuration is the shortest time for which ownership is declined. A change
+	// of owners costs a second or two, in which two processes own a part of the work each.
+	minDeclineDuration = 10 * time.Second
 )
 
-// lag is how late a process is with its work.
-type lag struct {
-	mean    time.Duration
-	resting bool
-	since   time.Time // when it began to rest
+// lagMonitor decides from the lateness of timers whether a process declines ownership.
+type lagMonitor struct {
+	mean           time.Duration // moving average of the lateness
+	declining      bool
+	decliningSince time.Time // when it began to decline
 }
 
-// take takes in how late a timer was. It tells whether the process begins or ends
-// its rest.
-func (l *lag) take(late time.Duration, now time.Time) (changed bool) {
-	late = min(max(late, 0), lagMost)
-	l.mean += time.Duration(lagShare * float64(late-l.mean))
+// observe adds the lateness of one timer. It reports whether the process starts or stops
+// declining ownership with that.
+func (l *lagMonitor) observe(lateness time.Duration, now time.Time) (changed bool) {
+	lateness = min(max(lateness, 0), maxLagSample)
+	l.mean += time.Duration(lagSampleWeight * float64(lateness-l.mean))
 	switch {
-	case !l.resting && l.mean >= lagRest:
-		l.resting, l.since = true, now
+	case !l.declining && l.mean >= declineThreshold:
+		l.declining, l.decliningSince = true, now
 		return true
-	case l.resting && l.mean < lagCalm && now.Sub(l.since) >= restLeast:
-		l.resting = false
+	case l.declining && l.mean < resumeThreshold && now.Sub(l.decliningSince) >= minDeclineDuration:
+		l.declining = false
 		return true
 	}
 	return false
 }
 
-// watchLag has this process left out of the owners while it is late with its work.
-// An owner on an instance that turns slow would hold up the whole fleet, and its
-// peers see only that it still answers. One that is too weak to own work has nothing
-// to tell: it is not asked.
-func (m *Members) watchLag(ctx context.Context) {
-	var l lag
+// monitorLag makes this process decline ownership while its timers are late. An owner on
+// an instance that has become slow would delay the whole fleet, and its peers only see
+// that it still answers. A process that is too weak to own work skips the samples, unless
+// it declines ownership already.
+func (m *Members) monitorLag(ctx context.Context) {
+	var l lagMonitor
 	for {
-		due := clock.Now().Add(lagEvery)
-		if !retry.Sleep(ctx, lagEvery) {
+		due := clock.Now().Add(lagSampleInterval)
+		if !retry.Sleep(ctx, lagSampleInterval) {
 			return
 		}
 		now := clock.Now()
-		if !l.resting && power(m.self) < m.list.Load().least {
+		if !l.declining && effectivePower(m.self) < m.roster.Load().minOwnerPower {
 			continue
 		}
-		if l.take(now.Sub(due), now) {
-			m.rest(ctx, l.resting, l.mean)
+		if l.observe(now.Sub(due), now) {
+			m.setDeclining(ctx, l.declining, l.mean)
 		}
 	}
 }
 
-// rest tells others, through the store, whether this process is to be left out.
-func (m *Members) rest(ctx context.Context, resting bool, mean time.Duration) {
-	m.resting.Store(resting)
+// setDeclining records whether this process declines ownership, and writes that to its key
+// in the store for the others. mean is the average lateness, for the log.
+func (m *Members) setDeclining(ctx context.Context, declining bool, mean time.Duration) {
+	m.declining.Store(declining)
 	m.mu.Lock()
 	m.publish()
 	m.mu.Unlock()
-	if resting {
-		m.log.Warn("This process is late with its work and asks to own none.", "late", mean)
+	if declining {
+		m.log.Warn("process is lagging and declines ownership of shared work", "late", mean)
 	} else {
-		m.log.Info("This process is in time again and may own work.", "late", mean)
+		m.log.Info("process no longer lags and accepts ownership of shared work", "late", mean)
 	}
 	lease := m.lease.Load()
 	if lease == nil {
-		return // not registered: the key will say it
+		return // not registered: the key will be written with the new state
 	}
-	if err := m.write(ctx, *lease); err != nil {
-		m.log.Warn("The others can't be told; they are when the lease is renewed.", "resting", resting, "error", err.Error())
+	if err := m.writeKey(ctx, *lease); err != nil {
+		m.log.Warn("change of ownership not written to the store; retrying with the next lease renewal", "resting", declining, "error", err.Error())
 	}
 }
--- a/internal/coordination/members/members.go
+++ b/internal/coordination/members/members.go
@@ -18,113 +18,124 @@
 )
 
 const (
-	prefix = "hookhall/gateways/"
-	// ttl is how long a process that has died stays listed.
-	ttl = 6 * time.Second
-	// renewEvery leaves two renewals' room for failures.
-	renewEvery = 2 * time.Second
-	// watchTime is how long a watch waits.
-	watchTime = 8 * time.Second
-	// gather is how long changes are gathered, since many processes start or stop
-	// at once.
-	gather = 100 * time.Millisecond
-	// newcomer is how long a member has to be listed before it owns work: by then
-	// all others list it, too, and work changes hands at about the same moment
-	// everywhere. It is longer in a large fleet, which learns of it over a longer
-	// way: newcomerStep for each member, newcomerMost at most.
-	newcomer     = time.Second
-	newcomerStep = 24 * time.Millisecond
-	newcomerMost = 3 * time.Second
-	// suspectFor is how long a peer that did not answer is left out.
-	suspectFor = 1500 * time.Millisecond
-	// powerMost bounds the power that a member may tell: its square has to be a number.
-	powerMost = 1e6
-	// rejectedMost bounds the keys that are remembered as naming no member.
-	rejectedMost = 1024
-	// leastPower stands for members that don't tell theirs.
-	leastPower = 0.05
-	// bearerShare is the part of the strongest member's power that a member needs
-	// to own work. On 295 instances of which 280 have a quarter of the others'
-	// processor, the square of power alone gave weak ones every second role: one
-	// that brokered a pool was full, half of all requests were late, and stayed so
-	// after the load had gone.
-	bearerShare = 0.5
-	// leastBearers is how many members own work at least, weaker ones included: a
-	// fleet's roles are not to hang on one or two instances.
-	leastBearers = 3
-	pauseFirst   = 100 * time.Millisecond
-	pauseMost    = 2 * time.Second
+	// keyPrefix is the prefix of the members' keys in the store; the name of the
+	// member's instance follows.
+	keyPrefix = "hookhall/gateways/"
+	// leaseTTL is how long a process that has died stays listed.
+	leaseTTL = 6 * time.Second
+	// renewInterval is the time between two renewals of the lease. Within leaseTTL two
+	// renewals may fail.
+	renewInterval = 2 * time.Second
+	// watchTimeout is how long a watch waits for changes.
+	watchTimeout = 8 * time.Second
+	// batchDelay is the wait between a watch that returned changes and the next one, so
+	// that the changes of many processes that start or stop together form one batch.
+	batchDelay = 100 * time.Millisecond
+	// minSettleTime is the shortest time that a member is listed before it owns work: by
+	// then all others list it, too, and work changes owners at about the same moment
+	// everywhere. A change takes longer to reach all of a large fleet, so the time is
+	// settleTimePerMember for each member, between minSettleTime and maxSettleTime.
+	minSettleTime       = time.Second
+	settleTimePerMember = 24 * time.Millisecond
+	maxSettleTime       = 3 * time.Second
+	// suspectDuration is how long a peer that did not answer is excluded.
+	suspectDuration = 1500 * time.Millisecond
+	// maxPower is the upper limit of the power in a member's record: its square has to
+	// stay finite.
+	maxPower = 1e6
+	// maxRejectedKeys limits the memory for keys with invalid records. Beyond it all are
+	// forgotten, and each key may be logged once more.
+	maxRejectedKeys = 1024
+	// minPower is the effective power of members whose record has none, or less.
+	minPower = 0.05
+	// eligiblePowerShare is the share of the strongest member's power that a member needs
+	// to own work. Weighting by the square of the power alone is not enough: on 295
+	// instances, 280 of them with a quarter of the others' processor, weak ones got every
+	// second role. One that was the broker of a pool was overloaded; half of all requests
+	// were late, and stayed so after the load had ended.
+	eligiblePowerShare = 0.5
+	// minEligibleOwners is the minimum number of eligible owners, weaker members included,
+	// so that the roles of the fleet do not depend on one or two instances.
+	minEligibleOwners = 3
+	// minRetryDelay and maxRetryDelay limit the pause between attempts to read the list
+	// or to renew the lease.
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// Members follows the gateways.
+// Members keeps the list of the gateways and this process's registration. It is safe for
+// concurrent use.
 type Members struct {
 	self  hookhall.Member
 	store hookhall.Store
 	log   *log.Logger
 
-	list     atomic.Pointer[roster]
-	suspects sync.Map // address to time.Time
-	stopping atomic.Bool
-	resting  atomic.Bool                    // this process asks to own no work
-	said     atomic.Bool                    // what its key says of that
-	lease    atomic.Pointer[hookhall.Lease] // nil for none
-	since    sync.Map                       // address to when it was first listed; self: registered
+	roster             atomic.Pointer[roster]
+	suspectedUntil     sync.Map // address to the time.Time when the suspicion ends
+	stopping           atomic.Bool
+	declining          atomic.Bool                    // this process declines ownership of shared work
+	publishedDeclining atomic.Bool                    // the value of declining in its key
+	lease              atomic.Pointer[hookhall.Lease] // nil while this process is not registered
+	listedSince        sync.Map                       // address to the time.Time when it was first listed; self: first registered
 
-	// Leads tells whether this process follows the store for others. Set before
-	// Run.
+	// Leads reports whether this process is a leader, which follows the store and sends
+	// updates to the others. The default is true. Set it before Run.
 	Leads func() bool
 
-	mu       sync.Mutex // for what follows
-	byKey    map[string]listing
-	gone     map[string]time.Time         // keys that went, and when
-	rejected map[string]hookhall.Revision // keys that name no member, with their revisions
-	left     map[string]time.Time         // addresses that left the list, and when
-	met      bool                         // a list is known, from the store or a peer
-	metAt    time.Time                    // when the first one became known
-	// restored is when this process read the list first after the store had come back from a
-	// copy, zero once that has settled, and restoredAt the store's revision then.
-	restored   time.Time
-	restoredAt hookhall.Revision
-	revision   hookhall.Revision // the store's, as of the list; 0 before it was read
-	heard      time.Time         // when the list was last read, or confirmed by news
-	gap        bool              // news did not fit: the list is to be read
+	mu                    sync.Mutex // guards the fields below
+	listingByKey          map[string]listing
+	keyRemovedAt          map[string]time.Time         // when keys were removed; expired entries are deleted by News
+	rejectedRevisionByKey map[string]hookhall.Revision // last revision of keys with invalid records
+	addressRemovedAt      map[string]time.Time         // when addresses were removed; expired entries are deleted by Sharers
+	hasList               bool                         // a list was read from the store or received from a peer
+	firstListAt           time.Time                    // when hasList was set
+	// restoreSeenAt is when this process first read the list after the store was restored
+	// from an older copy, and restoredRevision the store's revision then. restoreSeenAt is
+	// zero while no restore is being handled; see finishRestore.
+	restoreSeenAt    time.Time
+	restoredRevision hookhall.Revision
+	revision         hookhall.Revision // store revision of the list; 0 before it was first read
+	confirmedAt      time.Time         // when the list was last read, or confirmed by a watch or an update
+	hasGap           bool              // an update was missed or a restore ended: the list has to be read
 }
 
-// New makes a Members that knows only this process.
-func New(self hookhall.Member, s hookhall.Store, l *log.Logger) *Members {
+// New returns a Members whose list has only this process, self, and which keeps that
+// process's key in store. Run starts it.
+func New(self hookhall.Member, store hookhall.Store, logger *log.Logger) *Members {
 	m := &Members{
-		self: self, store: s, log: l, Leads: func() bool { return true },
-		byKey: map[string]listing{}, gone: map[string]time.Time{}, rejected: map[string]hookhall.Revision{}, left: map[string]time.Time{},
+		self: self, store: store, log: logger, Leads: func() bool { return true },
+		listingByKey: map[string]listing{}, keyRemovedAt: map[string]time.Time{}, rejectedRevisionByKey: map[string]hookhall.Revision{}, addressRemovedAt: map[string]time.Time{},
 	}
 	m.publish()
 	return m
 }
 
-// Self is this process.
+// Self returns the record of this process as given to New.
 func (m *Members) Self() hookhall.Member { return m.self }
 
-// List has all members that are not suspected, sorted by address.
+// List returns all members that are not suspected at now, sorted by address.
 func (m *Members) List(now time.Time) []hookhall.Member {
 	all := m.All()
 	kept := make([]hookhall.Member, 0, len(all))
 	for _, o := range all {
-		if !m.silent(o.Address, now) {
+		if !m.isSuspectedPeer(o.Address, now) {
 			kept = append(kept, o)
 		}
 	}
 	return kept
 }
 
-// silent tells whether another member did not answer a moment ago.
-func (m *Members) silent(address string, now time.Time) bool {
+// isSuspectedPeer reports whether address is another member that is suspected.
+func (m *Members) isSuspectedPeer(address string, now time.Time) bool {
 	return address != m.self.Address && m.Suspected(address, now)
 }
 
-// All has all members, suspected ones included, sorted by address.
-func (m *Members) All() []hookhall.Member { return m.list.Load().all }
+// All returns all members, including suspected ones and this process, sorted by address.
+// The caller must not change the slice.
+func (m *Members) All() []hookhall.Member { return m.roster.Load().all }
 
-// Rank is this process's place in the order of key's owners: 0 for the owner, 1
-// for the next one, 2 for all others.
+// Rank returns the position of this process in the order of owners of key: 0 for the
+// owner, 1 for the standby, 2 for all others.
 func (m *Members) Rank(key string, now time.Time) int {
 	first := m.Owner(key, nil, now)
 	if first.Address == m.self.Address {
@@ -137,99 +148,104 @@
 	return 2
 }
 
-// Met tells whether other members than this process are known, or that there are
-// none.
+// Met reports whether a list of members was read from the store or received from a peer.
 func (m *Members) Met() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.met
+	return m.hasList
 }
 
-// Count is how many members there are, suspected ones included.
+// Count returns the number of members, including suspected ones and this process.
 func (m *Members) Count() int { return len(m.All()) }
 
-// Suspect leaves a peer out for a while.
+// Suspect excludes a peer that did not answer for suspectDuration from now.
 func (m *Members) Suspect(address string, now time.Time) {
-	if _, known := m.suspects.Swap(address, now.Add(suspectFor)); !known {
-		m.log.Warn("A gateway does not answer.", "address", address)
+	if _, known := m.suspectedUntil.Swap(address, now.Add(suspectDuration)); !known {
+		m.log.Warn("gateway does not answer", "address", address)
 	}
 }
 
-// Suspected tells whether a peer did not answer a moment ago.
+// Suspected reports whether Suspect excludes a peer at now.
 func (m *Members) Suspected(address string, now time.Time) bool {
-	v, ok := m.suspects.Load(address)
+	v, ok := m.suspectedUntil.Load(address)
 	if !ok {
 		return false
 	}
 	if now.After(v.(time.Time)) {
-		m.suspects.Delete(address)
+		m.suspectedUntil.Delete(address)
 		return false
 	}
 	return true
 }
 
-// Owner is the member that holds the work named by key, by rendezvous hashing over
-// the members that are strong enough; over all when none of those is left. skip
-// leaves members out. Newcomers own nothing, unless all are.
+// Owner returns the member that owns the work named by key, by rendezvous hashing over the
+// eligible owners, or over all members if no eligible owner is left. It passes over
+// suspected peers and the addresses in skip, which may be nil. Members that were listed
+// only recently own nothing unless there are no others. If nobody is left, Owner returns
+// this process.
 func (m *Members) Owner(key string, skip map[string]bool, now time.Time) hookhall.Member {
-	r := m.list.Load()
-	may := func(o hookhall.Member) bool { return !skip[o.Address] && !m.silent(o.Address, now) }
-	settled := func(o hookhall.Member) bool { return may(o) && !m.fresh(o.Address, now) }
-	for _, try := range []struct {
-		list []hookhall.Member
-		may  func(hookhall.Member) bool
-	}{{r.bearers, settled}, {r.all, settled}, {r.bearers, may}, {r.all, may}} {
-		if best, found := m.choose(key, try.list, try.may); found {
+	r := m.roster.Load()
+	isAvailable := func(o hookhall.Member) bool { return !skip[o.Address] && !m.isSuspectedPeer(o.Address, now) }
+	isSettled := func(o hookhall.Member) bool { return isAvailable(o) && !m.isNewcomer(o.Address, now) }
+	for _, pass := range []struct {
+		candidates []hookhall.Member
+		accepts    func(hookhall.Member) bool
+	}{{r.eligible, isSettled}, {r.all, isSettled}, {r.eligible, isAvailable}, {r.all, isAvailable}} {
+		if best, found := m.chooseOwner(key, pass.candidates, pass.accepts); found {
 			return best
 		}
 	}
 	return m.self
 }
 
-func (m *Members) choose(key string, list []hookhall.Member, may func(hookhall.Member) bool) (best hookhall.Member, found bool) {
-	top := 0.0
-	for _, o := range list {
-		if !may(o) || (o.Address == m.self.Address && m.stopping.Load()) {
+// chooseOwner returns the member with the highest score for key among the candidates that
+// the function accepts allows, and whether there is one. It passes over this process while
+// it stops.
+func (m *Members) chooseOwner(key string, candidates []hookhall.Member, accepts func(hookhall.Member) bool) (best hookhall.Member, found bool) {
+	bestScore := 0.0
+	for _, o := range candidates {
+		if !accepts(o) || (o.Address == m.self.Address && m.stopping.Load()) {
 			continue
 		}
-		if h := weighed(key, o); !found || h > top {
-			best, top, found = o, h, true
+		if score := ownerScore(key, o); !found || score > bestScore {
+			best, bestScore, found = o, score, true
 		}
 	}
 	return best, found
 }
 
-// fresh tells whether a member was listed only a moment ago.
-func (m *Members) fresh(address string, now time.Time) bool {
-	since, ok := m.since.Load(address)
+// isNewcomer reports whether a member was first listed less than settleTime ago.
+func (m *Members) isNewcomer(address string, now time.Time) bool {
+	since, ok := m.listedSince.Load(address)
 	return !ok || now.Sub(since.(time.Time)) < m.settleTime()
 }
 
-// settleTime is how long a change of the list takes to get around.
+// settleTime returns how long a change of the list takes to reach all members.
 func (m *Members) settleTime() time.Duration {
-	return max(newcomer, min(time.Duration(m.Count())*newcomerStep, newcomerMost))
+	return max(minSettleTime, min(time.Duration(m.Count())*settleTimePerMember, maxSettleTime))
 }
 
-// weighed is the rank of a member for a key: the greatest of all is the owner.
-// Members own in proportion to the square of their power, so that weak ones are
-// seldom chosen (weighted rendezvous hashing).
-func weighed(key string, o hookhall.Member) float64 {
-	h := xxhash.Sum64String(key + "\x00" + o.Address)
-	unit := (float64(h>>11) + 0.5) / (1 << 53)
-	return -power(o) * power(o) / math.Log(unit)
+// ownerScore returns the score of a member for a key; the member with the highest score
+// is the owner (weighted rendezvous hashing). Members own work in proportion to the square
+// of their power, so that weak ones are seldom chosen.
+func ownerScore(key string, o hookhall.Member) float64 {
+	hash := xxhash.Sum64String(key + "\x00" + o.Address)
+	unit := (float64(hash>>11) + 0.5) / (1 << 53)
+	return -effectivePower(o) * effectivePower(o) / math.Log(unit)
 }
 
-// Run follows the store until ctx ends.
+// Run registers this process, follows the list and monitors the process's lag until ctx
+// ends.
 func (m *Members) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){m.register, m.follow, m.watchLag} {
+	for _, f := range []func(context.Context){m.register, m.follow, m.monitorLag} {
 		wg.Go(func() { f(ctx) })
 	}
 	wg.Wait()
 }
 
-// Meet takes in members that a peer listed. The store's own list, once it can be
-// read, takes their place.
+// Meet adds members that a peer has listed, as long as no list was read from the store.
+// The store's list replaces them once it can be read.
 func (m *Members) Meet(list []hookhall.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -237,45 +253,45 @@
 		return
 	}
 	for _, o := range list {
-		m.byKey[prefix+o.Instance] = listing{member: o}
+		m.listingByKey[keyPrefix+o.Instance] = listing{member: o}
 	}
-	m.meet(clock.Now())
+	m.markListKnown(clock.Now())
 	m.publish()
 }
 
-// meet takes in that a list is known. The caller holds m.mu.
-func (m *Members) meet(now time.Time) {
-	if !m.met {
-		m.met, m.metAt = true, now
+// markListKnown records that a list is known as of now. m.mu must be held.
+func (m *Members) markListKnown(now time.Time) {
+	if !m.hasList {
+		m.hasList, m.firstListAt = true, now
 	}
 }
 
-// publish makes the list of what is known. The caller holds m.mu, or has the only
-// reference.
+// publish replaces the roster by one of the members that are known, and records when
+// addresses joined and left. m.mu must be held, unless no other goroutine has m yet.
 func (m *Members) publish() {
 	now := clock.Now()
-	list := []hookhall.Member{m.own()}
-	listed := map[string]bool{m.self.Address: true}
-	for _, l := range m.byKey {
+	list := []hookhall.Member{m.advertised()}
+	isListed := map[string]bool{m.self.Address: true}
+	for _, l := range m.listingByKey {
 		o := l.member
-		if !listed[o.Address] {
-			listed[o.Address] = true
+		if !isListed[o.Address] {
+			isListed[o.Address] = true
 			list = append(list, o)
-			m.since.LoadOrStore(o.Address, now)
+			m.listedSince.LoadOrStore(o.Address, now)
 		}
 	}
-	for address := range listed {
-		delete(m.left, address)
+	for address := range isListed {
+		delete(m.addressRemovedAt, address)
 	}
-	m.since.Range(func(address, _ any) bool {
-		if !listed[address.(string)] {
-			m.since.Delete(address)
-			m.left[address.(string)] = now
+	m.listedSince.Range(func(address, _ any) bool {
+		if !isListed[address.(string)] {
+			m.listedSince.Delete(address)
+			m.addressRemovedAt[address.(string)] = now
 		}
 		return true
 	})
 	sort.Slice(list, func(i, j int) bool { return list[i].Address < list[j].Address })
 	r := newRoster(list)
-	m.list.Store(r)
-	m.log.Info("The gateways.", "count", len(r.all), "bearers", len(r.bearers))
+	m.roster.Store(r)
+	m.log.Info("gateway list updated", "count", len(r.all), "bearers", len(r.eligible))
 }
--- a/internal/coordination/members/members_test.go
+++ b/internal/coordination/members/members_test.go
@@ -19,32 +19,35 @@
 	return hookhall.Member{ID: fmt.Sprint("m", n), Instance: fmt.Sprint("m", n), Address: fmt.Sprintf("10.0.0.%d:1", n), Power: 1}
 }
 
-// listed makes a Members that lists others than itself, number 1, as of long ago.
-func listed(n int) *Members {
+// newEstablished returns a Members of member 1 that lists members 1 to n as of an hour ago,
+// so that none is a newcomer.
+func newEstablished(n int) *Members {
 	m := New(member(1), nil, log.New(io.Discard))
 	for i := range n {
-		m.byKey[fmt.Sprint(prefix, i+1)] = listing{member: member(i + 1)}
+		m.listingByKey[fmt.Sprint(keyPrefix, i+1)] = listing{member: member(i + 1)}
 	}
 	m.publish()
 	for i := range n {
-		m.since.Store(member(i+1).Address, time.Now().Add(-time.Hour))
+		m.listedSince.Store(member(i+1).Address, time.Now().Add(-time.Hour))
 	}
 	return m
 }
 
-// registered is the key that a member wrote, as of a revision.
-func registered(o hookhall.Member, revision hookhall.Revision) hookhall.Item {
+// memberItem returns the item of a member's key, written at a revision.
+func memberItem(o hookhall.Member, revision hookhall.Revision) hookhall.Item {
 	value, err := json.Marshal(o)
 	if err != nil {
 		panic(err)
 	}
-	return hookhall.Item{Key: prefix + o.Instance, Value: value, Revision: revision}
+	return hookhall.Item{Key: keyPrefix + o.Instance, Value: value, Revision: revision}
 }
 
+// TestOwner guards against work that has no owner, moves without need, or goes to members that
+// do not answer, have just started or are weak.
 func TestOwner(t *testing.T) {
 	now := time.Now()
 	Convey("Given nine members", t, func() {
-		m := listed(9)
+		m := newEstablished(9)
 		owners := map[string]int{}
 		for i := range 900 {
 			owners[m.Owner(fmt.Sprint("k", i), nil, now).Address]++
@@ -55,42 +58,42 @@
 				So(n, ShouldBeBetween, 50, 160)
 			}
 		})
-		Convey("one that goes leaves the others' work where it is", func() {
-			less := listed(8)
+		Convey("the work of others keeps its owners when a member leaves", func() {
+			fewer := newEstablished(8)
 			for i := range 200 {
 				key := fmt.Sprint("k", i)
 				if before := m.Owner(key, nil, now); before.Address != member(9).Address {
-					So(less.Owner(key, nil, now).Address, ShouldEqual, before.Address)
+					So(fewer.Owner(key, nil, now).Address, ShouldEqual, before.Address)
 				}
 			}
 		})
-		Convey("a silent one owns nothing for a while", func() {
+		Convey("a suspected member owns nothing until the suspicion ends", func() {
 			first := m.Owner("k", nil, now)
 			m.Suspect(first.Address, now)
 			if first.Address != m.self.Address {
 				So(m.Owner("k", nil, now).Address, ShouldNotEqual, first.Address)
 			}
-			So(m.Owner("k", nil, now.Add(2*suspectFor)).Address, ShouldEqual, first.Address)
+			So(m.Owner("k", nil, now.Add(2*suspectDuration)).Address, ShouldEqual, first.Address)
 		})
-		Convey("a silent one that registers anew is no longer left out", func() {
+		Convey("a suspected member that registers again is no longer excluded", func() {
 			first := m.Owner("k", map[string]bool{m.self.Address: true}, now)
 			m.Suspect(first.Address, now)
-			m.change([]hookhall.Item{registered(first, 7)}, 7)
+			m.applyEvents([]hookhall.Item{memberItem(first, 7)}, 7)
 			So(m.Suspected(first.Address, now), ShouldBeFalse)
 		})
-		Convey("one of a reading of the whole list is left out all the same", func() {
-			m.take(registered(member(2), 7), now)
+		Convey("reading the same record again does not end a suspicion", func() {
+			m.applyItem(memberItem(member(2), 7), now)
 			m.Suspect(member(2).Address, now)
-			m.take(registered(member(2), 7), now)
+			m.applyItem(memberItem(member(2), 7), now)
 			So(m.Suspected(member(2).Address, now), ShouldBeTrue)
 		})
 		Convey("a newcomer owns nothing at first", func() {
-			m.byKey[prefix+"10"] = listing{member: member(10)}
+			m.listingByKey[keyPrefix+"10"] = listing{member: member(10)}
 			m.publish()
 			for i := range 300 {
 				So(m.Owner(fmt.Sprint("k", i), nil, time.Now()).Address, ShouldNotEqual, member(10).Address)
 			}
-			later := time.Now().Add(2 * newcomer)
+			later := time.Now().Add(2 * minSettleTime)
 			got := 0
 			for i := range 300 {
 				if m.Owner(fmt.Sprint("k", i), nil, later).Address == member(10).Address {
@@ -99,7 +102,7 @@
 			}
 			So(got, ShouldBeGreaterThan, 0)
 		})
-		Convey("one that stops owns nothing by its own word", func() {
+		Convey("a process that stops owns nothing in its own list", func() {
 			m.stopping.Store(true)
 			for i := range 300 {
 				So(m.Owner(fmt.Sprint("k", i), nil, now).Address, ShouldNotEqual, m.self.Address)
@@ -118,9 +121,9 @@
 			So(m.Rank("reader", now), ShouldEqual, want)
 		})
 	})
-	Convey("When all are newcomers, they own at once", t, func() {
+	Convey("When all are newcomers, they own work at once", t, func() {
 		m := New(member(1), nil, log.New(io.Discard))
-		m.byKey[prefix+"2"] = listing{member: member(2)}
+		m.listingByKey[keyPrefix+"2"] = listing{member: member(2)}
 		m.publish()
 		owners := map[string]bool{}
 		for i := range 100 {
@@ -128,11 +131,11 @@
 		}
 		So(len(owners), ShouldEqual, 2)
 	})
-	Convey("Weak members own little", t, func() {
+	Convey("Weak members own little work", t, func() {
 		m := New(member(1), nil, log.New(io.Discard))
 		weak := member(2)
 		weak.Power = 0.2
-		m.byKey[prefix+"2"] = listing{member: weak}
+		m.listingByKey[keyPrefix+"2"] = listing{member: weak}
 		m.publish()
 		n := 0
 		for i := range 1000 {
@@ -144,29 +147,32 @@
 	})
 }
 
-func TestTake(t *testing.T) {
-	m := listed(1)
-	b, err := json.Marshal(member(5))
+// TestApplyItem guards against members taken from invalid records or from keys with another
+// prefix, and against removed keys that stay listed.
+func TestApplyItem(t *testing.T) {
+	m := newEstablished(1)
+	value, err := json.Marshal(member(5))
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Now()
-	m.take(hookhall.Item{Key: prefix + "m5", Value: b, Revision: 1}, now)
-	m.take(hookhall.Item{Key: prefix + "bad", Value: []byte("{"), Revision: 1}, now)
-	m.take(hookhall.Item{Key: "other/m6", Value: b, Revision: 1}, now)
+	m.applyItem(hookhall.Item{Key: keyPrefix + "m5", Value: value, Revision: 1}, now)
+	m.applyItem(hookhall.Item{Key: keyPrefix + "bad", Value: []byte("{"), Revision: 1}, now)
+	m.applyItem(hookhall.Item{Key: "other/m6", Value: value, Revision: 1}, now)
 	m.publish()
 	if m.Count() != 2 {
 		t.Fatalf("%d members", m.Count())
 	}
-	m.take(hookhall.Item{Key: prefix + "m5", Gone: true}, now)
+	m.applyItem(hookhall.Item{Key: keyPrefix + "m5", Gone: true}, now)
 	m.publish()
 	if m.Count() != 1 {
 		t.Fatalf("%d members", m.Count())
 	}
 }
 
-// TestSharers: limits of the fleet are shared with members that left the list a
-// short while ago, and nothing is shared before a list is known and has settled.
+// TestSharers guards against processes that use more than their share of the fleet's limits
+// together: when a lease expired but its process still runs, and at a start, before a list is
+// known and has settled.
 func TestSharers(t *testing.T) {
 	now := time.Now()
 	m := New(member(1), nil, log.New(io.Discard))
@@ -178,23 +184,23 @@
 		t.Fatalf("%d sharers before a list is known", n)
 	}
 	m.Meet([]hookhall.Member{member(2), member(3)})
-	if n := count(newcomer / 2); n != 0 {
+	if n := count(minSettleTime / 2); n != 0 {
 		t.Fatalf("%d sharers before the list has settled", n)
 	}
-	if n := count(2 * newcomer); n != 3 {
-		t.Fatalf("%d sharers, not 3", n)
+	if n := count(2 * minSettleTime); n != 3 {
+		t.Fatalf("%d sharers, want 3", n)
 	}
 	m.mu.Lock()
-	m.remove(prefix+member(2).Instance, now)
+	m.removeKey(keyPrefix+member(2).Instance, now)
 	m.publish()
 	m.mu.Unlock()
-	if n := count(2 * newcomer); n != 3 || m.Count() != 2 {
-		t.Fatalf("%d sharers of %d members, not 3 of 2", n, m.Count())
+	if n := count(2 * minSettleTime); n != 3 || m.Count() != 2 {
+		t.Fatalf("%d sharers of %d members, want 3 of 2", n, m.Count())
 	}
-	if n := count(2 * shareFor); n != 2 {
-		t.Fatalf("%d sharers later, not 2", n)
+	if n := count(2 * departedShareDuration); n != 2 {
+		t.Fatalf("%d sharers later, want 2", n)
 	}
-	if _, place := m.Sharers(now.Add(2 * shareFor)); place != 0 {
-		t.Fatalf("place %d, not the first", place)
+	if _, index := m.Sharers(now.Add(2 * departedShareDuration)); index != 0 {
+		t.Fatalf("index %d, want 0", index)
 	}
 }
--- a/internal/coordination/members/register.go
+++ b/internal/coordination/members/register.go
@@ -13,17 +13,18 @@
 	"github.com/pkg/errors"
 )
 
-// Leave takes this process off the list: it stops.
+// Leave removes this process from the list when it stops: it owns no work from then on, and
+// its lease is revoked. If that fails, the others remove it when the lease expires.
 func (m *Members) Leave(ctx context.Context) {
 	m.stopping.Store(true)
 	if lease := m.lease.Swap(nil); lease != nil {
 		if err := m.store.Revoke(ctx, *lease); err != nil {
-			m.log.Warn("The lease could not be ended; it expires.", "error", err.Error())
+			m.log.Warn("lease not revoked; it will expire", "error", err.Error())
 		}
 	}
 }
 
-// leaseNumber is the lease's, for the log; 0 for none.
+// leaseNumber returns the number of the lease for log messages, 0 without a lease.
 func (m *Members) leaseNumber() uint64 {
 	if lease := m.lease.Load(); lease != nil {
 		return lease.Number
@@ -31,70 +32,72 @@
 	return 0
 }
 
-// own is this process as the others should see it.
-func (m *Members) own() hookhall.Member {
+// advertised returns the record of this process with its current state, for the others.
+func (m *Members) advertised() hookhall.Member {
 	o := m.self
-	o.Resting = m.resting.Load()
+	o.Resting = m.declining.Load()
 	return o
 }
 
-// write writes this process's key under a lease.
-func (m *Members) write(ctx context.Context, lease hookhall.Lease) error {
-	o := m.own()
+// writeKey writes this process's key under a lease.
+func (m *Members) writeKey(ctx context.Context, lease hookhall.Lease) error {
+	o := m.advertised()
 	value, err := json.Marshal(o)
 	if err != nil {
-		return errors.Wrap(err, "this member can't be encoded")
+		return errors.Wrap(err, "could not encode the record of this gateway")
 	}
-	if err := m.store.Put(ctx, prefix+o.Instance, value, lease); err != nil {
+	if err := m.store.Put(ctx, keyPrefix+o.Instance, value, lease); err != nil {
 		return err
 	}
-	m.said.Store(o.Resting)
+	m.publishedDeclining.Store(o.Resting)
 	return nil
 }
 
+// register keeps this process registered until ctx ends or Leave is called.
 func (m *Members) register(ctx context.Context) {
-	pause := retry.Between(pauseFirst, pauseMost)
+	pause := retry.Between(minRetryDelay, maxRetryDelay)
 	failing := false
 	for ctx.Err() == nil && !m.stopping.Load() {
 		if err := m.renew(ctx); err != nil {
 			if !failing && ctx.Err() == nil {
-				m.log.Warn("The lease can't be renewed; others drop this gateway when it expires.", "lease", m.leaseNumber(), "error", err.Error())
+				m.log.Warn("lease not renewed; other gateways remove this one when it expires", "lease", m.leaseNumber(), "error", err.Error())
 			}
 			failing = true
 			pause.Wait(ctx)
 			continue
 		}
 		if failing {
-			m.log.Info("The lease is renewed again.", "lease", m.leaseNumber())
+			m.log.Info("lease renewed again", "lease", m.leaseNumber())
 		}
 		failing = false
 		pause.Reset()
-		retry.Sleep(ctx, retry.Jitter(renewEvery))
+		retry.Sleep(ctx, retry.Jitter(renewInterval))
 	}
 }
 
-// renew keeps the lease, or begins a new one, and has the key say what is true.
+// renew renews the lease, or registers under a new one if there is none or it is gone, and
+// updates the key if it does not state whether this process declines ownership.
 func (m *Members) renew(ctx context.Context) error {
 	if lease := m.lease.Load(); lease != nil {
 		err := m.store.Renew(ctx, *lease)
-		if err == nil && m.said.Load() != m.resting.Load() {
-			err = m.write(ctx, *lease)
+		if err == nil && m.publishedDeclining.Load() != m.declining.Load() {
+			err = m.writeKey(ctx, *lease)
 		}
 		if !errors.Is(err, hookhall.ErrLeaseGone) {
 			return err
 		}
 		m.lease.CompareAndSwap(lease, nil)
 	}
-	lease, err := m.store.Grant(ctx, ttl)
+	lease, err := m.store.Grant(ctx, leaseTTL)
 	if err != nil {
 		return err
 	}
-	if err := m.write(ctx, lease); err != nil {
+	if err := m.writeKey(ctx, lease); err != nil {
 		return err
 	}
 	if !m.stopping.Load() {
 		m.lease.Store(&lease)
-		m.since.LoadOrStore(m.self.Address, clock.Now())
+		m.listedSince.LoadOrStore(m.self.Address, clock.Now())
 		m.log.Info("Registered.", "lease", lease.Number, "era", lease.Era)
 	}
 	return nil
--- a/internal/coordination/members/restored_test.go
+++ b/internal/coordination/members/restored_test.go
@@ -15,38 +15,38 @@
 	"github.com/hookhall/hookhall"
 )
 
-// restoredStore has a list of members as of a revision, and tells no changes.
+// restoredStore serves a list of members at a revision, without watches.
 type restoredStore struct {
 	hookhall.Store
-	at    hookhall.Revision
-	items []hookhall.Item
+	revision hookhall.Revision
+	items    []hookhall.Item
 }
 
 func (s *restoredStore) Range(context.Context, string) ([]hookhall.Item, hookhall.Revision, error) {
-	return s.items, s.at, nil
+	return s.items, s.revision, nil
 }
 
 func (s *restoredStore) RangeStale(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
 	return s.Range(ctx, prefix)
 }
 
-// inEra is a revision of an era.
-func inEra(era, count uint64) hookhall.Revision {
+// revisionInEra returns the revision number count of an era.
+func revisionInEra(era, count uint64) hookhall.Revision {
 	r, err := hookhall.NewRevision(era, count)
 	if err != nil {
-		panic(err) // the tests' own numbers
+		panic(err) // the tests use valid numbers only
 	}
 	return r
 }
 
-// TestRestoredList: a store that came back from a copy takes nobody off the list before
-// all have had the time to register again, and brings no older word of a member back.
-func TestRestoredList(t *testing.T) {
+// TestRestoredStoreList guards against a restore of the store from an older copy that removes
+// members before all had the time to register again, or brings back an older record of one.
+func TestRestoredStoreList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &restoredStore{at: inEra(1, 20)}
+		s := &restoredStore{revision: revisionInEra(1, 20)}
 		moved := member(3)
 		moved.Address = "127.0.0.3:9"
-		s.items = []hookhall.Item{registered(member(2), inEra(1, 10)), registered(moved, inEra(1, 15)), registered(member(4), inEra(1, 18))}
+		s.items = []hookhall.Item{memberItem(member(2), revisionInEra(1, 10)), memberItem(moved, revisionInEra(1, 15)), memberItem(member(4), revisionInEra(1, 18))}
 		m := New(member(1), s, log.New(io.Discard))
 		read := func() {
 			t.Helper()
@@ -54,7 +54,7 @@
 				t.Fatal(err)
 			}
 		}
-		hold := func(when string, addresses ...string) {
+		wantListed := func(when string, addresses ...string) {
 			t.Helper()
 			got := fmt.Sprint(m.All())
 			listed := map[string]bool{}
@@ -71,22 +71,22 @@
 			}
 		}
 		read()
-		hold("before", member(2).Address, moved.Address, member(4).Address)
-		s.at = inEra(2, 12)
-		s.items = []hookhall.Item{registered(member(2), inEra(2, 10)), registered(member(3), inEra(2, 11))}
+		wantListed("before", member(2).Address, moved.Address, member(4).Address)
+		s.revision = revisionInEra(2, 12)
+		s.items = []hookhall.Item{memberItem(member(2), revisionInEra(2, 10)), memberItem(member(3), revisionInEra(2, 11))}
 		read()
-		m.change([]hookhall.Item{{Key: prefix + member(2).Instance, Revision: inEra(2, 13), Gone: true}}, inEra(2, 13))
-		hold("right after", member(2).Address, moved.Address, member(4).Address)
-		if m.settled(time.Now()) {
-			t.Error("the list has settled at once")
+		m.applyEvents([]hookhall.Item{{Key: keyPrefix + member(2).Instance, Revision: revisionInEra(2, 13), Gone: true}}, revisionInEra(2, 13))
+		wantListed("right after", member(2).Address, moved.Address, member(4).Address)
+		if m.finishRestore(time.Now()) {
+			t.Error("the restore was finished at once")
 		}
-		time.Sleep(ttl)
-		s.at = inEra(2, 20)
-		s.items = []hookhall.Item{registered(member(2), inEra(2, 14)), registered(moved, inEra(2, 15))}
-		if !m.settled(time.Now()) {
-			t.Error("the list has not settled")
+		time.Sleep(leaseTTL)
+		s.revision = revisionInEra(2, 20)
+		s.items = []hookhall.Item{memberItem(member(2), revisionInEra(2, 14)), memberItem(moved, revisionInEra(2, 15))}
+		if !m.finishRestore(time.Now()) {
+			t.Error("the restore was not finished")
 		}
 		read()
-		hold("once all had the time to register", member(2).Address, moved.Address)
+		wantListed("after all had the time to register", member(2).Address, moved.Address)
 	})
 }
--- a/internal/coordination/members/roster.go
+++ b/internal/coordination/members/roster.go
@@ -9,46 +9,47 @@
 	"github.com/hookhall/hookhall"
 )
 
-// roster is a list of members that never changes.
+// roster is an immutable list of members.
 type roster struct {
-	all   []hookhall.Member // sorted by address, this process included
-	least float64           // the power that a member needs to own work
-	// bearers are those of all that own work as long as one of them is there.
-	bearers []hookhall.Member // sorted by address
+	all           []hookhall.Member // sorted by address, this process included
+	minOwnerPower float64           // the power that a member needs to own work, relative to other members
+	// eligible are the members of all that own work as long as one of them is available.
+	eligible []hookhall.Member // sorted by address
 }
 
-// newRoster finds the bearers of a sorted list.
+// newRoster returns a roster of a list that is sorted by address.
 func newRoster(all []hookhall.Member) *roster {
-	least := bearerPower(all)
-	var strong, awake []hookhall.Member
+	minOwnerPower := eligiblePower(all)
+	var strong, willing []hookhall.Member
 	for _, o := range all {
-		if power(o) < least {
+		if effectivePower(o) < minOwnerPower {
 			continue
 		}
 		strong = append(strong, o)
 		if !o.Resting {
-			awake = append(awake, o)
+			willing = append(willing, o)
 		}
 	}
-	if 2*len(awake) < len(strong) {
-		// More than a few are late: the load is too much for all of them, and would
-		// be more for those that are left.
-		return &roster{all: all, least: least, bearers: strong}
+	if 2*len(willing) < len(strong) {
+		// More than half of the strong members are lagging: the load is too high for all
+		// of them, and would be higher for the rest.
+		return &roster{all: all, minOwnerPower: minOwnerPower, eligible: strong}
 	}
-	return &roster{all: all, least: least, bearers: awake}
+	return &roster{all: all, minOwnerPower: minOwnerPower, eligible: willing}
 }
 
-// bearerPower is the power from which on a member owns work: bearerShare of the
-// strongest one's, or less when fewer than leastBearers have that.
-func bearerPower(all []hookhall.Member) float64 {
+// eligiblePower returns the power that a member needs to own work: eligiblePowerShare of
+// the strongest member's, or less if fewer than minEligibleOwners members have that.
+func eligiblePower(all []hookhall.Member) float64 {
 	powers := make([]float64, 0, len(all))
 	for _, o := range all {
-		powers = append(powers, power(o))
+		powers = append(powers, effectivePower(o))
 	}
 	slices.Sort(powers)
 	slices.Reverse(powers)
-	return min(bearerShare*powers[0], powers[min(leastBearers, len(powers))-1])
+	return min(eligiblePowerShare*powers[0], powers[min(minEligibleOwners, len(powers))-1])
 }
 
-// power is what a member can carry, against others.
-func power(o hookhall.Member) float64 { return max(o.Power, leastPower) }
+// effectivePower returns how much work a member can do, relative to other members. It is
+// at least minPower.
+func effectivePower(o hookhall.Member) float64 { return max(o.Power, minPower) }
--- a/internal/coordination/members/roster_test.go
+++ b/internal/coordination/members/roster_test.go
@@ -13,38 +13,38 @@
 	"github.com/hookhall/hookhall"
 )
 
-// fleetOf makes a Members of instances with these powers, listed long ago.
-func fleetOf(powers ...float64) *Members {
-	m := listed(len(powers))
-	clear(m.byKey)
+// membersWithPowers returns a Members of members with these powers, listed an hour ago.
+func membersWithPowers(powers ...float64) *Members {
+	m := newEstablished(len(powers))
+	clear(m.listingByKey)
 	for i, p := range powers {
 		o := member(i + 1)
 		o.Power = p
 		if i == 0 {
 			m.self = o
 		}
-		m.byKey[prefix+o.Instance] = listing{member: o}
+		m.listingByKey[keyPrefix+o.Instance] = listing{member: o}
 	}
 	m.publish()
 	for _, o := range m.All() {
-		m.since.Store(o.Address, time.Now().Add(-time.Hour))
+		m.listedSince.Store(o.Address, time.Now().Add(-time.Hour))
 	}
 	return m
 }
 
-// owners counts by address who owns 500 keys.
-func owners(m *Members, now time.Time) map[string]int {
-	list := map[string]int{}
+// keysPerOwner returns how many of 500 keys each address owns.
+func keysPerOwner(m *Members, now time.Time) map[string]int {
+	counts := map[string]int{}
 	for i := range 500 {
-		list[m.Owner(fmt.Sprint("k", i), nil, now).Address]++
+		counts[m.Owner(fmt.Sprint("k", i), nil, now).Address]++
 	}
-	return list
+	return counts
 }
 
 // wantOwners checks that exactly the members from first to last own work.
 func wantOwners(t *testing.T, m *Members, now time.Time, first, last int) {
 	t.Helper()
-	got := owners(m, now)
+	got := keysPerOwner(m, now)
 	for i := first; i <= last; i++ {
 		if got[member(i).Address] == 0 {
 			t.Errorf("member %d owns nothing", i)
@@ -56,44 +56,46 @@
 	}
 }
 
-// weakAndStrong are the powers of weak members followed by strong ones.
+// weakAndStrong returns the powers of weak members followed by those of strong ones.
 func weakAndStrong(weak, strong int) []float64 {
-	var list []float64
+	var powers []float64
 	for range weak {
-		list = append(list, 0.192)
+		powers = append(powers, 0.192)
 	}
 	for range strong {
-		list = append(list, 0.8)
+		powers = append(powers, 0.8)
 	}
-	return list
+	return powers
 }
 
-func TestBearers(t *testing.T) {
+// TestEligibleOwners guards against weak members that own work beside enough strong ones, and
+// against work without an owner when the strong ones are few, new or do not answer.
+func TestEligibleOwners(t *testing.T) {
 	now := time.Now()
 	t.Run("weak members own nothing beside enough strong ones", func(t *testing.T) {
-		wantOwners(t, fleetOf(weakAndStrong(60, 4)...), now, 61, 64)
+		wantOwners(t, membersWithPowers(weakAndStrong(60, 4)...), now, 61, 64)
 	})
-	t.Run("they own what is left when all strong ones are silent", func(t *testing.T) {
-		m := fleetOf(weakAndStrong(5, 4)...)
+	t.Run("weak members own all work when all strong ones are suspected", func(t *testing.T) {
+		m := membersWithPowers(weakAndStrong(5, 4)...)
 		for i := 6; i <= 9; i++ {
 			m.Suspect(member(i).Address, now)
 		}
 		wantOwners(t, m, now, 1, 5)
 	})
-	t.Run("they stand in while strong ones are new", func(t *testing.T) {
-		m := fleetOf(weakAndStrong(5, 4)...)
+	t.Run("weak members own all work while the strong ones are newcomers", func(t *testing.T) {
+		m := membersWithPowers(weakAndStrong(5, 4)...)
 		for i := 6; i <= 9; i++ {
-			m.since.Store(member(i).Address, now)
+			m.listedSince.Store(member(i).Address, now)
 		}
 		wantOwners(t, m, now, 1, 5)
 	})
-	t.Run("a fleet's roles don't hang on one strong member", func(t *testing.T) {
-		wantOwners(t, fleetOf(weakAndStrong(5, 1)...), now, 1, 6)
+	t.Run("roles do not depend on a single strong member", func(t *testing.T) {
+		wantOwners(t, membersWithPowers(weakAndStrong(5, 1)...), now, 1, 6)
 	})
-	t.Run("members that don't tell their power are alike", func(t *testing.T) {
-		wantOwners(t, fleetOf(0, 0, 0, 0), now, 1, 4)
+	t.Run("members without a power are equal", func(t *testing.T) {
+		wantOwners(t, membersWithPowers(0, 0, 0, 0), now, 1, 4)
 	})
-	t.Run("a member alone owns all", func(t *testing.T) {
+	t.Run("a single member owns all work", func(t *testing.T) {
 		m := New(hookhall.Member{Address: member(1).Address}, nil, log.New(io.Discard))
 		wantOwners(t, m, now, 1, 1)
 	})
--- a/internal/coordination/members/sharers.go
+++ b/internal/coordination/members/sharers.go
@@ -10,29 +10,30 @@
 	"github.com/hookhall/hookhall"
 )
 
-// shareFor is for how long a member that left the list is counted among those
-// that share the fleet's limits. Leases also run out in an outage of the store,
-// and then the processes are well and go on spending; it covers an outage of a
-// minute.
-const shareFor = time.Minute
+// departedShareDuration is how long a member that left the list still counts among the
+// processes that share the fleet's limits. Leases also expire in an outage of the store,
+// while their processes run and go on using the limits; the minute covers an outage of
+// that length.
+const departedShareDuration = time.Minute
 
-// Sharers is how many processes may be spending what the whole fleet shares, and this
-// process's place among the members: the members, and those that left the list a short
-// while ago. The count is 0 while no list is known that has settled: one that was read at a
-// start lacks the processes that start at the same moment, and each of them would take
-// the whole for its own.
-func (m *Members) Sharers(now time.Time) (count, place int) {
+// Sharers returns the number of processes that may be using the limits of the whole fleet,
+// and the index of this process among the members in the order of their addresses. It
+// counts the members and those that left the list within departedShareDuration. Both
+// results are 0 until settleTime has passed since a list was first known: a list that is
+// read at the start lacks the processes that start at the same moment, and each of them
+// would use the whole limit.
+func (m *Members) Sharers(now time.Time) (count, index int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.met || now.Sub(m.metAt) < m.settleTime() {
+	if !m.hasList || now.Sub(m.firstListAt) < m.settleTime() {
 		return 0, 0
 	}
-	for address, at := range m.left {
-		if now.Sub(at) > shareFor {
-			delete(m.left, address)
+	for address, removedAt := range m.addressRemovedAt {
+		if now.Sub(removedAt) > departedShareDuration {
+			delete(m.addressRemovedAt, address)
 		}
 	}
 	all := m.All()
-	place = slices.IndexFunc(all, func(o hookhall.Member) bool { return o.Address == m.self.Address })
-	return len(all) + len(m.left), place
+	index = slices.IndexFunc(all, func(o hookhall.Member) bool { return o.Address == m.self.Address })
+	return len(all) + len(m.addressRemovedAt), index
 }
--- a/internal/coordination/members/update.go
+++ b/internal/coordination/members/update.go
@@ -13,48 +13,51 @@
 )
 
 const (
-	// tellFor is for how long a change is told again with each piece of news.
-	tellFor = 3 * time.Second
-	// toldMost is how long a process that is told by others goes without news
-	// before it follows the store itself.
-	toldMost = 3 * time.Second
-	// look is how often it looks whether it has to.
-	look = 200 * time.Millisecond
+	// updateRetention is for how long a change stays part of each update, so that a
+	// process that misses one update still receives the change.
+	updateRetention = 3 * time.Second
+	// maxUpdateAge is how long a process that receives updates goes without one before
+	// it follows the store itself.
+	maxUpdateAge = 3 * time.Second
+	// followCheckInterval is how often it checks whether it has to.
+	followCheckInterval = 200 * time.Millisecond
 )
 
-// News is what the store's list of members changed lately. A process that has all
-// earlier changes gets to the same list, which the digest proves.
+// News is an update with the recent changes of the store's list of members. A process
+// that has all earlier changes arrives at the same list, which the digest verifies.
 type News struct {
-	// Revision is the store's, as of the list.
+	// Revision is the store's revision of the list; 0 in an empty update.
 	Revision hookhall.Revision
-	Digest   uint64
-	Changed  []hookhall.Item
-	Gone     []string // keys
+	Digest   uint64          // of the whole list of the sender
+	Changed  []hookhall.Item // changed within updateRetention, sorted by key
+	Gone     []string        // keys removed within updateRetention, sorted
 }
 
-// listing is one member's key.
+// listing is a member with its key in the store. The item is zero for members that
+// are known from a peer only.
 type listing struct {
-	item    hookhall.Item
-	member  hookhall.Member
-	changed time.Time // when this process learned it
+	item      hookhall.Item
+	member    hookhall.Member
+	learnedAt time.Time // when this process received it; zero for the first read
 }
 
-// digest of one key; a member that registers anew has another one.
+// digest returns the hash of the key, address and revision; it changes with each
+// registration of the member.
 func (l listing) digest() uint64 {
 	return xxhash.Sum64String(l.item.Key + "\x00" + l.member.Address + "\x00" + strconv.FormatUint(uint64(l.item.Revision), 36))
 }
 
-// digest of the whole list. The caller holds m.mu.
+// digest returns the hash of the whole list, in any order. m.mu must be held.
 func (m *Members) digest() uint64 {
 	sum := uint64(0)
-	for _, l := range m.byKey {
+	for _, l := range m.listingByKey {
 		sum ^= l.digest()
 	}
 	return sum
 }
 
-// News is what this process last learned of the members; empty if others follow
-// the store for it.
+// News returns the update that this process sends as of now. It is empty if this process
+// is no leader.
 func (m *Members) News(now time.Time) News {
 	if !m.Leads() {
 		return News{}
@@ -62,16 +65,16 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := News{Revision: m.revision, Digest: m.digest()}
-	for _, l := range m.byKey {
-		if now.Sub(l.changed) <= tellFor {
+	for _, l := range m.listingByKey {
+		if now.Sub(l.learnedAt) <= updateRetention {
 			n.Changed = append(n.Changed, l.item)
 		}
 	}
-	for key, at := range m.gone {
-		if now.Sub(at) <= tellFor {
+	for key, removedAt := range m.keyRemovedAt {
+		if now.Sub(removedAt) <= updateRetention {
 			n.Gone = append(n.Gone, key)
 		} else {
-			delete(m.gone, key)
+			delete(m.keyRemovedAt, key)
 		}
 	}
 	sort.Slice(n.Changed, func(i, j int) bool { return n.Changed[i].Key < n.Changed[j].Key })
@@ -79,51 +82,52 @@
 	return n
 }
 
-// LearnNews takes in what a peer has learned. If this process lacks earlier
-// changes, its digest differs, and it reads for itself.
+// LearnNews applies an update that a leader sent. If this process lacks earlier changes,
+// its digest differs and it reads the list from the store.
 func (m *Members) LearnNews(n News, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if n.Revision < m.revision || n.Revision == 0 {
 		if n.Digest == m.digest() {
-			m.heard = now // the same list, from before this process's own reading
+			m.confirmedAt = now // the same list, at an older revision than this process has read
 		}
 		return
 	}
-	changed := false
+	isChanged := false
 	for _, i := range n.Changed {
-		if m.byKey[i.Key].item.Revision < i.Revision {
-			m.takeNew(i, now)
-			changed = true
+		if m.listingByKey[i.Key].item.Revision < i.Revision {
+			m.addMember(i, now)
+			isChanged = true
 		}
 	}
 	for _, key := range n.Gone {
-		if _, ok := m.byKey[key]; ok {
-			m.remove(key, now)
-			changed = true
+		if _, ok := m.listingByKey[key]; ok {
+			m.removeKey(key, now)
+			isChanged = true
 		}
 	}
 	if m.digest() != n.Digest {
-		m.gap = true
+		m.hasGap = true
 	} else {
-		m.heard, m.revision = now, n.Revision
+		m.confirmedAt, m.revision = now, n.Revision
 	}
-	if changed {
+	if isChanged {
 		m.publish()
 	}
 }
 
-// told tells whether others keep this process up to date: then it need not follow
-// the store itself.
-func (m *Members) told(now time.Time) bool {
+// isKeptCurrent reports whether the updates of a leader keep this process current, so that
+// it need not follow the store. It returns false once after a missed update, and the caller
+// then reads the list.
+func (m *Members) isKeptCurrent(now time.Time) bool {
 	if m.Leads() {
 		return false
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.gap {
-		m.gap = false
+	if m.hasGap {
+		m.hasGap = false
 		return false
 	}
-	return m.revision > 0 && now.Sub(m.heard) < toldMost
+	return m.revision > 0 && now.Sub(m.confirmedAt) < maxUpdateAge
 }
--- a/internal/coordination/members/update_test.go
+++ b/internal/coordination/members/update_test.go
@@ -19,28 +19,28 @@
 	"pgregory.net/rapid"
 )
 
-// fakeStore has the members' keys and counts who asks.
+// fakeStore keeps the members' keys and counts calls by kind.
 type fakeStore struct {
 	hookhall.Store
-	mu       sync.Mutex
-	revision hookhall.Revision
-	items    map[string]hookhall.Item
-	events   []hookhall.Item
-	calls    map[string]int
-	copies   bool // stale reads are
-	changed  chan struct{}
+	mu          sync.Mutex
+	revision    hookhall.Revision
+	items       map[string]hookhall.Item
+	events      []hookhall.Item
+	calls       map[string]int
+	servesStale bool // stale reads return older copies
+	changed     chan struct{}
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{items: map[string]hookhall.Item{}, calls: map[string]int{}, changed: make(chan struct{}), revision: 1}
 }
 
-// write makes or removes a member's key.
+// write writes or removes a member's key.
 func (s *fakeStore) write(o hookhall.Member, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
-	i := registered(o, s.revision)
+	i := memberItem(o, s.revision)
 	if gone {
 		i.Gone, i.Value = true, nil
 		delete(s.items, i.Key)
@@ -63,37 +63,38 @@
 	return list, s.revision, nil
 }
 
-// RangeStale brings what the store had two changes ago.
+// RangeStale returns the list before the last two changes if servesStale is set, else the
+// current one.
 func (s *fakeStore) RangeStale(ctx context.Context, prefix string) ([]hookhall.Item, hookhall.Revision, error) {
 	s.mu.Lock()
 	s.calls["stale"]++
-	old := max(s.revision, 2) - 2
-	if s.copies {
+	previous := max(s.revision, 2) - 2
+	if s.servesStale {
 		defer s.mu.Unlock()
 		s.calls["range"]++
-		return s.asOf(old), old, nil
+		return s.itemsAsOf(previous), previous, nil
 	}
 	s.mu.Unlock()
 	return s.Range(ctx, prefix)
 }
 
-// asOf are the keys as of a revision. The caller holds s.mu.
-func (s *fakeStore) asOf(revision hookhall.Revision) []hookhall.Item {
-	was := map[string]hookhall.Item{}
+// itemsAsOf returns the items as of a revision. s.mu must be held.
+func (s *fakeStore) itemsAsOf(revision hookhall.Revision) []hookhall.Item {
+	itemByKey := map[string]hookhall.Item{}
 	for _, i := range s.events {
 		if i.Revision > revision {
 			break
 		}
-		was[i.Key] = i
+		itemByKey[i.Key] = i
 		if i.Gone {
-			delete(was, i.Key)
+			delete(itemByKey, i.Key)
 		}
 	}
-	return slices.Collect(maps.Values(was))
+	return slices.Collect(maps.Values(itemByKey))
 }
 
-func (s *fakeStore) Watch(ctx context.Context, _ string, since hookhall.Revision, most time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
-	end := time.After(most)
+func (s *fakeStore) Watch(ctx context.Context, _ string, since hookhall.Revision, wait time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
+	end := time.After(wait)
 	s.mu.Lock()
 	s.calls["watch"]++
 	for {
@@ -119,7 +120,7 @@
 	}
 }
 
-func (s *fakeStore) count(call string) int {
+func (s *fakeStore) callCount(call string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[call]
@@ -133,9 +134,9 @@
 	return nil
 }
 
-// TestOneFollows: of processes that are told, only the leader watches the store;
-// when it falls silent, the others read for themselves.
-func TestOneFollows(t *testing.T) {
+// TestOnlyLeaderWatches guards against processes that watch the store although they receive
+// updates from the leader, and against a stale list after the leader has stopped sending.
+func TestOnlyLeaderWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -150,66 +151,66 @@
 		leader, other := run(1, true), run(2, false)
 		s.write(member(1), false)
 		s.write(member(2), false)
-		tell := func(d time.Duration) {
+		sendUpdates := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(400 * time.Millisecond) {
 				other.LearnNews(leader.News(time.Now()), time.Now())
 			}
 		}
-		tell(2 * time.Second)
-		reads, watches := s.count("range"), s.count("watch")
+		sendUpdates(2 * time.Second)
+		reads, watches := s.callCount("range"), s.callCount("watch")
 		s.write(member(3), false)
-		tell(20 * time.Second)
+		sendUpdates(20 * time.Second)
 		if other.Count() != 3 {
-			t.Errorf("the other one lists %d members, not 3", other.Count())
+			t.Errorf("the other process lists %d members, want 3", other.Count())
 		}
-		if got := s.count("range") - reads; got != 0 {
-			t.Errorf("the list was read %d times in twenty seconds", got)
+		if got := s.callCount("range") - reads; got != 0 {
+			t.Errorf("the list was read %d times in 20 seconds", got)
 		}
-		if got := s.count("watch") - watches; got > 5 {
-			t.Errorf("%d watches were begun in twenty seconds by one leader", got)
+		if got := s.callCount("watch") - watches; got > 5 {
+			t.Errorf("%d watches were started in 20 seconds by one leader", got)
 		}
 		s.write(member(3), true)
-		time.Sleep(5 * time.Second) // nobody tells
+		time.Sleep(5 * time.Second) // no updates
 		if other.Count() != 2 {
-			t.Errorf("the other one lists %d members, not 2, though nobody told it anything", other.Count())
+			t.Errorf("without updates the other process lists %d members, want 2", other.Count())
 		}
 		cancel()
 		done.Wait()
 	})
 }
 
-// TestRandomNews: whatever news is lost, a process whose digest agrees has the
-// leader's list, and one whose digest does not is to read.
-func TestRandomNews(t *testing.T) {
+// TestRandomUpdateLoss guards against a process that misses updates without noticing: whatever
+// update is lost, it has the leader's list if its digest matches, and reads if it does not.
+func TestRandomUpdateLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		leader, other := listed(1), listed(1)
+		leader, other := newEstablished(1), newEstablished(1)
 		now := time.Now()
 		for at := hookhall.Revision(2); at < 40; at++ {
 			o := member(rapid.IntRange(2, 6).Draw(t, "member"))
-			i := registered(o, at)
+			i := memberItem(o, at)
 			i.Gone = rapid.Bool().Draw(t, "gone")
-			leader.change([]hookhall.Item{i}, at)
+			leader.applyEvents([]hookhall.Item{i}, at)
 			now = now.Add(time.Second)
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
 			n := leader.News(now)
-			other.gap = false
+			other.hasGap = false
 			other.LearnNews(n, now)
 			same := fmt.Sprint(leader.All()) == fmt.Sprint(other.All())
-			if !other.gap && !same {
-				t.Fatalf("%v and %v under one digest", leader.All(), other.All())
+			if !other.hasGap && !same {
+				t.Fatalf("different lists with the same digest: %v and %v", leader.All(), other.All())
 			}
-			if other.gap && other.revision == n.Revision {
-				t.Fatal("a gap was confirmed")
+			if other.hasGap && other.revision == n.Revision {
+				t.Fatal("a list with a gap was confirmed")
 			}
 		}
 	})
 }
 
-// TestNewcomersNews: a process that has just read the list for the first time has
-// nothing to tell of it, and one that is told by others never has.
-func TestNewcomersNews(t *testing.T) {
+// TestFirstReadIsNotReported guards against a leader that sends the whole list as changes after
+// its first read, and against updates from a process that is no leader.
+func TestFirstReadIsNotReported(t *testing.T) {
 	s := newFakeStore()
 	for i := range 9 {
 		s.write(member(i+1), false)
@@ -219,19 +220,20 @@
 		t.Fatal(err)
 	}
 	if n := m.News(time.Now()); len(n.Changed) != 0 || n.Revision == 0 {
-		t.Errorf("a newcomer tells %d changes as of %d", len(n.Changed), n.Revision)
+		t.Errorf("after the first read the update has %d changes as of %d", len(n.Changed), n.Revision)
 	}
 	m.Leads = func() bool { return false }
 	if n := m.News(time.Now()); n.Revision != 0 {
-		t.Errorf("one that is told by others tells as of %d", n.Revision)
+		t.Errorf("a process that is no leader sends an update as of %d", n.Revision)
 	}
 }
 
-// TestCopy: a process begins with a copy of the list that lacks the last changes.
-func TestCopy(t *testing.T) {
+// TestStaleFirstRead guards against a process that keeps a stale list after its first read: that
+// read may return an older copy which lacks the last changes.
+func TestStaleFirstRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		s.copies = true
+		s.servesStale = true
 		for n := 1; n <= 4; n++ {
 			s.write(member(n), false)
 		}
@@ -247,22 +249,22 @@
 		leader, other := run(1, true), run(2, false)
 		time.Sleep(50 * time.Millisecond)
 		if leader.Count() != 3 {
-			t.Errorf("the leader lists %d members, not 3", leader.Count())
+			t.Errorf("the leader lists %d members, want 3", leader.Count())
 		}
 		other.LearnNews(leader.News(time.Now()), time.Now())
 		if other.Count() != 3 {
-			t.Errorf("the other one lists %d members, not 3", other.Count())
+			t.Errorf("the other process lists %d members, want 3", other.Count())
 		}
 		s.write(member(5), false)
-		time.Sleep(2 * gather)
+		time.Sleep(2 * batchDelay)
 		other.LearnNews(leader.News(time.Now()), time.Now())
-		other.LearnNews(News{Revision: 99, Digest: 1}, time.Now()) // a gap: it reads a copy, which is older
+		other.LearnNews(News{Revision: 99, Digest: 1}, time.Now()) // a gap: it reads the list again, from an older copy
 		time.Sleep(time.Second)
 		if other.Count() != 4 {
-			t.Errorf("the other one lists %d members, not 4: an older copy took some back", other.Count())
+			t.Errorf("the other process lists %d members, want 4: an older copy undid changes", other.Count())
 		}
-		if got := s.count("range") - s.count("stale"); got != 0 {
-			t.Errorf("the list itself was read %d times", got)
+		if got := s.callCount("range") - s.callCount("stale"); got != 0 {
+			t.Errorf("the current list was read %d times", got)
 		}
 		cancel()
 		done.Wait()
