--- a/internal/coordination/members/update.go
+++ b/internal/coordination/members/update.go
@@ -23,7 +23,7 @@
 	followCheckInterval = 200 * time.Millisecond
 )
 
-// News is an update with the recent changes of the store's list of members. A process
+// News holds the recent changes of the store's list of members. A process
 // that has all earlier changes arrives at the same list, which the digest verifies.
 type News struct {
 	// Revision is the store's revision of the list; 0 in an empty update.
@@ -56,60 +56,60 @@
 	return sum
 }
 
-// News returns the update that this process sends as of now. It is empty if this process
-// is no leader.
+// News returns the update that this process sends as of now. It is empty if this
+// process is no leader.
 func (m *Members) News(now time.Time) News {
 	if !m.Leads() {
 		return News{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	n := News{Revision: m.revision, Digest: m.digest()}
+	update := News{Revision: m.revision, Digest: m.digest()}
 	for _, l := range m.listingByKey {
 		if now.Sub(l.learnedAt) <= updateRetention {
-			n.Changed = append(n.Changed, l.item)
+			update.Changed = append(update.Changed, l.item)
 		}
 	}
 	for key, removedAt := range m.keyRemovedAt {
 		if now.Sub(removedAt) <= updateRetention {
-			n.Gone = append(n.Gone, key)
+			update.Gone = append(update.Gone, key)
 		} else {
 			delete(m.keyRemovedAt, key)
 		}
 	}
-	sort.Slice(n.Changed, func(i, j int) bool { return n.Changed[i].Key < n.Changed[j].Key })
-	sort.Strings(n.Gone)
-	return n
+	sort.Slice(update.Changed, func(i, j int) bool { return update.Changed[i].Key < update.Changed[j].Key })
+	sort.Strings(update.Gone)
+	return update
 }
 
 // LearnNews applies an update that a leader sent. If this process lacks earlier changes,
 // its digest differs and it reads the list from the store.
-func (m *Members) LearnNews(n News, now time.Time) {
+func (m *Members) LearnNews(update News, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if n.Revision < m.revision || n.Revision == 0 {
-		if n.Digest == m.digest() {
+	if update.Revision < m.revision || update.Revision == 0 {
+		if update.Digest == m.digest() {
 			m.confirmedAt = now // the same list, at an older revision than this process has read
 		}
 		return
 	}
 	isChanged := false
-	for _, i := range n.Changed {
+	for _, i := range update.Changed {
 		if m.listingByKey[i.Key].item.Revision < i.Revision {
 			m.addMember(i, now)
 			isChanged = true
 		}
 	}
-	for _, key := range n.Gone {
+	for _, key := range update.Gone {
 		if _, ok := m.listingByKey[key]; ok {
 			m.removeKey(key, now)
 			isChanged = true
 		}
 	}
-	if m.digest() != n.Digest {
+	if m.digest() != update.Digest {
 		m.hasGap = true
 	} else {
-		m.confirmedAt, m.revision = now, n.Revision
+		m.confirmedAt, m.revision = now, update.Revision
 	}
 	if isChanged {
 		m.publish()
--- a/internal/coordination/members/update_test.go
+++ b/internal/coordination/members/update_test.go
@@ -194,14 +194,14 @@
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			n := leader.News(now)
+			update := leader.News(now)
 			other.hasGap = false
-			other.LearnNews(n, now)
+			other.LearnNews(update, now)
 			same := fmt.Sprint(leader.All()) == fmt.Sprint(other.All())
 			if !other.hasGap && !same {
 				t.Fatalf("different lists with the same digest: %v and %v", leader.All(), other.All())
 			}
-			if other.hasGap && other.revision == n.Revision {
+			if other.hasGap && other.revision == update.Revision {
 				t.Fatal("a list with a gap was confirmed")
 			}
 		}
@@ -219,12 +219,12 @@
 	if _, err := m.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.News(time.Now()); len(n.Changed) != 0 || n.Revision == 0 {
-		t.Errorf("after the first read the update has %d changes as of %d", len(n.Changed), n.Revision)
+	if update := m.News(time.Now()); len(update.Changed) != 0 || update.Revision == 0 {
+		t.Errorf("after the first read the update has %d changes as of %d", len(update.Changed), update.Revision)
 	}
 	m.Leads = func() bool { return false }
-	if n := m.News(time.Now()); n.Revision != 0 {
-		t.Errorf("a process that is no leader sends an update as of %d", n.Revision)
+	if update := m.News(time.Now()); update.Revision != 0 {
+		t.Errorf("a process that is no leader sends an update as of %d", update.Revision)
 	}
 }
 
--- a/internal/coordination/outage/gate.go
+++ b/internal/coordination/outage/gate.go
@@ -65,8 +65,8 @@
 }
 
 // Heard reports that the store answered a peer's call that began at the given time.
-// If this process's outage began earlier, Heard ends the current pause or skips the
-// next one, once per outage: the store may still be unavailable to this process alone.
+// If this process's outage began earlier, the current pause ends or the next one is
+// skipped, once per outage: the store may still be unavailable to this process alone.
 func (g *Gate) Heard(began time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -278,7 +278,7 @@
 	}
 }
 
-// awaitPause waits until the next probe is due, or until Heard ends the pause.
+// awaitPause waits until the next probe is due, or until Gate.Heard ends the pause.
 func (g *Gate) awaitPause(ctx context.Context) error {
 	g.mu.Lock()
 	wake := make(chan struct{})
