--- /dev/null
+++ b/internal/coordination/members/update.go
@@ -0,0 +1,133 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package members
+
+import (
+	"sort"
+	"strconv"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/hookhall/hookhall"
+)
+
+const (
+	// updateRetention is for how long a change stays part of each update, so that a
+	// process that misses one update still receives the change.
+	updateRetention = 3 * time.Second
+	// maxUpdateAge is how long a process that receives updates goes without one before
+	// it follows the store itself.
+	maxUpdateAge = 3 * time.Second
+	// followCheckInterval is how often it checks whether it has to.
+	followCheckInterval = 200 * time.Millisecond
+)
+
+// News holds the recent changes of the store's list of members. A process
+// that has all earlier changes arrives at the same list, which the digest verifies.
+type News struct {
+	// Revision is the store's revision of the list; 0 in an empty update.
+	Revision hookhall.Revision
+	Digest   uint64          // of the whole list of the sender
+	Changed  []hookhall.Item // changed within updateRetention, sorted by key
+	Gone     []string        // keys removed within updateRetention, sorted
+}
+
+// listing is a member with its key in the store. The item is zero for members that
+// are known from a peer only.
+type listing struct {
+	item      hookhall.Item
+	member    hookhall.Member
+	learnedAt time.Time // when this process received it; zero for the first read
+}
+
+// digest returns the hash of the key, address and revision; it changes with each
+// registration of the member.
+func (l listing) digest() uint64 {
+	return xxhash.Sum64String(l.item.Key + "\x00" + l.member.Address + "\x00" + strconv.FormatUint(uint64(l.item.Revision), 36))
+}
+
+// digest returns the hash of the whole list, in any order. m.mu must be held.
+func (m *Members) digest() uint64 {
+	sum := uint64(0)
+	for _, l := range m.listingByKey {
+		sum ^= l.digest()
+	}
+	return sum
+}
+
+// News returns the update that this process sends as of now. It is empty if this
+// process is no leader.
+func (m *Members) News(now time.Time) News {
+	if !m.Leads() {
+		return News{}
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	update := News{Revision: m.revision, Digest: m.digest()}
+	for _, l := range m.listingByKey {
+		if now.Sub(l.learnedAt) <= updateRetention {
+			update.Changed = append(update.Changed, l.item)
+		}
+	}
+	for key, removedAt := range m.keyRemovedAt {
+		if now.Sub(removedAt) <= updateRetention {
+			update.Gone = append(update.Gone, key)
+		} else {
+			delete(m.keyRemovedAt, key)
+		}
+	}
+	sort.Slice(update.Changed, func(i, j int) bool { return update.Changed[i].Key < update.Changed[j].Key })
+	sort.Strings(update.Gone)
+	return update
+}
+
+// LearnNews applies an update that a leader sent. If this process lacks earlier changes,
+// its digest differs and it reads the list from the store.
+func (m *Members) LearnNews(update News, now time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if update.Revision < m.revision || update.Revision == 0 {
+		if update.Digest == m.digest() {
+			m.confirmedAt = now // the same list, at an older revision than this process has read
+		}
+		return
+	}
+	isChanged := false
+	for _, i := range update.Changed {
+		if m.listingByKey[i.Key].item.Revision < i.Revision {
+			m.addMember(i, now)
+			isChanged = true
+		}
+	}
+	for _, key := range update.Gone {
+		if _, ok := m.listingByKey[key]; ok {
+			m.removeKey(key, now)
+			isChanged = true
+		}
+	}
+	if m.digest() != update.Digest {
+		m.hasGap = true
+	} else {
+		m.confirmedAt, m.revision = now, update.Revision
+	}
+	if isChanged {
+		m.publish()
+	}
+}
+
+// isKeptCurrent reports whether the updates of a leader keep this process current, so that
+// it need not follow the store. It returns false once after a missed update, and the caller
+// then reads the list.
+func (m *Members) isKeptCurrent(now time.Time) bool {
+	if m.Leads() {
+		return false
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.hasGap {
+		m.hasGap = false
+		return false
+	}
+	return m.revision > 0 && now.Sub(m.confirmedAt) < maxUpdateAge
+}
