--- a/internal/coordination/tables/editor.go
+++ b/internal/coordination/tables/editor.go
@@ -17,49 +17,55 @@
 	"github.com/pkg/errors"
 )
 
-// ViewKey is where the view lives; the editor reads it to find the halls.
+// ViewKey is the key of the fleet's view in the key-value service. The editor
+// reads the view to find the entries of each hall.
 const ViewKey = "hookhall/view"
 
 const (
-	// confirmPause is between asks whether an entry has a version in force.
-	confirmPause = 15 * time.Millisecond
-	// probeTime bounds one ask.
-	probeTime = 500 * time.Millisecond
-	// reachTime is how long a hall's entries are tried before the hall counts
-	// as out of reach.
-	reachTime = 1500 * time.Millisecond
+	// confirmInterval is the pause between two probes of a hall's entries.
+	confirmInterval = 15 * time.Millisecond
+	// probeTimeout bounds one probe of an entry.
+	probeTimeout = 500 * time.Millisecond
+	// reachTimeout is how long the entries of a hall are probed without an answer
+	// before the hall is reported as unreachable.
+	reachTimeout = 1500 * time.Millisecond
 )
 
-// Outcome is what became of an edit.
+// Outcome is the result of an accepted edit.
 type Outcome struct {
+	// Version is the table version that contains the edit.
 	Version uint64 `json:"version"`
-	// InForce has, per hall, an entry that has the version in force.
+	// InForce maps a hall to the ID of an entry there that has the version in
+	// force.
 	InForce map[string]string `json:"in_force"`
-	// OutOfReach are halls where no entry answered; they follow when they can.
+	// OutOfReach lists the halls in which no entry answered. Their entries adopt
+	// the version as soon as they reach the service or a peer.
 	OutOfReach []string `json:"out_of_reach,omitempty"`
 }
 
-// ErrUnsettled says that an edit may or may not be in force. Asking again with
-// the same id settles it.
+// ErrUnsettled is returned when it is unknown whether an edit is in force.
+// Calling Apply again with the same id is safe and resolves it.
 var ErrUnsettled = errors.New("the edit may or may not be in force; send it again with the same id")
 
-// Editor changes the table. It keeps nothing but a cache.
+// Editor changes the table in the key-value service. Its only state is a cache,
+// so any number of editors may work at once.
 type Editor struct {
 	kv    hookhall.KeyValue
 	peers hookhall.Peers
 	log   *log.Logger
-	// last is the document read last: chunks that it has are not read again.
-	last atomic.Pointer[table.Document]
+	// lastRead is the last document read; its chunks are not fetched again.
+	lastRead atomic.Pointer[table.Document]
 }
 
-// NewEditor makes an Editor.
-func NewEditor(kv hookhall.KeyValue, peers hookhall.Peers, l *log.Logger) *Editor {
-	e := &Editor{kv: kv, peers: peers, log: l}
-	e.last.Store(table.Empty())
+// NewEditor returns an Editor with an empty cache.
+func NewEditor(kv hookhall.KeyValue, peers hookhall.Peers, logger *log.Logger) *Editor {
+	e := &Editor{kv: kv, peers: peers, log: logger}
+	e.lastRead.Store(table.Empty())
 	return e
 }
 
-// Read returns the table as the service holds it.
+// Read returns the table stored in the key-value service and the index of its
+// root, for a later compare-and-swap.
 func (e *Editor) Read(ctx context.Context) (*table.Document, uint64, error) {
 	entry, err := e.kv.Get(ctx, RootKey)
 	if err != nil {
@@ -69,31 +75,34 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	doc, err := assemble(ctx, e.kv, root, e.last.Load())
+	doc, err := readChunks(ctx, e.kv, root, e.lastRead.Load())
 	if err != nil {
 		return nil, 0, err
 	}
-	e.last.Store(doc)
+	e.lastRead.Store(doc)
 	return doc, entry.Index, nil
 }
 
-// Apply puts edits in force, all or none, once per id: an id that is in force
-// already is only confirmed. It tries until ctx ends.
+// Apply puts all of the edits in force, or none. Edits whose id the root still
+// records as applied are not applied again, only confirmed. Apply retries until ctx
+// ends and then returns ErrUnsettled, or hookhall.ErrUnavailable if the table was
+// certainly not changed.
 func (e *Editor) Apply(ctx context.Context, id string, edits []hookhall.Edit) (Outcome, error) {
-	version, err := e.write(ctx, id, edits)
+	version, err := e.writeEdits(ctx, id, edits)
 	if err != nil {
 		return Outcome{}, err
 	}
 	return e.confirm(ctx, version)
 }
 
-// write swaps the root. Once a swap was sent, an error without knowledge of
-// its outcome is ErrUnsettled.
-func (e *Editor) write(ctx context.Context, id string, edits []hookhall.Edit) (uint64, error) {
-	pause := retry.New()
+// writeEdits stores the edits, retrying until ctx ends, and returns the version
+// that contains them. Once the result of a swap is unknown it ends with
+// ErrUnsettled instead of hookhall.ErrUnavailable.
+func (e *Editor) writeEdits(ctx context.Context, id string, edits []hookhall.Edit) (uint64, error) {
+	backoff := retry.New()
 	sent := false
 	for {
-		version, swapped, err := e.tryWrite(ctx, id, edits)
+		version, swapped, err := e.tryWriteEdits(ctx, id, edits)
 		if version > 0 {
 			return version, nil
 		}
@@ -102,8 +111,8 @@
 			return 0, err
 		}
 		if err != nil {
-			e.log.Warn("The service did not answer.", "edit", id, "error", err.Error())
-			pause.Wait(ctx)
+			e.log.Warn("key-value service unavailable", "edit", id, "error", err.Error())
+			backoff.Wait(ctx)
 		}
 		if ctx.Err() == nil {
 			continue
@@ -115,14 +124,15 @@
 	}
 }
 
-// tryWrite makes one attempt. sent is set once the swap may have gone out.
-func (e *Editor) tryWrite(ctx context.Context, id string, edits []hookhall.Edit) (version uint64, sent bool, err error) {
+// tryWriteEdits makes one attempt to store the edits. Version is 0 if they were
+// not stored; sent is true if a swap was sent and its result is unknown.
+func (e *Editor) tryWriteEdits(ctx context.Context, id string, edits []hookhall.Edit) (version uint64, sent bool, err error) {
 	doc, index, err := e.Read(ctx)
 	if err != nil {
 		return 0, false, err
 	}
-	if v := doc.Root.Applied(id); v > 0 {
-		return v, false, nil
+	if applied := doc.Root.Applied(id); applied > 0 {
+		return applied, false, nil
 	}
 	next, err := doc.Apply(id, edits)
 	if err != nil {
@@ -131,24 +141,26 @@
 	if err := e.writeChunks(ctx, doc, next); err != nil {
 		return 0, false, err
 	}
-	ok, err := e.kv.CompareAndSwap(ctx, RootKey, next.EncodeRoot(), index)
-	if err != nil || !ok {
+	swapped, err := e.kv.CompareAndSwap(ctx, RootKey, next.EncodeRoot(), index)
+	if err != nil || !swapped {
 		return 0, err != nil, err
 	}
 	for _, name := range doc.Obsolete(next) {
 		if err := e.kv.Delete(ctx, chunkPrefix+name); err != nil {
-			e.log.Warn("Can't delete an old chunk.", "chunk", name, "error", err.Error())
+			e.log.Warn("obsolete chunk not deleted", "chunk", name, "error", err.Error())
 		}
 	}
 	return next.Root.Version, true, nil
 }
 
+// writeChunks stores the chunks of next that old doesn't have.
 func (e *Editor) writeChunks(ctx context.Context, old, next *table.Document) error {
 	for i, name := range next.Root.Chunks {
 		if name == "" || name == old.Root.Chunks[i] {
 			continue
 		}
-		// A chunk that exists already has the same content.
+		// The name contains the hash of the content, so a chunk that exists
+		// already is the same one and the failed swap is no error.
 		if _, err := e.kv.CompareAndSwap(ctx, chunkPrefix+name, next.Chunk(i), 0); err != nil {
 			return err
 		}
@@ -156,57 +168,59 @@
 	return nil
 }
 
-// confirm waits until an entry in each hall has the version in force, leaving
-// out halls where none answers.
+// confirm waits until one entry in each hall has the version in force, and lists
+// the halls where no entry answers as unreachable. It returns ErrUnsettled if the
+// view can't be read or no hall confirmed.
 func (e *Editor) confirm(ctx context.Context, version uint64) (Outcome, error) {
-	out := Outcome{Version: version, InForce: map[string]string{}}
+	outcome := Outcome{Version: version, InForce: map[string]string{}}
 	entry, err := e.kv.Get(ctx, ViewKey)
 	if err != nil {
-		return out, ErrUnsettled
+		return outcome, ErrUnsettled
 	}
-	v, err := view.Decode(entry.Value)
+	fleetView, err := view.Decode(entry.Value)
 	if err != nil {
-		return out, err
+		return outcome, err
 	}
 	halls := map[string][]hookhall.Member{}
-	for _, m := range v.Members {
-		halls[m.Hall] = append(halls[m.Hall], m)
+	for _, member := range fleetView.Members {
+		halls[member.Hall] = append(halls[member.Hall], member)
 	}
-	type found struct{ hall, member string }
-	results := make(chan found, len(halls))
+	type confirmation struct{ hall, member string }
+	results := make(chan confirmation, len(halls))
 	for hall, members := range halls {
-		go func() { results <- found{hall, e.confirmHall(ctx, version, members)} }()
+		go func() { results <- confirmation{hall, e.confirmHall(ctx, version, members)} }()
 	}
 	for range halls {
-		f := <-results
-		if f.member == "" {
-			out.OutOfReach = append(out.OutOfReach, f.hall)
+		result := <-results
+		if result.member == "" {
+			outcome.OutOfReach = append(outcome.OutOfReach, result.hall)
 		} else {
-			out.InForce[f.hall] = f.member
+			outcome.InForce[result.hall] = result.member
 		}
 	}
-	if len(halls) > 0 && len(out.InForce) == 0 {
-		return out, ErrUnsettled
+	if len(halls) > 0 && len(outcome.InForce) == 0 {
+		return outcome, ErrUnsettled
 	}
-	return out, nil
+	return outcome, nil
 }
 
-// confirmHall asks a hall's entries in turn until one has the version. While
-// one answers, it may take until ctx ends.
+// confirmHall probes the entries of a hall in turn and returns the ID of the first
+// that has the version in force. It returns "" when a probe fails after
+// reachTimeout, or when ctx ends; as long as probes are answered it goes on.
 func (e *Editor) confirmHall(ctx context.Context, version uint64, members []hookhall.Member) string {
-	limit := clock.Now().Add(reachTime)
+	reachDeadline := clock.Now().Add(reachTimeout)
 	for i := 0; ctx.Err() == nil; i++ {
-		m := members[i%len(members)]
-		pctx, cancel := context.WithTimeout(ctx, probeTime)
-		reply, err := e.peers.Peer(m.Address).Probe(pctx, hookhall.Probe{From: "admin", TableVersion: version})
+		member := members[i%len(members)]
+		probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
+		reply, err := e.peers.Peer(member.Address).Probe(probeCtx, hookhall.Probe{From: "admin", TableVersion: version})
 		cancel()
 		switch {
 		case err == nil && reply.TableVersion >= version:
-			return m.ID
-		case err != nil && clock.Now().After(limit):
+			return member.ID
+		case err != nil && clock.Now().After(reachDeadline):
 			return ""
 		}
-		retry.Sleep(ctx, confirmPause)
+		retry.Sleep(ctx, confirmInterval)
 	}
 	return ""
 }
--- a/internal/coordination/tables/follower.go
+++ b/internal/coordination/tables/follower.go
@@ -17,44 +17,49 @@
 	"github.com/pkg/errors"
 )
 
-// Keys of the table in the key-value service.
+// Keys of the table in the key-value service: of its root, and of a chunk as
+// chunkPrefix followed by the name of the chunk.
 const (
 	RootKey     = "hookhall/table/root"
 	chunkPrefix = "hookhall/table/chunk/"
 )
 
-// readTime bounds reading a table.
-const readTime = 3 * time.Second
+// readTimeout bounds the reading of one table, with all of its chunks, from the
+// service or from a peer.
+const readTimeout = 3 * time.Second
 
-// InForce is the table as the request path reads it.
+// InForce is the version of the table that requests are served with.
 type InForce struct {
 	Document *table.Document
 	Snapshot *table.Snapshot
-	// Since is when this process put it in force.
+	// Since is when this process adopted the version; zero for the empty table
+	// that it starts with.
 	Since time.Time
 }
 
-// Keeper follows the table.
+// Keeper keeps an entry's copy of the table up to date. Its methods are safe for
+// concurrent use.
 type Keeper struct {
 	kv  hookhall.KeyValue
 	log *log.Logger
 
 	current atomic.Pointer[InForce]
 	ready   atomic.Bool
-	// adopting serializes adopt; readers never take it.
-	adopting sync.Mutex
-	pulling  atomic.Bool
+	// adoptMu serializes adopt; readers never take it.
+	adoptMu sync.Mutex
+	// pulling is true while a pull started by Hint runs.
+	pulling atomic.Bool
 }
 
-// NewKeeper makes a Keeper with the empty table, not ready.
-func NewKeeper(kv hookhall.KeyValue, l *log.Logger) *Keeper {
-	k := &Keeper{kv: kv, log: l}
+// NewKeeper returns a Keeper that has the empty table and is not ready.
+func NewKeeper(kv hookhall.KeyValue, logger *log.Logger) *Keeper {
+	k := &Keeper{kv: kv, log: logger}
 	empty := table.Empty()
-	s, err := table.Compile(empty)
+	snapshot, err := table.Compile(empty)
 	if err != nil {
 		panic(err) // the empty table compiles
 	}
-	k.current.Store(&InForce{Document: empty, Snapshot: s})
+	k.current.Store(&InForce{Document: empty, Snapshot: snapshot})
 	return k
 }
 
@@ -64,25 +69,28 @@
 // Version returns the version in force.
 func (k *Keeper) Version() uint64 { return k.Current().Snapshot.Version }
 
-// Ready tells whether the version in force has been confirmed.
+// Ready reports whether the version in force was confirmed since the start, by
+// the key-value service or by more than half of the asked peers.
 func (k *Keeper) Ready() bool { return k.ready.Load() }
 
-// Run follows the root until ctx ends.
+// Run watches the root in the key-value service and adopts newer versions until
+// ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
-	use := func(e hookhall.Entry) error { return k.follow(ctx, e) }
+	use := func(e hookhall.Entry) error { return k.adoptRoot(ctx, e) }
 	follow.Key(ctx, k.kv, RootKey, use, func(err error) {
-		k.log.Warn("Can't read the table.", "error", err.Error())
+		k.log.Warn("table read failed", "error", err.Error())
 	})
 }
 
-// follow adopts the root e; it is confirmed by the service.
-func (k *Keeper) follow(ctx context.Context, e hookhall.Entry) error {
+// adoptRoot adopts the table whose root the service returned as e, if it is newer,
+// and marks the Keeper ready.
+func (k *Keeper) adoptRoot(ctx context.Context, e hookhall.Entry) error {
 	root, err := table.DecodeRoot(e.Value)
 	if err != nil {
 		return err
 	}
 	if root.Version > k.Version() {
-		doc, err := k.read(ctx, root)
+		doc, err := k.readDocument(ctx, root)
 		if err != nil {
 			return err
 		}
@@ -94,24 +102,26 @@
 	return nil
 }
 
-// read gets the chunks of a root, from the document in force where it can.
-func (k *Keeper) read(ctx context.Context, root table.Root) (*table.Document, error) {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+// readDocument reads the document of a root. Chunks that the document in force has
+// are not read again.
+func (k *Keeper) readDocument(ctx context.Context, root table.Root) (*table.Document, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	old := k.Current().Document
-	return assemble(ctx, k.kv, root, old)
+	return readChunks(ctx, k.kv, root, old)
 }
 
-// assemble reads a root's chunks, leaving out those that old has.
-func assemble(ctx context.Context, kv hookhall.KeyValue, root table.Root, old *table.Document) (*table.Document, error) {
+// readChunks reads the chunks of a root that old doesn't have, and returns the
+// document.
+func readChunks(ctx context.Context, kv hookhall.KeyValue, root table.Root, old *table.Document) (*table.Document, error) {
 	var failed error
 	doc, err := table.Assemble(root, func(name string) []byte {
-		if b := old.ChunkNamed(name); b != nil || failed != nil {
-			return b
+		if chunk := old.ChunkNamed(name); chunk != nil || failed != nil {
+			return chunk
 		}
-		e, err := kv.Get(ctx, chunkPrefix+name)
+		entry, err := kv.Get(ctx, chunkPrefix+name)
 		failed = err
-		return e.Value
+		return entry.Value
 	})
 	if failed != nil {
 		return nil, failed
@@ -119,39 +129,41 @@
 	return doc, err
 }
 
-// adopt puts a newer document in force; an older one is ignored.
+// adopt puts a document in force. One that is not newer is ignored; one that
+// doesn't compile is an error. From names its source in the log.
 func (k *Keeper) adopt(doc *table.Document, from string) error {
 	snapshot, err := table.Compile(doc)
 	if err != nil {
-		return errors.Wrap(err, "table refused")
+		return errors.Wrap(err, "compile table")
 	}
-	k.adopting.Lock()
-	defer k.adopting.Unlock()
+	k.adoptMu.Lock()
+	defer k.adoptMu.Unlock()
 	if snapshot.Version <= k.Version() {
 		return nil
 	}
 	k.current.Store(&InForce{doc, snapshot, clock.Now()})
-	k.log.Info("Table in force.", "version", snapshot.Version, "from", from)
+	k.log.Info("table in force", "version", snapshot.Version, "from", from)
 	return nil
 }
 
-// Offer takes in a table that a peer sent.
-func (k *Keeper) Offer(d hookhall.TableDocument) error {
-	root, err := table.DecodeRoot(d.Root)
+// Offer adopts a table sent by a peer if it is newer. Its chunks may leave out
+// those that the document in force has.
+func (k *Keeper) Offer(received hookhall.TableDocument) error {
+	root, err := table.DecodeRoot(received.Root)
 	if err != nil {
 		return err
 	}
 	if root.Version <= k.Version() {
 		return nil
 	}
-	byHash := map[string][]byte{}
-	for _, c := range d.Chunks {
-		byHash[table.HashOf(c)] = c
+	chunksByHash := map[string][]byte{}
+	for _, chunk := range received.Chunks {
+		chunksByHash[table.HashOf(chunk)] = chunk
 	}
 	old := k.Current().Document
 	doc, err := table.Assemble(root, func(name string) []byte {
-		if c := byHash[table.HashIn(name)]; c != nil {
-			return c
+		if chunk := chunksByHash[table.HashIn(name)]; chunk != nil {
+			return chunk
 		}
 		return old.ChunkNamed(name)
 	})
@@ -161,8 +173,8 @@
 	return k.adopt(doc, "peer")
 }
 
-// Hint says that a peer has a version; if it is newer it is pulled, one pull
-// at a time and not on the caller's time.
+// Hint starts to read the table from a peer that reported a newer version. It
+// returns at once, and does nothing while an earlier read runs.
 func (k *Keeper) Hint(ctx context.Context, version uint64, peer hookhall.Peer) {
 	if version <= k.Version() || !k.pulling.CompareAndSwap(false, true) {
 		return
@@ -170,51 +182,53 @@
 	go func() {
 		defer k.pulling.Store(false)
 		if err := k.Pull(ctx, peer); err != nil {
-			k.log.Warn("Can't read the table from a peer.", "error", err.Error())
+			k.log.Warn("table read from peer failed", "error", err.Error())
 		}
 	}()
 }
 
-// Pull reads a peer's table.
+// Pull reads the table of a peer and adopts it if it is newer.
 func (k *Keeper) Pull(ctx context.Context, peer hookhall.Peer) error {
-	ctx, cancel := context.WithTimeout(ctx, readTime)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	d, err := peer.Table(ctx, k.Version())
+	received, err := peer.Table(ctx, k.Version())
 	if err != nil {
 		return err
 	}
-	return k.Offer(d)
+	return k.Offer(received)
 }
 
-// ConfirmByPeers makes the Keeper ready without the service, if more than half
-// of peers answer; the newest version among them is in force then.
+// ConfirmByPeers reads the tables of the peers and adopts the newest. It marks the
+// Keeper ready, without the key-value service, and returns true if more than half
+// of the peers answered and there is a table that is not empty.
 func (k *Keeper) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
-	answered := 0
-	for _, p := range peers {
-		if k.Pull(ctx, p) == nil {
-			answered++
+	answers := 0
+	for _, peer := range peers {
+		if k.Pull(ctx, peer) == nil {
+			answers++
 		}
 	}
-	if answered*2 <= len(peers) || k.Version() == 0 {
+	if answers*2 <= len(peers) || k.Version() == 0 {
 		return false
 	}
 	k.ready.Store(true)
 	return true
 }
 
-// Serve answers a peer that has an older version: with the chunks it lacks,
-// as far as the root it has is unknown, all of them.
+// Serve returns the table in force for a peer that has version have: the root and
+// the chunks written after have. It returns the version alone if the peer's is not
+// older. With have 0 it returns all chunks.
 func (k *Keeper) Serve(have uint64) hookhall.TableDocument {
-	f := k.Current()
-	d := hookhall.TableDocument{Version: f.Snapshot.Version}
-	if have >= d.Version {
-		return d
+	current := k.Current()
+	reply := hookhall.TableDocument{Version: current.Snapshot.Version}
+	if have >= reply.Version {
+		return reply
 	}
-	d.Root = f.Document.EncodeRoot()
-	for i, name := range f.Document.Root.Chunks {
+	reply.Root = current.Document.EncodeRoot()
+	for i, name := range current.Document.Root.Chunks {
 		if name != "" && table.VersionIn(name) > have {
-			d.Chunks = append(d.Chunks, f.Document.Chunk(i))
+			reply.Chunks = append(reply.Chunks, current.Document.Chunk(i))
 		}
 	}
-	return d
+	return reply
 }
--- a/internal/coordination/tables/follower_test.go
+++ b/internal/coordination/tables/follower_test.go
@@ -16,27 +16,28 @@
 	"github.com/pkg/errors"
 )
 
-// memory is a key-value service in memory, with failing answers to inject.
-type memory struct {
-	entry hookhall.Entry
-	fail  int // calls that fail first
+// memoryKeyValue is a key-value service with a single entry, whose first reads can
+// be made to fail.
+type memoryKeyValue struct {
+	entry    hookhall.Entry
+	failures int // number of calls of Get that still fail
 }
 
-func (m *memory) Get(context.Context, string) (hookhall.Entry, error) {
-	if m.fail > 0 {
-		m.fail--
+func (m *memoryKeyValue) Get(context.Context, string) (hookhall.Entry, error) {
+	if m.failures > 0 {
+		m.failures--
 		return hookhall.Entry{}, errors.Wrap(hookhall.ErrUnavailable, "injected")
 	}
 	return m.entry, nil
 }
 
-func (m *memory) CompareAndSwap(context.Context, string, []byte, uint64) (bool, error) {
+func (m *memoryKeyValue) CompareAndSwap(context.Context, string, []byte, uint64) (bool, error) {
 	return false, hookhall.ErrUnavailable
 }
 
-func (m *memory) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
+func (m *memoryKeyValue) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
 
-func (m *memory) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) (hookhall.Entry, error) {
+func (m *memoryKeyValue) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) (hookhall.Entry, error) {
 	select {
 	case <-ctx.Done():
 		return hookhall.Entry{}, ctx.Err()
@@ -45,12 +46,13 @@
 	}
 }
 
-// TestKeeperEmptyTable: a fleet whose table is still empty is ready at once;
-// it used to wait for a first change, as the slopes of an empty fleet showed.
+// TestKeeperEmptyTable checks that an entry of a fleet without any table becomes
+// ready within seconds. It once watched the missing root without reading it first,
+// and so was not ready before the first edit.
 func TestKeeperEmptyTable(t *testing.T) {
 	for _, fail := range []int{0, 3} {
 		synctest.Test(t, func(t *testing.T) {
-			k := NewKeeper(&memory{fail: fail}, log.New(io.Discard))
+			k := NewKeeper(&memoryKeyValue{failures: fail}, log.New(io.Discard))
 			go k.Run(t.Context())
 			began := time.Now()
 			for !k.Ready() {
@@ -63,8 +65,8 @@
 	}
 }
 
-// TestKeeperForward: neither a stale read nor a peer that is behind takes a
-// table back.
+// TestKeeperForward checks that neither a stale read of the service nor a lagging
+// peer replaces the table in force by an older one.
 func TestKeeperForward(t *testing.T) {
 	edit := func(d *table.Document, value string) *table.Document {
 		n, err := d.Apply(value, []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "a", Column: "rate", Value: value, Force: true}})
@@ -82,19 +84,19 @@
 		}
 		return k.Serve(0)
 	}
-	k := NewKeeper(&memory{}, log.New(io.Discard))
+	k := NewKeeper(&memoryKeyValue{}, log.New(io.Discard))
 	for _, offer := range []hookhall.TableDocument{document(one), document(two), document(one)} {
 		if err := k.Offer(offer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.follow(t.Context(), hookhall.Entry{Value: one.EncodeRoot(), Index: 1}); err != nil {
+	if err := k.adoptRoot(t.Context(), hookhall.Entry{Value: one.EncodeRoot(), Index: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if k.Version() != 2 {
-		t.Fatalf("version %d after an older one was offered and read", k.Version())
+		t.Fatalf("version %d in force after an older one was offered and read, want 2", k.Version())
 	}
 	if len(k.Serve(1).Chunks) != 1 || len(k.Serve(2).Chunks) != 0 {
-		t.Fatal("a peer gets what it lacks, and no more")
+		t.Fatal("a peer must get the chunks that it lacks and no others")
 	}
 }
