--- a/internal/coordination/limits/cooldowns.go
+++ b/internal/coordination/limits/cooldowns.go
@@ -8,19 +8,22 @@
 	"time"
 )
 
-// pauses remembers until when names are left alone.
-type pauses struct{ until sync.Map }
+// cooldowns maps the ID of an owner to the time until which it is not called. Its
+// zero value is ready, and it is safe for concurrent use.
+type cooldowns struct{ untilByName sync.Map }
 
-func (p *pauses) add(name string, until time.Time) { p.until.Store(name, until) }
+func (p *cooldowns) add(name string, until time.Time) { p.untilByName.Store(name, until) }
 
-func (p *pauses) has(name string, now time.Time) bool {
-	v, ok := p.until.Load(name)
+// isActive reports whether name has a cooldown that has not ended at now. It
+// removes one that has.
+func (p *cooldowns) isActive(name string, now time.Time) bool {
+	until, ok := p.untilByName.Load(name)
 	if !ok {
 		return false
 	}
-	if now.Before(v.(time.Time)) {
+	if now.Before(until.(time.Time)) {
 		return true
 	}
-	p.until.Delete(name)
+	p.untilByName.Delete(name)
 	return false
 }
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -1,21 +1,23 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package limits holds fleet-wide limits of accounts together: it asks the
-// owners of accounts for shares, and answers as an owner itself.
+// Package limits enforces the rate and concurrency limits of accounts across the
+// fleet. An entry leases shares of an account's limits from the account's owner,
+// and leases out the shares of the accounts that it owns itself.
 //
 // # Model
 //
-// Package share has the arithmetic. Here an account without units left
-// makes one call to its owner, and the requests that come meanwhile wait for
-// that same call. If the owner does not answer in time the request is decided
-// by an even share of the limit.
+// Package share computes the shares. When an account has no units left in this
+// entry, one call asks its owner for more, and the requests that arrive meanwhile
+// wait for the same call. If the owner doesn't answer in time, the request is
+// admitted or refused by an even share of the limit.
 //
 // # Invariants
 //
-//   - One call at a time per account and entry.
-//   - A refusal is remembered for a moment, so that a flooding account costs
-//     its owner some tens of calls a second from each entry and no more.
+//   - Requests have at most one call at a time in progress per account and entry.
+//   - A refusal by the owner is cached for up to 50 ms, so that an account that
+//     floods the fleet causes at most some tens of calls a second from each entry
+//     to its owner.
 package limits
 
 import (
@@ -33,129 +35,146 @@
 )
 
 const (
-	// takeTime bounds one ask of an owner.
-	takeTime = 40 * time.Millisecond
-	// ownerPause is how long an owner that did not answer is not asked.
-	ownerPause = 250 * time.Millisecond
-	renewEvery = share.LeaseTime / 4
-	// tries bounds asks of one request: others may spend what it asked for.
-	tries = 3
+	// leaseTimeout bounds one call to an owner; requests wait for that call.
+	leaseTimeout = 40 * time.Millisecond
+	// ownerCooldown is how long an owner that failed to answer is not called, so
+	// that not every request of its accounts waits for leaseTimeout.
+	ownerCooldown = 250 * time.Millisecond
+	// renewInterval is a quarter of a lease, so that a lease survives a failed
+	// renewal.
+	renewInterval = share.LeaseTime / 4
+	// maxRefills bounds the refills of one request: concurrent requests may spend
+	// the units that it asked for.
+	maxRefills = 3
 )
 
-// Limits is this process's part, as spender and as owner.
+// Limits admits the requests of this entry and grants shares to other entries. Its
+// methods are safe for concurrent use.
 type Limits struct {
-	fleet  *fleet.Fleet
-	tables *tables.Keeper
-	peers  hookhall.Peers
-	held   share.Allocations
-	grants share.Grants
-	asks   singleflight.Group
-	silent pauses
+	fleet              *fleet.Fleet
+	tables             *tables.Keeper
+	peers              hookhall.Peers
+	allocations        share.Allocations
+	grants             share.Grants
+	leaseCalls         singleflight.Group
+	unresponsiveOwners cooldowns
 }
 
-// New makes a Limits.
-func New(f *fleet.Fleet, t *tables.Keeper, p hookhall.Peers) *Limits {
-	return &Limits{fleet: f, tables: t, peers: p}
+// New returns a Limits without leases.
+func New(members *fleet.Fleet, accounts *tables.Keeper, peers hookhall.Peers) *Limits {
+	return &Limits{fleet: members, tables: accounts, peers: peers}
 }
 
-// Enter takes one request's units of its account's limits. The returned
-// function gives them back.
-func (l *Limits) Enter(ctx context.Context, a *hookhall.Account) (func(), error) {
-	if a.Rate == 0 && a.Concurrency == 0 {
+// Enter takes the units that one request needs of its account's limits. The caller
+// must call the returned function when the request has ended: it returns the unit
+// of concurrency, while units of rate stay spent. A refusal is a *hookhall.Error
+// with the cause CauseLimit and the time to retry after.
+func (l *Limits) Enter(ctx context.Context, account *hookhall.Account) (func(), error) {
+	if account.Rate == 0 && account.Concurrency == 0 {
 		return func() {}, nil
 	}
-	p := l.held.Allocation(a.Name)
-	for i := 0; i < tries; i++ {
-		decision, after := p.Spend(a, clock.Now())
+	allocation := l.allocations.Allocation(account.Name)
+	for i := 0; i < maxRefills; i++ {
+		decision, retryAfter := allocation.Spend(account, clock.Now())
 		switch decision {
 		case share.Pass:
-			return p.Done, nil
+			return allocation.Done, nil
 		case share.Deny:
-			return nil, refusal(a, after)
+			return nil, limitError(account, retryAfter)
 		}
-		if !l.refill(ctx, a, p) {
-			return l.fallback(a, p)
+		if !l.refill(ctx, account, allocation) {
+			return l.enterWithoutOwner(account, allocation)
 		}
 	}
-	return nil, refusal(a, ownerPause)
+	return nil, limitError(account, ownerCooldown)
 }
 
-func (l *Limits) fallback(a *hookhall.Account, p *share.Allocation) (func(), error) {
-	ok, after := p.Fallback(a, len(l.fleet.View().Members), clock.Now())
-	if !ok {
-		return nil, refusal(a, after)
+// enterWithoutOwner admits or refuses a request by an even share of its account's
+// limits among the entries of the fleet.
+func (l *Limits) enterWithoutOwner(account *hookhall.Account, allocation *share.Allocation) (func(), error) {
+	admitted, retryAfter := allocation.Fallback(account, len(l.fleet.View().Members), clock.Now())
+	if !admitted {
+		return nil, limitError(account, retryAfter)
 	}
-	return p.Done, nil
+	return allocation.Done, nil
 }
 
-func refusal(a *hookhall.Account, after time.Duration) error {
+func limitError(account *hookhall.Account, retryAfter time.Duration) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseLimit,
-		"account %s is at its limit", a.Name).After(max(after, time.Millisecond))
+		"account %s is at its limit", account.Name).After(max(retryAfter, time.Millisecond))
 }
 
-// refill asks the account's owner; false when it did not answer.
-func (l *Limits) refill(ctx context.Context, a *hookhall.Account, p *share.Allocation) bool {
-	ok, _, _ := l.asks.Do(a.Name, func() (any, error) {
-		lease, ok := l.take(context.WithoutCancel(ctx), a.Name, p.Want(a, clock.Now()))
-		if ok {
-			p.Fill(lease, clock.Now())
+// refill leases units of the account from its owner, sharing the call with
+// concurrent requests of the account. It returns false if the owner didn't answer.
+func (l *Limits) refill(ctx context.Context, account *hookhall.Account, allocation *share.Allocation) bool {
+	answered, _, _ := l.leaseCalls.Do(account.Name, func() (any, error) {
+		lease, answered := l.requestLease(context.WithoutCancel(ctx), account.Name, allocation.Want(account, clock.Now()))
+		if answered {
+			allocation.Fill(lease, clock.Now())
 		}
-		return ok, nil
+		return answered, nil
 	})
-	return ok.(bool)
+	return answered.(bool)
 }
 
-func (l *Limits) take(ctx context.Context, account string, w hookhall.Want) (hookhall.ShareLease, bool) {
-	v := l.fleet.View()
-	owner := view.Owner(v.Members, account)
-	q := hookhall.TakeRequest{From: l.fleet.Self().ID, Epoch: v.Epoch, Wants: []hookhall.Want{w}}
+// requestLease asks the owner of an account for a lease, or grants it itself if
+// this entry is the owner. It returns false if there is no owner, if the owner is
+// in its cooldown, or if it fails to answer; a failure starts a cooldown.
+func (l *Limits) requestLease(ctx context.Context, account string, want hookhall.Want) (hookhall.ShareLease, bool) {
+	fleetView := l.fleet.View()
+	owner := view.Owner(fleetView.Members, account)
+	request := hookhall.TakeRequest{From: l.fleet.Self().ID, Epoch: fleetView.Epoch, Wants: []hookhall.Want{want}}
 	switch {
-	case owner == nil || l.silent.has(owner.ID, clock.Now()):
+	case owner == nil || l.unresponsiveOwners.isActive(owner.ID, clock.Now()):
 		return hookhall.ShareLease{}, false
 	case owner.ID == l.fleet.Self().ID:
-		return l.Handle(q).Leases[0], true
+		return l.Handle(request).Leases[0], true
 	}
-	ctx, cancel := context.WithTimeout(ctx, takeTime)
+	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	reply, err := l.peers.Peer(owner.Address).Take(ctx, q)
+	reply, err := l.peers.Peer(owner.Address).Take(ctx, request)
 	if err != nil || len(reply.Leases) != 1 || reply.Leases[0].Account != account {
-		l.silent.add(owner.ID, clock.Now().Add(ownerPause))
+		l.unresponsiveOwners.add(owner.ID, clock.Now().Add(ownerCooldown))
 		return hookhall.ShareLease{}, false
 	}
 	return reply.Leases[0], true
 }
 
-// Handle answers an entry, as owner.
-func (l *Limits) Handle(q hookhall.TakeRequest) hookhall.TakeReply {
-	v, s := l.fleet.View(), l.tables.Current().Snapshot
-	reply := hookhall.TakeReply{Epoch: v.Epoch}
-	for _, w := range q.Wants {
-		reply.Leases = append(reply.Leases, l.grants.Lease(s.Accounts[w.Account], q.From, w, len(v.Members), clock.Now()))
+// Handle grants the leases that an entry asks for. It is called on the owner of the
+// accounts, and applies the limits of the table in force there.
+func (l *Limits) Handle(request hookhall.TakeRequest) hookhall.TakeReply {
+	fleetView, snapshot := l.fleet.View(), l.tables.Current().Snapshot
+	reply := hookhall.TakeReply{Epoch: fleetView.Epoch}
+	for _, want := range request.Wants {
+		reply.Leases = append(reply.Leases, l.grants.Lease(snapshot.Accounts[want.Account], request.From, want, len(fleetView.Members), clock.Now()))
 	}
 	return reply
 }
 
-// Run renews leases of concurrency that are in use, until ctx ends.
+// Run renews the leases of concurrency until ctx ends: those in use as needed, and
+// those of idle accounts with no units, which returns them to the owner. It also
+// drops the records of accounts that this entry owns and nobody asks for.
 func (l *Limits) Run(ctx context.Context) {
-	for retry.Sleep(ctx, retry.Jitter(renewEvery)) {
-		s := l.tables.Current().Snapshot
-		for _, name := range l.held.Renewals(clock.Now()) {
-			a, p := s.Accounts[name], l.held.Allocation(name)
-			if a == nil {
+	for retry.Sleep(ctx, retry.Jitter(renewInterval)) {
+		snapshot := l.tables.Current().Snapshot
+		for _, name := range l.allocations.Renewals(clock.Now()) {
+			account, allocation := snapshot.Accounts[name], l.allocations.Allocation(name)
+			if account == nil {
 				continue
 			}
-			w := p.Want(a, clock.Now())
-			w.Rate = 0
-			if p.Idle(clock.Now()) {
-				w.Concurrency = 0
+			want := allocation.Want(account, clock.Now())
+			want.Rate = 0
+			if allocation.Idle(clock.Now()) {
+				want.Concurrency = 0
 			}
-			if lease, ok := l.take(ctx, name, w); ok {
-				p.Fill(lease, clock.Now())
+			if lease, ok := l.requestLease(ctx, name, want); ok {
+				allocation.Fill(lease, clock.Now())
 			}
 		}
 		l.grants.Sweep(clock.Now())
 	}
 }
 
-// Owned is the number of accounts whose shares this process has given out.
+// Owned returns the number of accounts of which this process has granted shares as
+// their owner and that it still keeps a record of.
 func (l *Limits) Owned() int { return l.grants.Len() }
