--- a/internal/coordination/targets/directory.go
+++ b/internal/coordination/targets/directory.go
@@ -1,22 +1,23 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package targets keeps the pools: which targets there are, how loaded, and
-// which are leaving.
+// Package targets maintains the pools of targets of an entry: which targets there
+// are, how loaded they are, and which are leaving.
 //
 // # Model
 //
-// The platform's list names the targets; the table's cells and the targets' own
-// reports and refusals say which are leaving, and whoever says so first wins.
-// Reports come with every answer and, for targets that are not called, by a
-// poll. In a pool of more than SubsetSize targets an entry works with the
-// SubsetSize that rank highest by the hash of both names, so that neither its
-// polls nor its connections grow with the pool.
+// The platform's list of instances names the targets. A target counts as leaving
+// as soon as any source says so: the platform's list, the table, the target's own
+// load report or refusal, or a report of another entry. Load reports come with
+// every answer; targets without recent calls are polled. In a pool of more than
+// SubsetSize targets an entry uses the SubsetSize targets that rank highest by the
+// hash of the entry's and the target's ID, so that neither its polls nor its
+// connections grow with the pool.
 //
 // # Invariants
 //
 //   - Pools are read through one atomic pointer; a refresh never blocks calls.
-//   - While the list can't be read the last one stays in force.
+//   - While the list of instances can't be read, the last one stays in force.
 package targets
 
 import (
@@ -37,165 +38,182 @@
 	"github.com/hookhall/hookhall/internal/state/routing"
 )
 
-// SubsetSize is how many targets of a pool one entry works with at most.
+// SubsetSize is the maximum number of targets of a pool that one entry uses.
 const SubsetSize = 32
 
 const (
-	refreshEvery = 200 * time.Millisecond
-	// pollEvery is between polls of a target, and pollShare for each entry of
-	// the fleet if that is more: a target answers some ten polls a second in
-	// all. What a poll tells, its answers and refusals tell sooner.
-	pollEvery = time.Second
-	pollShare = 100 * time.Millisecond
-	// shedEvery is how often hopeless calls are looked for in the queues.
-	// shedIdle is the same while nobody waits.
-	shedEvery = 10 * time.Millisecond
-	shedIdle  = 50 * time.Millisecond
-	pollTime  = 500 * time.Millisecond
-	// pollers bounds the polls in progress at once.
-	pollers = 16
-	// windowShare is a window's begin against an even share of the pool: a little
-	// waiting at targets keeps their slots from idling while answers travel.
-	windowShare = 1.25
-	// windowRoom is how far above the pool's capacity a window may grow.
-	windowRoom = 1.5
+	// refreshInterval is the time between two checks for changes that require the
+	// pools to be rebuilt.
+	refreshInterval = 200 * time.Millisecond
+	// A target is polled by an entry every minPollInterval, or every
+	// pollIntervalPerEntry times the number of entries if that is longer: all
+	// entries together then send a target about ten polls a second at most. Rare
+	// polls lose little, because answers and refusals report the same sooner.
+	minPollInterval      = time.Second
+	pollIntervalPerEntry = 100 * time.Millisecond
+	// shedInterval is the time between two searches of the queues for calls that
+	// can't start in time, and idleShedInterval the same while no call waits.
+	shedInterval     = 10 * time.Millisecond
+	idleShedInterval = 50 * time.Millisecond
+	// pollTimeout bounds one round of polls.
+	pollTimeout = 500 * time.Millisecond
+	// maxConcurrentPolls bounds the polls in progress at the same time.
+	maxConcurrentPolls = 16
+	// initialWindowFactor is the ratio of a gate's initial window to this entry's
+	// even share of the pool's capacity. It is above 1 so that a short queue at the
+	// targets keeps their slots busy while answers travel.
+	initialWindowFactor = 1.25
+	// maxWindowFactor is the ratio of a gate's maximum window to the capacity of the
+	// whole pool.
+	maxWindowFactor = 1.5
 )
 
-// Policy is what experiments vary; the zero value is the product's.
+// Policy has settings that experiments vary. The zero value is the policy for
+// production.
 type Policy struct {
-	Order    admission.Order
-	Choice   routing.Choice
+	// Order is the order in which a gate's queue is served.
+	Order admission.Order
+	// Choice is how a target of a pool is chosen.
+	Choice routing.Choice
+	// NoWindow leaves the number of calls in progress per pool unbounded.
 	NoWindow bool
+	// NoPrefix doesn't prefer a target by the prefix of a call's input.
 	NoPrefix bool
 }
 
-// Pool is one pool with its gate.
+// Pool is a pool of targets with the admission gate that its calls pass.
 type Pool struct {
 	*routing.Pool
 	Gate *admission.Gate
 }
 
-// Directory is all pools.
+// Directory holds all pools of an entry. Its methods are safe for concurrent use.
 type Directory struct {
-	fleet   *fleet.Fleet
-	tables  *tables.Keeper
-	backend hookhall.Backend
-	policy  Policy
-	log     *log.Logger
-	pools   atomic.Pointer[map[string]*Pool]
+	fleet       *fleet.Fleet
+	tables      *tables.Keeper
+	backend     hookhall.Backend
+	policy      Policy
+	log         *log.Logger
+	poolsByName atomic.Pointer[map[string]*Pool]
 }
 
-// New makes a Directory without pools.
-func New(f *fleet.Fleet, t *tables.Keeper, b hookhall.Backend, p Policy, l *log.Logger) *Directory {
-	d := &Directory{fleet: f, tables: t, backend: b, policy: p, log: l}
-	d.pools.Store(&map[string]*Pool{})
+// New returns a Directory without pools; Refresh and Run add them.
+func New(members *fleet.Fleet, table *tables.Keeper, backend hookhall.Backend, policy Policy, logger *log.Logger) *Directory {
+	d := &Directory{fleet: members, tables: table, backend: backend, policy: policy, log: logger}
+	d.poolsByName.Store(&map[string]*Pool{})
 	return d
 }
 
-// Pool finds a pool; nil when no target of it has been listed.
-func (d *Directory) Pool(name string) *Pool { return (*d.pools.Load())[name] }
+// Pool returns the pool with a name, or nil if no target of it was ever listed.
+func (d *Directory) Pool(name string) *Pool { return (*d.poolsByName.Load())[name] }
 
 // Pools returns all pools, sorted by name.
 func (d *Directory) Pools() []*Pool {
-	pools := make([]*Pool, 0, len(*d.pools.Load()))
-	for _, p := range *d.pools.Load() {
-		pools = append(pools, p)
+	pools := make([]*Pool, 0, len(*d.poolsByName.Load()))
+	for _, pool := range *d.poolsByName.Load() {
+		pools = append(pools, pool)
 	}
 	sort.Slice(pools, func(i, j int) bool { return pools[i].Name < pools[j].Name })
 	return pools
 }
 
-// Run refreshes and polls until ctx ends.
+// Run rebuilds the pools when their inputs change, polls the targets and sheds
+// queued calls until ctx ends. It returns after its goroutines have ended.
 func (d *Directory) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Add(2)
 	go func() {
 		defer wg.Done()
-		for retry.Sleep(ctx, retry.Jitter(d.pollPause())) {
+		for retry.Sleep(ctx, retry.Jitter(d.pollInterval())) {
 			d.Poll(ctx)
 		}
 	}()
 	go func() {
 		defer wg.Done()
-		d.shed(ctx)
+		d.shedQueues(ctx)
 	}()
-	var last seen
+	var lastBuilt poolInputs
 	for {
-		if now := d.sees(); now != last {
-			last = now
+		if current := d.currentInputs(); current != lastBuilt {
+			lastBuilt = current
 			d.Refresh(clock.Now())
 		}
-		if !retry.Sleep(ctx, refreshEvery) {
+		if !retry.Sleep(ctx, refreshInterval) {
 			wg.Wait()
 			return
 		}
 	}
 }
 
-// seen is what the pools are made from. It is compared, so that nothing is
-// built anew while nothing has changed but once a second, for what fades.
-type seen struct {
+// poolInputs is what the pools are built from. Run rebuilds them only if it has
+// changed. Second changes once a second, because reports that a target is leaving
+// expire and the capacity of a pool changes without any other input.
+type poolInputs struct {
 	listing *fleet.Listing
 	table   *tables.InForce
 	view    *hookhall.View
 	second  int64
 }
 
-func (d *Directory) sees() seen {
-	return seen{d.fleet.Listed(), d.tables.Current(), d.fleet.View(), clock.Stamp(clock.Now()) / int64(time.Second)}
+func (d *Directory) currentInputs() poolInputs {
+	return poolInputs{d.fleet.Listed(), d.tables.Current(), d.fleet.View(), clock.Stamp(clock.Now()) / int64(time.Second)}
 }
 
-// shed looks for hopeless calls in queues, often while any call waits.
-func (d *Directory) shed(ctx context.Context) {
-	pause := shedIdle
+// shedQueues refuses queued calls that can't start in time, until ctx ends. It
+// searches more often while any call waits.
+func (d *Directory) shedQueues(ctx context.Context) {
+	pause := idleShedInterval
 	for retry.Sleep(ctx, pause) {
-		pause = shedIdle
-		for _, p := range *d.pools.Load() {
-			if p.Gate.Queued() > 0 {
-				pause = shedEvery
-				p.Gate.Shed(clock.Now())
+		pause = idleShedInterval
+		for _, pool := range *d.poolsByName.Load() {
+			if pool.Gate.Queued() > 0 {
+				pause = shedInterval
+				pool.Gate.Shed(clock.Now())
 			}
 		}
 	}
 }
 
-// Refresh rebuilds the pools from the list and the table.
+// Refresh rebuilds the pools from the list of instances and the table. It does
+// nothing as long as no list has been read. If two calls overlap, the pools of the
+// one that ends last stay.
 func (d *Directory) Refresh(now time.Time) {
 	listing := d.fleet.Listed()
 	if listing == nil {
 		return
 	}
 	leaving := d.tables.Current().Snapshot.Leaving
-	byPool := map[string][]hookhall.Target{}
-	for _, i := range listing.Instances {
-		if i.Role != hookhall.RoleTarget {
+	targetsByPool := map[string][]hookhall.Target{}
+	for _, instance := range listing.Instances {
+		if instance.Role != hookhall.RoleTarget {
 			continue
 		}
-		byPool[i.Pool] = append(byPool[i.Pool], hookhall.Target{
-			ID: i.ID, Pool: i.Pool, Hall: i.Hall, Address: i.Address, Streams: i.Streams,
-			Leaving: i.State == hookhall.InstanceLeaving || leaving[i.ID] || d.fleet.HeardLeaving(i.ID, now),
+		targetsByPool[instance.Pool] = append(targetsByPool[instance.Pool], hookhall.Target{
+			ID: instance.ID, Pool: instance.Pool, Hall: instance.Hall, Address: instance.Address, Streams: instance.Streams,
+			Leaving: instance.State == hookhall.InstanceLeaving || leaving[instance.ID] || d.fleet.HeardLeaving(instance.ID, now),
 		})
 	}
-	old := *d.pools.Load()
-	next := make(map[string]*Pool, len(byPool))
-	for name, list := range byPool {
-		p := old[name]
-		if p == nil {
-			p = d.newPool(name)
+	old := *d.poolsByName.Load()
+	next := make(map[string]*Pool, len(targetsByPool))
+	for name, poolTargets := range targetsByPool {
+		pool := old[name]
+		if pool == nil {
+			pool = d.newPool(name)
 		}
-		p.Update(subset(list, d.fleet.Self().ID))
-		d.resize(p, now)
-		next[name] = p
+		pool.Update(subset(poolTargets, d.fleet.Self().ID))
+		d.resizeGate(pool, now)
+		next[name] = pool
 	}
-	for name, p := range old {
+	for name, pool := range old {
 		if next[name] == nil {
-			p.Update(nil) // the pool stays, so that its queue can empty
-			next[name] = p
+			pool.Update(nil) // the pool stays, so that calls in its queue still end
+			next[name] = pool
 		}
 	}
-	d.pools.Store(&next)
+	d.poolsByName.Store(&next)
 }
 
+// newPool returns an empty pool; resizeGate bounds its gate.
 func (d *Directory) newPool(name string) *Pool {
 	return &Pool{
 		Pool: routing.NewPool(name, d.policy.Choice, !d.policy.NoPrefix),
@@ -203,40 +221,43 @@
 	}
 }
 
-// resize bounds the gate's window by what the pool can run at once; an even
-// share of it among the entries is where a window begins.
-func (d *Directory) resize(p *Pool, now time.Time) {
+// resizeGate bounds the window of a pool's gate by the number of calls that the
+// pool can run at the same time. The window begins at this entry's even share.
+func (d *Directory) resizeGate(pool *Pool, now time.Time) {
 	if d.policy.NoWindow {
 		return
 	}
-	capacity := float64(p.Capacity(now))
+	capacity := float64(pool.Capacity(now))
 	entries := float64(max(len(d.fleet.View().Members), 1))
-	p.Gate.Resize(capacity/entries*windowShare+1, capacity*windowRoom+1)
+	pool.Gate.Resize(capacity/entries*initialWindowFactor+1, capacity*maxWindowFactor+1)
 }
 
-// subset keeps the targets that rank highest for this entry.
+// subset returns the SubsetSize targets that rank highest for the entry with the ID
+// self, or all if there are no more. It may reorder list.
 func subset(list []hookhall.Target, self string) []hookhall.Target {
 	if len(list) <= SubsetSize {
 		return list
 	}
-	rank := func(t hookhall.Target) uint64 { return xxhash.Sum64String(self + "/" + t.ID) }
+	rank := func(target hookhall.Target) uint64 { return xxhash.Sum64String(self + "/" + target.ID) }
 	sort.Slice(list, func(i, j int) bool { return rank(list[i]) > rank(list[j]) })
 	return list[:SubsetSize]
 }
 
-func (d *Directory) pollPause() time.Duration {
-	return max(pollEvery, time.Duration(len(d.fleet.View().Members))*pollShare)
+// pollInterval returns the time between two polls of a target by this entry.
+func (d *Directory) pollInterval() time.Duration {
+	return max(minPollInterval, time.Duration(len(d.fleet.View().Members))*pollIntervalPerEntry)
 }
 
-// Poll asks every target that has not been heard of lately for its report.
+// Poll reads the load report of every target that sent none within the last three
+// quarters of a poll interval, and waits for all of the answers.
 func (d *Directory) Poll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, pollTime)
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, pollers)
-	for _, p := range d.Pools() {
-		for _, t := range p.Targets() {
-			if t.HeardWithin(d.pollPause()*3/4, clock.Now()) {
+	slots := make(chan struct{}, maxConcurrentPolls)
+	for _, pool := range d.Pools() {
+		for _, target := range pool.Targets() {
+			if target.HeardWithin(d.pollInterval()*3/4, clock.Now()) {
 				continue
 			}
 			wg.Add(1)
@@ -244,8 +265,8 @@
 			go func() {
 				defer wg.Done()
 				defer func() { <-slots }()
-				if r, err := d.backend.Load(ctx, t.Target); err == nil {
-					t.Report(r, clock.Now())
+				if report, err := d.backend.Load(ctx, target.Target); err == nil {
+					target.Report(report, clock.Now())
 				}
 			}()
 		}
@@ -253,10 +274,11 @@
 	wg.Wait()
 }
 
-// MarkLeaving notes that a target refused work because it is leaving.
-func (d *Directory) MarkLeaving(t *routing.Target) {
-	if !t.IsLeaving(clock.Now()) {
-		d.log.Info("Target is leaving.", "target", t.ID)
+// MarkLeaving records that a target refused a call because it is leaving. Until the
+// record expires the target gets no further calls.
+func (d *Directory) MarkLeaving(target *routing.Target) {
+	if !target.IsLeaving(clock.Now()) {
+		d.log.Info("target leaving", "target", target.ID)
 	}
-	t.Refused(clock.Now())
+	target.Refused(clock.Now())
 }
