--- a/internal/coordination/pipeline/run.go
+++ b/internal/coordination/pipeline/run.go
@@ -16,81 +16,90 @@
 )
 
 const (
-	// settleWait is how long a finished run waits for its claim to be
-	// settled before the caller gets its answer all the same.
-	settleWait = 50 * time.Millisecond
-	// releaseWait is the same for one that ran nothing.
-	releaseWait = 10 * time.Millisecond
-	// waitMargin is how much longer than estimated the queues may turn out: who
-	// is let in should not be refused later.
-	waitMargin = 1.7
-	// peekTime bounds the look behind a refusal's verdict.
-	peekTime = 100 * time.Millisecond
+	// settleTimeout is how long a finished run waits for its claim to be settled.
+	// After it the caller gets the answer while the claim is still being settled.
+	settleTimeout = 50 * time.Millisecond
+	// releaseTimeout is the same for a run of which nothing ran.
+	releaseTimeout = 10 * time.Millisecond
+	// waitSafetyFactor multiplies the estimated waits of the queues at admission, so
+	// that an admitted request is rarely refused at a later stage.
+	waitSafetyFactor = 1.7
+	// peekTimeout bounds the lookup of a key's claim for the verdict of a refusal.
+	peekTimeout = 100 * time.Millisecond
 )
 
-// run is one request in progress. One thread works on it.
+// run is one request in progress. It is used by one goroutine at a time and has no
+// lock.
 type run struct {
 	*Runner
 	request  *hookhall.Request
 	account  *hookhall.Account
 	pipeline *hookhall.Pipeline
 	emit     Emit
-	began    time.Time
+	start    time.Time
 	priority int
 	weight   float64
 	costs    []hookhall.StageCost
-	ticket   *claims.Ticket
-	// effects is set once a stage with effects may have run.
-	effects bool
-	// emitted is set once the caller was sent a part of the answer.
+	// ticket is the right to run the request; nil if it needs no claim.
+	ticket *claims.Ticket
+	// mayHaveEffects is true once a stage with side effects may have run.
+	mayHaveEffects bool
+	// emitted is true once a part of the answer was sent to the caller.
 	emitted bool
-	first   time.Duration
-	// gates are those of the stages, as they were at admission; nil for a pool
-	// that was not known then. reached is how many the run has come to.
-	gates   []*admission.Gate
-	reached int
+	// firstToken is the time from start to the first chunk of the answer; 0 before.
+	firstToken time.Duration
+	// gates has the gate of each stage's pool as of admission, or nil for a pool
+	// that was unknown then. gatesReached is the number of stages begun.
+	gates        []*admission.Gate
+	gatesReached int
 }
 
-func (x *run) claimed() bool {
+// needsClaim reports whether the request must be claimed before it runs.
+func (x *run) needsClaim() bool {
 	return !x.request.Repeatable && x.request.Key != "" && !x.policy.NoClaims
 }
 
-func (x *run) run(ctx context.Context) (*hookhall.Answer, error) {
+// execute takes the request through limits, admission, claim and stages.
+func (x *run) execute(ctx context.Context) (*hookhall.Answer, error) {
 	ctx, cancel := clock.WithDeadline(ctx, x.request.Deadline)
 	defer cancel()
-	leave, err := x.limits.Enter(ctx, x.account)
+	releaseLimits, err := x.limits.Enter(ctx, x.account)
 	if err != nil {
-		return nil, x.refused(ctx, err)
+		return nil, x.withVerdict(ctx, err)
 	}
-	defer leave()
+	defer releaseLimits()
 	if err := x.admit(clock.Now()); err != nil {
-		return nil, x.refused(ctx, err)
+		return nil, x.withVerdict(ctx, err)
 	}
-	x.expect()
-	defer x.withdraw()
-	if !x.claimed() {
-		output, err := x.stages(ctx)
+	x.expectAtGates()
+	defer x.withdrawExpected()
+	if !x.needsClaim() {
+		output, err := x.runStages(ctx)
 		return x.finish(output, err)
 	}
 	return x.runClaimed(ctx)
 }
 
-// refused gives a refusal at admission its verdict. The key of a request that
-// is not repeatable may have been used before: then "not run" must be proved.
-func (x *run) refused(ctx context.Context, err error) error {
-	if !x.claimed() {
+// withVerdict returns a refusal at admission with the verdict for the caller. An
+// earlier submission may have used the key of a request that is not repeatable, so
+// "not run" needs a lookup of the key's claim.
+func (x *run) withVerdict(ctx context.Context, err error) error {
+	if !x.needsClaim() {
 		return err
 	}
-	e := *hookhall.AsError(err)
-	ctx, cancel := context.WithTimeout(ctx, peekTime)
+	refusal := *hookhall.AsError(err)
+	ctx, cancel := context.WithTimeout(ctx, peekTimeout)
 	defer cancel()
-	e.Verdict = x.claims.Peek(ctx, x.claimKey())
-	return &e
+	refusal.Verdict = x.claims.Peek(ctx, x.claimKey())
+	return &refusal
 }
 
-// claimKey keeps accounts' keys apart.
+// claimKey returns the key of the request's claim. It contains the account, so that
+// equal keys of two accounts don't collide.
 func (x *run) claimKey() string { return x.account.Name + "/" + x.request.Key }
 
+// runClaimed runs the stages under a claim, or returns the stored answer of an
+// earlier run with the same key.
 func (x *run) runClaimed(ctx context.Context) (*hookhall.Answer, error) {
 	ticket, record, err := x.claims.Acquire(ctx, x.claimKey(), x.request.Digest)
 	if err != nil {
@@ -100,19 +109,21 @@
 		return replay(record)
 	}
 	x.ticket = ticket
-	// From here on the run goes to its end, whether the caller stays or not.
+	// From here on the run continues even if the caller disconnects, so that the
+	// caller's retry finds the answer.
 	ctx, cancel := clock.WithDeadline(context.WithoutCancel(ctx), x.request.Deadline)
 	defer cancel()
-	output, err := x.stages(ctx)
+	output, err := x.runStages(ctx)
 	answer, err := x.finish(output, err)
 	x.settle(answer, err)
 	return answer, err
 }
 
-// replay is the answer of an earlier run.
-func replay(r *hookhall.Record) (*hookhall.Answer, error) {
+// replay returns the answer stored in the record of an earlier run, or an error with
+// the verdict Ran if it was not stored.
+func replay(record *hookhall.Record) (*hookhall.Answer, error) {
 	answer := &hookhall.Answer{}
-	if len(r.Answer) == 0 || json.Unmarshal(r.Answer, answer) != nil {
+	if len(record.Answer) == 0 || json.Unmarshal(record.Answer, answer) != nil {
 		return nil, hookhall.Errorf(hookhall.Ran, hookhall.CauseUnknown,
 			"an earlier submission with this key ran, and its answer was too large to be kept")
 	}
@@ -120,136 +131,148 @@
 	return answer, nil
 }
 
+// settle records the end of a claimed run: finished with the answer, unknown if a
+// stage with side effects may have run, and otherwise released.
 func (x *run) settle(answer *hookhall.Answer, err error) {
 	switch {
 	case err == nil:
-		b, encodeErr := json.Marshal(answer)
+		encoded, encodeErr := json.Marshal(answer)
 		if encodeErr != nil {
-			b = nil
+			encoded = nil
 		}
-		x.claims.Settle(x.ticket, hookhall.StateFinished, b, settleWait)
-	case x.effects:
-		x.claims.Settle(x.ticket, hookhall.StateUnknown, nil, settleWait)
+		x.claims.Settle(x.ticket, hookhall.StateFinished, encoded, settleTimeout)
+	case x.mayHaveEffects:
+		x.claims.Settle(x.ticket, hookhall.StateUnknown, nil, settleTimeout)
 	default:
-		x.claims.Settle(x.ticket, hookhall.StateReleased, nil, releaseWait)
+		x.claims.Settle(x.ticket, hookhall.StateReleased, nil, releaseTimeout)
 	}
 }
 
+// finish makes the answer from the last stage's output, or gives a failure its
+// verdict.
 func (x *run) finish(output []byte, err error) (*hookhall.Answer, error) {
 	if err != nil {
-		e := *hookhall.AsError(err)
-		e.Verdict = hookhall.NotRun
-		if x.effects {
-			e.Verdict = hookhall.MayHaveRun
+		failure := *hookhall.AsError(err)
+		failure.Verdict = hookhall.NotRun
+		if x.mayHaveEffects {
+			failure.Verdict = hookhall.MayHaveRun
 		}
-		return nil, &e
+		return nil, &failure
 	}
-	return &hookhall.Answer{Output: output, Cost: x.costs, FirstToken: x.first}, nil
+	return &hookhall.Answer{Output: output, Cost: x.costs, FirstToken: x.firstToken}, nil
 }
 
-func (x *run) stages(ctx context.Context) ([]byte, error) {
+// runStages runs the stages in order, each with the output of the one before, and
+// returns the output of the last.
+func (x *run) runStages(ctx context.Context) ([]byte, error) {
 	input := x.request.Input
 	for i := range x.pipeline.Stages {
-		x.arrive(i)
-		s := stageRun{run: x, index: i, stage: &x.pipeline.Stages[i], input: input}
-		output, err := s.serve(ctx)
+		x.reachGate(i)
+		current := stageRun{run: x, index: i, stage: &x.pipeline.Stages[i], input: input}
+		output, err := current.runAttempts(ctx)
 		if err != nil {
-			e := *hookhall.AsError(err)
-			e.Stage = s.stage.Name
-			return nil, &e
+			failure := *hookhall.AsError(err)
+			failure.Stage = current.stage.Name
+			return nil, &failure
 		}
 		input = output
 	}
 	return input, nil
 }
 
-// expect tells the gates of all stages that this run is to come.
-func (x *run) expect() {
+// expectAtGates counts the run as an expected call at the gates of all stages.
+func (x *run) expectAtGates() {
 	x.gates = make([]*admission.Gate, len(x.pipeline.Stages))
-	for i, s := range x.pipeline.Stages {
-		if p := x.targets.Pool(s.Pool); p != nil {
-			x.gates[i] = p.Gate
-			p.Gate.Expect(x.priority, 1)
+	for i, stage := range x.pipeline.Stages {
+		if pool := x.targets.Pool(stage.Pool); pool != nil {
+			x.gates[i] = pool.Gate
+			pool.Gate.Expect(x.priority, 1)
 		}
 	}
 }
 
-// arrive notes that the run has come to a stage's gate.
-func (x *run) arrive(i int) {
+// reachGate ends the expectation at the gate of stage i, which the run has reached.
+func (x *run) reachGate(i int) {
 	if g := x.gates[i]; g != nil {
 		g.Expect(x.priority, -1)
 	}
-	x.reached = i + 1
+	x.gatesReached = i + 1
 }
 
-// withdraw takes back what was expected to gates that the run did not reach.
-func (x *run) withdraw() {
-	for _, g := range x.gates[x.reached:] {
+// withdrawExpected ends the expectation at the gates that the run did not reach.
+func (x *run) withdrawExpected() {
+	for _, g := range x.gates[x.gatesReached:] {
 		if g != nil {
 			g.Expect(x.priority, -1)
 		}
 	}
 }
 
-// admit refuses what can't make its deadline before anything is spent on it.
+// admit refuses a request that is not expected to meet its deadline, before any
+// work is done for it.
 func (x *run) admit(now time.Time) error {
-	left := x.request.Deadline.Sub(now)
-	if left <= 0 {
+	remaining := x.request.Deadline.Sub(now)
+	if remaining <= 0 {
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseDeadline, "the deadline has passed")
 	}
 	if x.policy.NoEarlyRefusal {
 		return nil
 	}
-	need := x.rest(0, len(x.request.Input))
-	worst := time.Duration(0)
+	need := x.estimateRest(0, len(x.request.Input))
+	longestWait := time.Duration(0)
 	retryAfter := time.Duration(0)
-	for _, s := range x.pipeline.Stages {
-		p := x.targets.Pool(s.Pool)
-		if p == nil {
+	for _, stage := range x.pipeline.Stages {
+		pool := x.targets.Pool(stage.Pool)
+		if pool == nil {
 			continue
 		}
-		wait := p.Gate.Wait(x.account.Name, x.weight, x.priority, now)
-		need += time.Duration(float64(wait) * waitMargin)
-		if wait > worst {
-			worst, retryAfter = wait, p.Gate.RetryAfter(x.account.Name, x.weight, x.priority, now)
+		wait := pool.Gate.Wait(x.account.Name, x.weight, x.priority, now)
+		need += time.Duration(float64(wait) * waitSafetyFactor)
+		if wait > longestWait {
+			longestWait, retryAfter = wait, pool.Gate.RetryAfter(x.account.Name, x.weight, x.priority, now)
 		}
 	}
-	if need <= left {
+	if need <= remaining {
 		return nil
 	}
-	if worst == 0 {
+	if longestWait == 0 {
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseDeadline,
-			"the pipeline takes %v now and %v is left", need.Round(time.Millisecond), left.Round(time.Millisecond))
+			"the pipeline takes %v now and %v is left", need.Round(time.Millisecond), remaining.Round(time.Millisecond))
 	}
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload,
-		"queue and pipeline take %v now and %v is left", need.Round(time.Millisecond), left.Round(time.Millisecond)).After(retryAfter)
+		"queue and pipeline take %v now and %v is left", need.Round(time.Millisecond), remaining.Round(time.Millisecond)).After(retryAfter)
 }
 
-// rest is what the stages from an index on are expected to take. The next one
-// counts with its high estimate, those after it with their median: not all of
-// them will be slow.
-func (x *run) rest(from, size int) time.Duration {
+// estimateRest returns the expected duration of the stages from an index on, without
+// the waits at gates. The next stage counts with its high estimate and those after
+// it with their medians, because it is unlikely that all of them are slow. Size is
+// the length of the input in bytes, for estimateKey.
+func (x *run) estimateRest(first, size int) time.Duration {
 	var sum time.Duration
-	for i := from; i < len(x.pipeline.Stages); i++ {
-		e := x.estimates.Get(x.key(i, size))
-		if i == from {
-			sum += e.High
+	for i := first; i < len(x.pipeline.Stages); i++ {
+		expected := x.estimates.Get(x.estimateKey(i, size))
+		if i == first {
+			sum += expected.High
 		} else {
-			sum += e.Median
+			sum += expected.Median
 		}
 	}
 	return sum
 }
 
-// key is the series of a stage. Generation is sized by what may be emitted.
-func (x *run) key(i, size int) estimate.Key {
-	k := estimate.Key{Pipeline: x.pipeline.Name, Stage: x.pipeline.Stages[i].Name}
+// estimateKey returns the key of the series of estimates for stage i. If the number
+// of generated tokens is limited, there is a series per bucket of that limit. Size,
+// the length of the input, is not used.
+func (x *run) estimateKey(i, size int) estimate.Key {
+	key := estimate.Key{Pipeline: x.pipeline.Name, Stage: x.pipeline.Stages[i].Name}
 	if n := x.maxTokens(i); n > 0 {
-		k.Size = estimate.Bucket(n)
+		key.Size = estimate.Bucket(n)
 	}
-	return k
+	return key
 }
 
+// maxTokens returns the smaller of the limits that stage i and the request set for
+// generated tokens; 0 means no limit.
 func (x *run) maxTokens(i int) int {
 	if n := x.pipeline.Stages[i].MaxTokens; n > 0 && (x.request.MaxTokens == 0 || n < x.request.MaxTokens) {
 		return n
--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -1,28 +1,28 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pipeline runs requests: it admits them, passes them through their
-// stages and decides about every call whether it is still worth making.
+// Package pipeline runs requests: it admits them, takes them through the stages of
+// their pipeline, and decides before every call whether it can still end in time.
 //
 // # Model
 //
-// A request has one clock. At admission, and again before every stage, the time
-// that is left is compared with what the rest of the pipeline is expected to
-// take (package estimate) and with how long the pools' queues are (package
-// admission). A request that can't make it is refused then, with the time to
-// come back, and nothing more is spent on it.
+// A request has one deadline for all of its stages. At admission and again before
+// every stage, the remaining time is compared with the expected duration of the
+// remaining stages (package estimate) and with the waits in the queues of their
+// pools (package admission). A request that can't meet its deadline is refused at
+// once, with a time to retry after, and no further work is done for it.
 //
-// A run goes through: limits of the account, admission, the claim (if it is not
-// repeatable and has a key), then for each stage the pool's gate, a target, a
-// call; at the end the claim is settled.
+// A run passes the limits of the account, then admission, then the claim (if it is
+// not repeatable and has a key). Each stage then passes the gate of its pool and is
+// called at a target of the pool. At the end the claim is settled.
 //
 // # Invariants
 //
-//   - A stage with effects of a request that is not repeatable is sent a second
-//     time only after evidence that the first did not run.
-//   - The verdict of a failed run is NotRun only if no stage with effects was
-//     sent, or all that were sent gave evidence that they did not run.
-//   - A claimed run goes on to its end when its caller goes away, so that the
+//   - A stage with side effects of a request that is not repeatable is called a
+//     second time only after evidence that the first call did not run.
+//   - The verdict of a failed run is NotRun only if no stage with side effects was
+//     called, or there is evidence for every such call that it did not run.
+//   - A claimed run continues to its end when its caller disconnects, so that the
 //     caller's retry finds the answer.
 package pipeline
 
@@ -40,27 +40,30 @@
 	"github.com/hookhall/hookhall/internal/state/estimate"
 )
 
-// Policy is what experiments vary; the zero value is the product's.
+// Policy has settings that experiments vary. The zero value is the policy for
+// production.
 type Policy struct {
-	// NoEarlyRefusal lets every request run until its deadline.
+	// NoEarlyRefusal disables the refusal of requests that are not expected to meet
+	// their deadline; they run until it passes.
 	NoEarlyRefusal bool
-	// NoClaims runs requests that are not repeatable without a claim: only
-	// for the tests that show what claims are for.
+	// NoClaims runs requests that are not repeatable without a claim. It is meant
+	// for tests that show the duplicate runs which claims prevent.
 	NoClaims bool
 }
 
-// Event is one piece of an answer on its way.
+// Event is one part of a streamed answer.
 type Event struct {
 	Text []byte
-	// Restart tells the caller to drop what it has received: another target
-	// runs the last stage from its start.
+	// Restart means that the caller must discard the text received so far, because
+	// another target runs the last stage from its beginning.
 	Restart bool
 }
 
-// Emit takes events in order.
+// Emit sends one event to the caller. It is called in the order of the events. An
+// error cancels the call that produced the event, except in a claimed run.
 type Emit func(Event) error
 
-// Runner runs requests.
+// Runner runs the requests of an entry. It is safe for concurrent use.
 type Runner struct {
 	tables    *tables.Keeper
 	targets   *targets.Directory
@@ -73,15 +76,15 @@
 	active    atomic.Int64
 }
 
-// Meter is told what happens; it must be quick and safe for many threads.
+// Meter receives measurements. Its methods must be fast and safe for concurrent use.
 type Meter interface {
-	// Stage is told the cost of one stage of a request that ended.
+	// Stage records the cost of one stage of a request that has ended.
 	Stage(pipeline string, c hookhall.StageCost)
-	// Done is told how a request ended; err is nil for an answer.
+	// Done records the end of a request and its duration; err is nil for an answer.
 	Done(r *hookhall.Request, took time.Duration, err *hookhall.Error)
 }
 
-// Parts are what a Runner works with.
+// Parts are the dependencies of a Runner.
 type Parts struct {
 	Tables  *tables.Keeper
 	Targets *targets.Directory
@@ -92,39 +95,40 @@
 	Policy  Policy
 }
 
-// New makes a Runner.
-func New(p Parts) *Runner {
+// New returns a Runner without estimates.
+func New(parts Parts) *Runner {
 	return &Runner{
-		tables: p.Tables, targets: p.Targets, claims: p.Claims, limits: p.Limits,
-		backend: p.Backend, meter: p.Meter, policy: p.Policy, estimates: &estimate.Set{},
+		tables: parts.Tables, targets: parts.Targets, claims: parts.Claims, limits: parts.Limits,
+		backend: parts.Backend, meter: parts.Meter, policy: parts.Policy, estimates: &estimate.Set{},
 	}
 }
 
-// Active is the number of requests in progress.
+// Active returns the number of requests in progress.
 func (r *Runner) Active() int64 { return r.active.Load() }
 
-// Estimates are what has been learned of the stages.
+// Estimates returns the measured durations of the stages.
 func (r *Runner) Estimates() *estimate.Set { return r.estimates }
 
-// Run runs a request to its end. The error, if any, is an *hookhall.Error.
-func (r *Runner) Run(ctx context.Context, q *hookhall.Request, emit Emit) (*hookhall.Answer, error) {
+// Run runs a request to its end and passes the output of the last stage to emit as
+// it arrives; emit may be nil. The error, if any, is an *hookhall.Error.
+func (r *Runner) Run(ctx context.Context, request *hookhall.Request, emit Emit) (*hookhall.Answer, error) {
 	r.active.Add(1)
 	defer r.active.Add(-1)
 	began := clock.Now()
-	x, err := r.prepare(q, emit, began)
+	current, err := r.prepare(request, emit, began)
 	if err != nil {
 		return nil, err
 	}
-	answer, err := x.run(ctx)
+	answer, err := current.execute(ctx)
 	failure := hookhall.AsError(err)
 	var spent []hookhall.StageCost
-	for _, c := range x.costs {
-		if c.Calls > 0 {
-			spent = append(spent, c)
-			r.meter.Stage(q.Pipeline, c)
+	for _, cost := range current.costs {
+		if cost.Calls > 0 {
+			spent = append(spent, cost)
+			r.meter.Stage(request.Pipeline, cost)
 		}
 	}
-	r.meter.Done(q, clock.Since(began), failure)
+	r.meter.Done(request, clock.Since(began), failure)
 	if failure != nil {
 		failure.Cost = spent
 		return nil, failure
@@ -132,30 +136,31 @@
 	return answer, nil
 }
 
-// prepare resolves names in the table in force. The whole run uses that table.
-func (r *Runner) prepare(q *hookhall.Request, emit Emit, began time.Time) (*run, error) {
-	s := r.tables.Current().Snapshot
-	p, a := s.Pipelines[q.Pipeline], s.Accounts[q.Account]
-	if p == nil || len(p.Stages) == 0 {
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoPipeline, "there is no pipeline %q", q.Pipeline)
+// prepare resolves the names of a request in the table in force. The run uses that
+// version of the table to its end.
+func (r *Runner) prepare(request *hookhall.Request, emit Emit, start time.Time) (*run, error) {
+	snapshot := r.tables.Current().Snapshot
+	pipeline, account := snapshot.Pipelines[request.Pipeline], snapshot.Accounts[request.Account]
+	if pipeline == nil || len(pipeline.Stages) == 0 {
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoPipeline, "there is no pipeline %q", request.Pipeline)
 	}
-	if a == nil {
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseUnauthorized, "there is no account %q", q.Account)
+	if account == nil {
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseUnauthorized, "there is no account %q", request.Account)
 	}
-	x := &run{
-		Runner: r, request: q, account: a, pipeline: p, emit: emit, began: began,
-		priority: a.Priority, weight: a.Weight, costs: make([]hookhall.StageCost, len(p.Stages)),
+	prepared := &run{
+		Runner: r, request: request, account: account, pipeline: pipeline, emit: emit, start: start,
+		priority: account.Priority, weight: account.Weight, costs: make([]hookhall.StageCost, len(pipeline.Stages)),
 	}
-	for i, g := range p.Stages {
-		x.costs[i].Stage = g.Name
+	for i, stage := range pipeline.Stages {
+		prepared.costs[i].Stage = stage.Name
 	}
-	if c := s.Classes[q.Class]; c != nil {
-		if c.Priority >= 0 {
-			x.priority = c.Priority
+	if class := snapshot.Classes[request.Class]; class != nil {
+		if class.Priority >= 0 {
+			prepared.priority = class.Priority
 		}
-		if c.Weight > 0 {
-			x.weight *= c.Weight
+		if class.Weight > 0 {
+			prepared.weight *= class.Weight
 		}
 	}
-	return x, nil
+	return prepared, nil
 }
--- a/internal/coordination/pipeline/stage.go
+++ b/internal/coordination/pipeline/stage.go
@@ -17,26 +17,29 @@
 )
 
 const (
-	// attempts bounds the calls of one stage of one request.
-	attempts = 3
-	// prefixLength is how much of an input counts as its prompt prefix.
-	prefixLength = 64
+	// maxAttempts bounds the calls of one stage of one request.
+	maxAttempts = 3
+	// prefixBytes is the length of the part of an input by which calls with the same
+	// prompt prefix are sent to the same target.
+	prefixBytes = 64
 )
 
 // stageRun is one stage of one request in progress.
 type stageRun struct {
 	*run
-	index int
-	stage *hookhall.Stage
-	input []byte
-	tried []string
+	index        int
+	stage        *hookhall.Stage
+	input        []byte
+	triedTargets []string
 }
 
-// serve makes calls until one succeeds or no further one is allowed.
-func (s *stageRun) serve(ctx context.Context) ([]byte, error) {
+// runAttempts calls targets of the stage's pool until a call succeeds or no further
+// attempt is allowed. A retry also needs the pool's retry budget, unless all pools of
+// the pipeline have free capacity.
+func (s *stageRun) runAttempts(ctx context.Context) ([]byte, error) {
 	pool := s.targets.Pool(s.stage.Pool)
 	if pool == nil {
-		return nil, noTarget(s.stage.Pool)
+		return nil, noTargetError(s.stage.Pool)
 	}
 	for attempt := 1; ; attempt++ {
 		output, err := s.attempt(ctx, pool, attempt)
@@ -46,107 +49,114 @@
 		if !s.mayRetry(ctx, err, attempt) {
 			return nil, err
 		}
-		if !s.idle() && !pool.SpendRetry() {
+		if !s.poolsHaveCapacity() && !pool.SpendRetry() {
 			return nil, err
 		}
 	}
 }
 
-func noTarget(pool string) error {
+// noTargetError returns the refusal for a pool that is unknown or has no usable
+// target.
+func noTargetError(pool string) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "pool %q has no target that takes work", pool).After(time.Second)
 }
 
-// once tells whether the stage must not run twice.
-func (s *stageRun) once() bool { return !s.request.Repeatable && !s.stage.Pure }
+// isOnce reports whether the stage must not run twice.
+func (s *stageRun) isOnce() bool { return !s.request.Repeatable && !s.stage.Pure }
 
-// mayRetry decides on a further call after err.
+// mayRetry reports whether a further attempt is allowed after err.
 func (s *stageRun) mayRetry(ctx context.Context, err error, attempt int) bool {
-	e := hookhall.AsError(err)
-	if attempt >= attempts || ctx.Err() != nil || e.Cause == hookhall.CauseDeadline ||
-		e.Cause == hookhall.CauseNoTarget || e.Cause == hookhall.CauseCanceled {
+	failure := hookhall.AsError(err)
+	if attempt >= maxAttempts || ctx.Err() != nil || failure.Cause == hookhall.CauseDeadline ||
+		failure.Cause == hookhall.CauseNoTarget || failure.Cause == hookhall.CauseCanceled {
 		return false
 	}
-	return e.Verdict == hookhall.NotRun || !s.once()
+	return failure.Verdict == hookhall.NotRun || !s.isOnce()
 }
 
-// idle tells whether all pools of the pipeline have room to spare: then a few
-// retries can't storm them, and no other request waits for what they take.
-func (s *stageRun) idle() bool {
-	for _, g := range s.gates {
-		if g != nil && !g.Idle() {
+// poolsHaveCapacity reports whether all pools of the pipeline have free capacity.
+// Then a few retries can't overload them, and take no capacity that other requests
+// wait for.
+func (s *stageRun) poolsHaveCapacity() bool {
+	for _, gate := range s.gates {
+		if gate != nil && !gate.Idle() {
 			return false
 		}
 	}
 	return true
 }
 
-// attempt passes the gate, chooses a target and makes one call.
+// attempt passes the gate, chooses a target and makes one call. Attempts of a stage
+// count from 1.
 func (s *stageRun) attempt(ctx context.Context, pool *targets.Pool, attempt int) ([]byte, error) {
 	entered := clock.Now()
-	if err := s.enter(ctx, pool); err != nil {
+	if err := s.enterGate(ctx, pool); err != nil {
 		return nil, err
 	}
-	now := clock.Now()
-	defer func() { pool.Gate.Leave(clock.Since(now)) }()
-	s.costs[s.index].WaitMS += milliseconds(now.Sub(entered))
-	t := pool.Pick(s.prefix(), s.tried, now)
-	if t == nil {
-		return nil, noTarget(pool.Name)
+	admitted := clock.Now()
+	defer func() { pool.Gate.Leave(clock.Since(admitted)) }()
+	s.costs[s.index].WaitMS += milliseconds(admitted.Sub(entered))
+	target := pool.Pick(s.prefixHash(), s.triedTargets, admitted)
+	if target == nil {
+		return nil, noTargetError(pool.Name)
 	}
-	if s.ticket != nil && !s.ticket.Usable(now) {
+	if s.ticket != nil && !s.ticket.Usable(admitted) {
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoClaim, "the claim is too old to be used").After(time.Second)
 	}
-	s.tried = append(s.tried, t.ID)
+	s.triedTargets = append(s.triedTargets, target.ID)
 	pool.Earn()
-	return s.call(ctx, pool, t, attempt)
+	return s.call(ctx, pool, target, attempt)
 }
 
-// enter waits at the gate, at most until starting makes no sense any more.
-func (s *stageRun) enter(ctx context.Context, pool *targets.Pool) error {
+// enterGate waits for admission at the gate of the pool, at most until the remaining
+// stages could no longer end before the deadline.
+func (s *stageRun) enterGate(ctx context.Context, pool *targets.Pool) error {
 	now := clock.Now()
-	it := &admission.Item{
+	item := &admission.Item{
 		Account: s.account.Name, Weight: s.weight, Priority: s.priority,
 		Start: s.request.Deadline,
-		Cost:  s.estimates.Get(s.key(s.index, len(s.input))).Median.Seconds(),
+		Cost:  s.estimates.Get(s.estimateKey(s.index, len(s.input))).Median.Seconds(),
 	}
 	if !s.policy.NoEarlyRefusal {
-		it.Start = it.Start.Add(-s.rest(s.index, len(s.input)))
-		if now.After(it.Start) {
-			return s.late(pool, now)
+		item.Start = item.Start.Add(-s.estimateRest(s.index, len(s.input)))
+		if now.After(item.Start) {
+			return s.deadlineError(pool, now)
 		}
 	}
-	err := pool.Gate.Enter(ctx, it)
+	err := pool.Gate.Enter(ctx, item)
 	switch {
 	case err == nil:
 		return nil
 	case errors.Is(err, admission.ErrTooLate), errors.Is(err, context.DeadlineExceeded):
-		return s.late(pool, clock.Now())
+		return s.deadlineError(pool, clock.Now())
 	}
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "the caller went away")
 }
 
-func (s *stageRun) late(pool *targets.Pool, now time.Time) error {
+// deadlineError returns the refusal of a stage that can't end in time.
+func (s *stageRun) deadlineError(pool *targets.Pool, now time.Time) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseDeadline,
 		"the rest of the pipeline can't end in time").After(pool.Gate.RetryAfter(s.account.Name, s.weight, s.priority, now))
 }
 
-func (s *stageRun) prefix() uint64 {
-	return xxhash.Sum64(s.input[:min(prefixLength, len(s.input))])
+// prefixHash returns the hash of the prompt prefix, by which a target is preferred.
+func (s *stageRun) prefixHash() uint64 {
+	return xxhash.Sum64(s.input[:min(prefixBytes, len(s.input))])
 }
 
-// call makes one call and accounts for it.
-func (s *stageRun) call(ctx context.Context, pool *targets.Pool, t *routing.Target, attempt int) ([]byte, error) {
-	c := hookhall.StageCall{
+// call makes one call and records its cost, its duration and the target's report.
+func (s *stageRun) call(ctx context.Context, pool *targets.Pool, target *routing.Target, attempt int) ([]byte, error) {
+	stageCall := hookhall.StageCall{
 		Request: s.request.ID, Stage: s.stage.Name, Attempt: attempt,
 		Digest: xxhash.Sum64(s.input), Input: s.input, MaxTokens: s.maxTokens(s.index),
-		Priority: s.priority, Deadline: s.request.Deadline, Once: s.once(),
+		Priority: s.priority, Deadline: s.request.Deadline, Once: s.isOnce(),
 	}
 	if s.ticket != nil {
-		c.Key, c.Epoch, c.Token = s.claimKey(), s.ticket.Epoch, s.ticket.Token
+		stageCall.Key, stageCall.Epoch, stageCall.Token = s.claimKey(), s.ticket.Epoch, s.ticket.Token
 	}
 	began := clock.Now()
-	t.Begin(began)
-	result, err := s.backend.Call(ctx, t.Target, c, s.emitter())
+	target.Begin(began)
+	result, err := s.backend.Call(ctx, target.Target, stageCall, s.chunkEmitter())
 	now := clock.Now()
 	cost := &s.costs[s.index]
 	cost.Calls++
@@ -154,73 +164,79 @@
 	cost.BusyMS += milliseconds(now.Sub(began) - result.Queue)
 	cost.WaitMS += milliseconds(result.Queue)
 	if err != nil {
-		return nil, s.failed(ctx, t, err, now.Sub(began))
+		return nil, s.recordFailure(ctx, target, err, now.Sub(began))
 	}
 	if !s.stage.Pure {
-		s.effects = true
+		s.mayHaveEffects = true
 	}
-	t.End(now.Sub(began), false, now)
-	t.Report(result.Load, now)
+	target.End(now.Sub(began), false, now)
+	target.Report(result.Load, now)
 	pool.Gate.Feedback(result.Queue, now.Sub(began)-result.Queue, now)
-	s.estimates.Observe(s.key(s.index, len(s.input)), now.Sub(began), now)
+	s.estimates.Observe(s.estimateKey(s.index, len(s.input)), now.Sub(began), now)
 	return result.Output, nil
 }
 
-// failed notes what a failure says of the target and of the request.
-func (s *stageRun) failed(ctx context.Context, t *routing.Target, err error, took time.Duration) error {
-	e := hookhall.AsError(err)
-	if e.Verdict != hookhall.NotRun && !s.stage.Pure {
-		s.effects = true
+// recordFailure updates the target and the run after a failed call that lasted took,
+// and returns the error for the caller.
+func (s *stageRun) recordFailure(ctx context.Context, target *routing.Target, err error, took time.Duration) error {
+	failure := hookhall.AsError(err)
+	if failure.Verdict != hookhall.NotRun && !s.stage.Pure {
+		s.mayHaveEffects = true
 	}
 	now := clock.Now()
 	switch {
-	case e.Leaving:
-		t.Cancel()
-		s.targets.MarkLeaving(t)
+	case failure.Leaving:
+		target.Cancel()
+		s.targets.MarkLeaving(target)
 	case ctx.Err() != nil:
-		// What a call that was cut off took is a lower bound worth knowing.
-		s.estimates.Observe(s.key(s.index, len(s.input)), took, now)
+		// The time until the cancellation is a lower bound of the call's duration, so
+		// it goes into the estimates: a stage that has become slow must not be
+		// estimated by its fast calls alone.
+		s.estimates.Observe(s.estimateKey(s.index, len(s.input)), took, now)
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			t.Late(took)
-			return hookhall.Errorf(e.Verdict, hookhall.CauseDeadline, "the deadline passed at target %s", t.ID)
+			target.Late(took)
+			return hookhall.Errorf(failure.Verdict, hookhall.CauseDeadline, "the deadline passed at target %s", target.ID)
 		}
-		t.Cancel()
-		return hookhall.Errorf(e.Verdict, hookhall.CauseCanceled, "the caller went away")
-	case e.Cause == hookhall.CauseRefused:
-		t.Cancel()
+		target.Cancel()
+		return hookhall.Errorf(failure.Verdict, hookhall.CauseCanceled, "the caller went away")
+	case failure.Cause == hookhall.CauseRefused:
+		target.Cancel()
 	default:
-		t.End(took, true, now)
+		target.End(took, true, now)
 	}
-	return e
+	return failure
 }
 
-// emitter passes the last stage's chunks on to the caller.
-func (s *stageRun) emitter() func([]byte) error {
+// chunkEmitter returns the function that sends the chunks of one call to the caller.
+// It discards the chunks of all stages but the last.
+func (s *stageRun) chunkEmitter() func([]byte) error {
 	if s.index != len(s.pipeline.Stages)-1 || s.emit == nil {
 		return func([]byte) error { return nil }
 	}
 	restart := s.emitted
-	return func(b []byte) error {
-		if s.first == 0 {
-			s.first = clock.Since(s.began)
+	return func(chunk []byte) error {
+		if s.firstToken == 0 {
+			s.firstToken = clock.Since(s.start)
 		}
 		s.emitted = true
-		err := s.pass(Event{Text: b}, restart)
+		err := s.emitEvent(Event{Text: chunk}, restart)
 		restart = false
 		if s.ticket != nil {
-			return nil // a claimed run goes on without its caller
+			return nil // a claimed run continues without its caller
 		}
 		return err
 	}
 }
 
-func (s *stageRun) pass(e Event, restart bool) error {
+// emitEvent sends an event, after an event that restarts the answer if restart is
+// set.
+func (s *stageRun) emitEvent(event Event, restart bool) error {
 	if restart {
 		if err := s.emit(Event{Restart: true}); err != nil {
 			return err
 		}
 	}
-	return s.emit(e)
+	return s.emit(event)
 }
 
 func milliseconds(d time.Duration) float64 { return float64(max(d, 0)) / float64(time.Millisecond) }
