--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -140,8 +140,8 @@
 	return reply.Leases[0], true
 }
 
-// Handle grants the leases that an entry asks for. It is called on the owner of the
-// accounts, and applies the limits of the table in force there.
+// Handle grants the leases that an entry asks for. It is called on the owner
+// of the accounts, and applies the limits of the table in force there.
 func (l *Limits) Handle(request hookhall.TakeRequest) hookhall.TakeReply {
 	fleetView, snapshot := l.fleet.View(), l.tables.Current().Snapshot
 	reply := hookhall.TakeReply{Epoch: fleetView.Epoch}
@@ -175,6 +175,6 @@
 	}
 }
 
-// Owned returns the number of accounts of which this process has granted shares as
-// their owner and that it still keeps a record of.
+// Owned returns the number of accounts of which this entry, as their owner,
+// still has a record of granted shares.
 func (l *Limits) Owned() int { return l.grants.Len() }
--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -84,7 +84,7 @@
 	Done(r *hookhall.Request, took time.Duration, err *hookhall.Error)
 }
 
-// Parts are the dependencies of a Runner.
+// Parts is what a Runner needs to run requests.
 type Parts struct {
 	Tables  *tables.Keeper
 	Targets *targets.Directory
--- a/internal/coordination/tables/editor.go
+++ b/internal/coordination/tables/editor.go
@@ -35,7 +35,7 @@
 type Outcome struct {
 	// Version is the table version that contains the edit.
 	Version uint64 `json:"version"`
-	// InForce maps a hall to the ID of an entry there that has the version in
+	// EntryByHall maps a hall to the ID of an entry there that has the version in
 	// force.
 	InForce map[string]string `json:"in_force"`
 	// OutOfReach lists the halls in which no entry answered. Their entries adopt
@@ -44,7 +44,7 @@
 }
 
 // ErrUnsettled is returned when it is unknown whether an edit is in force.
-// Calling Apply again with the same id is safe and resolves it.
+// Calling Apply again with the same id is safe and settles the question.
 var ErrUnsettled = errors.New("the edit may or may not be in force; send it again with the same id")
 
 // Editor changes the table in the key-value service. Its only state is a cache,
@@ -85,8 +85,8 @@
 
 // Apply puts all of the edits in force, or none. Edits whose id the root still
 // records as applied are not applied again, only confirmed. Apply retries until ctx
-// ends and then returns ErrUnsettled, or hookhall.ErrUnavailable if the table was
-// certainly not changed.
+// ends and then returns ErrUnsettled, or hookhall.ErrUnavailable if the
+// table was certainly not changed.
 func (e *Editor) Apply(ctx context.Context, id string, edits []hookhall.Edit) (Outcome, error) {
 	version, err := e.writeEdits(ctx, id, edits)
 	if err != nil {
--- a/internal/coordination/tables/follower.go
+++ b/internal/coordination/tables/follower.go
@@ -47,11 +47,11 @@
 	ready   atomic.Bool
 	// adoptMu serializes adopt; readers never take it.
 	adoptMu sync.Mutex
-	// pulling is true while a pull started by Hint runs.
+	// pulling is true while a pull started by PullIfNewer runs.
 	pulling atomic.Bool
 }
 
-// NewKeeper returns a Keeper that has the empty table and is not ready.
+// NewKeeper returns a Follower that has the empty table and is not ready.
 func NewKeeper(kv hookhall.KeyValue, logger *log.Logger) *Keeper {
 	k := &Keeper{kv: kv, log: logger}
 	empty := table.Empty()
@@ -83,7 +83,7 @@
 }
 
 // adoptRoot adopts the table whose root the service returned as e, if it is newer,
-// and marks the Keeper ready.
+// and marks the Follower ready.
 func (k *Keeper) adoptRoot(ctx context.Context, e hookhall.Entry) error {
 	root, err := table.DecodeRoot(e.Value)
 	if err != nil {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// Offer adopts a table sent by a peer if it is newer. Its chunks may leave out
-// those that the document in force has.
+// Offer adopts a table sent by a peer if it is newer. Its chunks may
+// leave out those that the document in force has.
 func (k *Keeper) Offer(received hookhall.TableDocument) error {
 	root, err := table.DecodeRoot(received.Root)
 	if err != nil {
@@ -173,8 +173,8 @@
 	return k.adopt(doc, "peer")
 }
 
-// Hint starts to read the table from a peer that reported a newer version. It
-// returns at once, and does nothing while an earlier read runs.
+// Hint starts to read the table from a peer that reported a newer
+// version. It returns at once, and does nothing while an earlier read runs.
 func (k *Keeper) Hint(ctx context.Context, version uint64, peer hookhall.Peer) {
 	if version <= k.Version() || !k.pulling.CompareAndSwap(false, true) {
 		return
@@ -199,7 +199,7 @@
 }
 
 // ConfirmByPeers reads the tables of the peers and adopts the newest. It marks the
-// Keeper ready, without the key-value service, and returns true if more than half
+// Follower ready, without the key-value service, and returns true if more than half
 // of the peers answered and there is a table that is not empty.
 func (k *Keeper) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
 	answers := 0
@@ -215,9 +215,9 @@
 	return true
 }
 
-// Serve returns the table in force for a peer that has version have: the root and
-// the chunks written after have. It returns the version alone if the peer's is not
-// older. With have 0 it returns all chunks.
+// Serve returns the table in force for a peer that has version have: the
+// root and the chunks written after have. It returns the version alone if the peer's
+// is not older. With have 0 it returns all chunks.
 func (k *Keeper) Serve(have uint64) hookhall.TableDocument {
 	current := k.Current()
 	reply := hookhall.TableDocument{Version: current.Snapshot.Version}
