--- a/internal/coordination/limits/cooldowns.go
+++ b/internal/coordination/limits/cooldowns.go
@@ -12,18 +12,18 @@
 // zero value is ready, and it is safe for concurrent use.
 type cooldowns struct{ untilByName sync.Map }
 
-func (p *cooldowns) add(name string, until time.Time) { p.untilByName.Store(name, until) }
+func (c *cooldowns) add(name string, until time.Time) { c.untilByName.Store(name, until) }
 
 // isActive reports whether name has a cooldown that has not ended at now. It
 // removes one that has.
-func (p *cooldowns) isActive(name string, now time.Time) bool {
-	until, ok := p.untilByName.Load(name)
+func (c *cooldowns) isActive(name string, now time.Time) bool {
+	until, ok := c.untilByName.Load(name)
 	if !ok {
 		return false
 	}
 	if now.Before(until.(time.Time)) {
 		return true
 	}
-	p.untilByName.Delete(name)
+	c.untilByName.Delete(name)
 	return false
 }
--- a/internal/coordination/tables/follower.go
+++ b/internal/coordination/tables/follower.go
@@ -53,62 +53,62 @@
 
 // NewKeeper returns a Follower that has the empty table and is not ready.
 func NewKeeper(kv hookhall.KeyValue, logger *log.Logger) *Keeper {
-	k := &Keeper{kv: kv, log: logger}
+	f := &Keeper{kv: kv, log: logger}
 	empty := table.Empty()
 	snapshot, err := table.Compile(empty)
 	if err != nil {
 		panic(err) // the empty table compiles
 	}
-	k.current.Store(&InForce{Document: empty, Snapshot: snapshot})
-	return k
+	f.current.Store(&InForce{Document: empty, Snapshot: snapshot})
+	return f
 }
 
 // Current returns the table in force.
-func (k *Keeper) Current() *InForce { return k.current.Load() }
+func (f *Keeper) Current() *InForce { return f.current.Load() }
 
 // Version returns the version in force.
-func (k *Keeper) Version() uint64 { return k.Current().Snapshot.Version }
+func (f *Keeper) Version() uint64 { return f.Current().Snapshot.Version }
 
 // Ready reports whether the version in force was confirmed since the start, by
 // the key-value service or by more than half of the asked peers.
-func (k *Keeper) Ready() bool { return k.ready.Load() }
+func (f *Keeper) Ready() bool { return f.ready.Load() }
 
 // Run watches the root in the key-value service and adopts newer versions until
 // ctx ends.
-func (k *Keeper) Run(ctx context.Context) {
-	use := func(e hookhall.Entry) error { return k.adoptRoot(ctx, e) }
-	follow.Key(ctx, k.kv, RootKey, use, func(err error) {
-		k.log.Warn("table read failed", "error", err.Error())
+func (f *Keeper) Run(ctx context.Context) {
+	use := func(e hookhall.Entry) error { return f.adoptRoot(ctx, e) }
+	follow.Key(ctx, f.kv, RootKey, use, func(err error) {
+		f.log.Warn("table read failed", "error", err.Error())
 	})
 }
 
 // adoptRoot adopts the table whose root the service returned as e, if it is newer,
 // and marks the Follower ready.
-func (k *Keeper) adoptRoot(ctx context.Context, e hookhall.Entry) error {
+func (f *Keeper) adoptRoot(ctx context.Context, e hookhall.Entry) error {
 	root, err := table.DecodeRoot(e.Value)
 	if err != nil {
 		return err
 	}
-	if root.Version > k.Version() {
-		doc, err := k.readDocument(ctx, root)
+	if root.Version > f.Version() {
+		doc, err := f.readDocument(ctx, root)
 		if err != nil {
 			return err
 		}
-		if err := k.adopt(doc, "service"); err != nil {
+		if err := f.adopt(doc, "service"); err != nil {
 			return err
 		}
 	}
-	k.ready.Store(true)
+	f.ready.Store(true)
 	return nil
 }
 
 // readDocument reads the document of a root. Chunks that the document in force has
 // are not read again.
-func (k *Keeper) readDocument(ctx context.Context, root table.Root) (*table.Document, error) {
+func (f *Keeper) readDocument(ctx context.Context, root table.Root) (*table.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	old := k.Current().Document
-	return readChunks(ctx, k.kv, root, old)
+	old := f.Current().Document
+	return readChunks(ctx, f.kv, root, old)
 }
 
 // readChunks reads the chunks of a root that old doesn't have, and returns the
@@ -131,36 +131,36 @@
 
 // adopt puts a document in force. One that is not newer is ignored; one that
 // doesn't compile is an error. From names its source in the log.
-func (k *Keeper) adopt(doc *table.Document, from string) error {
+func (f *Keeper) adopt(doc *table.Document, from string) error {
 	snapshot, err := table.Compile(doc)
 	if err != nil {
 		return errors.Wrap(err, "compile table")
 	}
-	k.adoptMu.Lock()
-	defer k.adoptMu.Unlock()
-	if snapshot.Version <= k.Version() {
+	f.adoptMu.Lock()
+	defer f.adoptMu.Unlock()
+	if snapshot.Version <= f.Version() {
 		return nil
 	}
-	k.current.Store(&InForce{doc, snapshot, clock.Now()})
-	k.log.Info("table in force", "version", snapshot.Version, "from", from)
+	f.current.Store(&InForce{doc, snapshot, clock.Now()})
+	f.log.Info("table in force", "version", snapshot.Version, "from", from)
 	return nil
 }
 
 // Offer adopts a table sent by a peer if it is newer. Its chunks may
 // leave out those that the document in force has.
-func (k *Keeper) Offer(received hookhall.TableDocument) error {
+func (f *Keeper) Offer(received hookhall.TableDocument) error {
 	root, err := table.DecodeRoot(received.Root)
 	if err != nil {
 		return err
 	}
-	if root.Version <= k.Version() {
+	if root.Version <= f.Version() {
 		return nil
 	}
 	chunksByHash := map[string][]byte{}
 	for _, chunk := range received.Chunks {
 		chunksByHash[table.HashOf(chunk)] = chunk
 	}
-	old := k.Current().Document
+	old := f.Current().Document
 	doc, err := table.Assemble(root, func(name string) []byte {
 		if chunk := chunksByHash[table.HashIn(name)]; chunk != nil {
 			return chunk
@@ -170,56 +170,56 @@
 	if err != nil {
 		return err
 	}
-	return k.adopt(doc, "peer")
+	return f.adopt(doc, "peer")
 }
 
 // Hint starts to read the table from a peer that reported a newer
 // version. It returns at once, and does nothing while an earlier read runs.
-func (k *Keeper) Hint(ctx context.Context, version uint64, peer hookhall.Peer) {
-	if version <= k.Version() || !k.pulling.CompareAndSwap(false, true) {
+func (f *Keeper) Hint(ctx context.Context, version uint64, peer hookhall.Peer) {
+	if version <= f.Version() || !f.pulling.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer k.pulling.Store(false)
-		if err := k.Pull(ctx, peer); err != nil {
-			k.log.Warn("table read from peer failed", "error", err.Error())
+		defer f.pulling.Store(false)
+		if err := f.Pull(ctx, peer); err != nil {
+			f.log.Warn("table read from peer failed", "error", err.Error())
 		}
 	}()
 }
 
 // Pull reads the table of a peer and adopts it if it is newer.
-func (k *Keeper) Pull(ctx context.Context, peer hookhall.Peer) error {
+func (f *Keeper) Pull(ctx context.Context, peer hookhall.Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	received, err := peer.Table(ctx, k.Version())
+	received, err := peer.Table(ctx, f.Version())
 	if err != nil {
 		return err
 	}
-	return k.Offer(received)
+	return f.Offer(received)
 }
 
 // ConfirmByPeers reads the tables of the peers and adopts the newest. It marks the
 // Follower ready, without the key-value service, and returns true if more than half
 // of the peers answered and there is a table that is not empty.
-func (k *Keeper) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
+func (f *Keeper) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
 	answers := 0
 	for _, peer := range peers {
-		if k.Pull(ctx, peer) == nil {
+		if f.Pull(ctx, peer) == nil {
 			answers++
 		}
 	}
-	if answers*2 <= len(peers) || k.Version() == 0 {
+	if answers*2 <= len(peers) || f.Version() == 0 {
 		return false
 	}
-	k.ready.Store(true)
+	f.ready.Store(true)
 	return true
 }
 
 // Serve returns the table in force for a peer that has version have: the
 // root and the chunks written after have. It returns the version alone if the peer's
 // is not older. With have 0 it returns all chunks.
-func (k *Keeper) Serve(have uint64) hookhall.TableDocument {
-	current := k.Current()
+func (f *Keeper) Serve(have uint64) hookhall.TableDocument {
+	current := f.Current()
 	reply := hookhall.TableDocument{Version: current.Snapshot.Version}
 	if have >= reply.Version {
 		return reply
--- a/internal/coordination/tables/follower_test.go
+++ b/internal/coordination/tables/follower_test.go
@@ -52,10 +52,10 @@
 func TestKeeperEmptyTable(t *testing.T) {
 	for _, fail := range []int{0, 3} {
 		synctest.Test(t, func(t *testing.T) {
-			k := NewKeeper(&memoryKeyValue{failures: fail}, log.New(io.Discard))
-			go k.Run(t.Context())
+			follower := NewKeeper(&memoryKeyValue{failures: fail}, log.New(io.Discard))
+			go follower.Run(t.Context())
 			began := time.Now()
-			for !k.Ready() {
+			for !follower.Ready() {
 				time.Sleep(time.Millisecond)
 			}
 			if took := time.Since(began); took > 5*time.Second {
@@ -78,25 +78,25 @@
 	one := edit(table.Empty(), "1")
 	two := edit(one, "2")
 	document := func(d *table.Document) hookhall.TableDocument {
-		k := NewKeeper(nil, log.New(io.Discard))
-		if err := k.adopt(d, "test"); err != nil {
+		follower := NewKeeper(nil, log.New(io.Discard))
+		if err := follower.adopt(d, "test"); err != nil {
 			t.Fatal(err)
 		}
-		return k.Serve(0)
+		return follower.Serve(0)
 	}
-	k := NewKeeper(&memoryKeyValue{}, log.New(io.Discard))
+	follower := NewKeeper(&memoryKeyValue{}, log.New(io.Discard))
 	for _, offer := range []hookhall.TableDocument{document(one), document(two), document(one)} {
-		if err := k.Offer(offer); err != nil {
+		if err := follower.Offer(offer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := k.adoptRoot(t.Context(), hookhall.Entry{Value: one.EncodeRoot(), Index: 1}); err != nil {
+	if err := follower.adoptRoot(t.Context(), hookhall.Entry{Value: one.EncodeRoot(), Index: 1}); err != nil {
 		t.Fatal(err)
 	}
-	if k.Version() != 2 {
-		t.Fatalf("version %d in force after an older one was offered and read, want 2", k.Version())
+	if follower.Version() != 2 {
+		t.Fatalf("version %d in force after an older one was offered and read, want 2", follower.Version())
 	}
-	if len(k.Serve(1).Chunks) != 1 || len(k.Serve(2).Chunks) != 0 {
+	if len(follower.Serve(1).Chunks) != 1 || len(follower.Serve(2).Chunks) != 0 {
 		t.Fatal("a peer must get the chunks that it lacks and no others")
 	}
 }
