--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -22,30 +22,32 @@
 )
 
 const (
+	// keyRetention outlasts every test's wait, so that a key that isn't released stays held.
 	keyRetention = time.Minute
-	// callerWait is the deadline of a caller that asks for a key.
-	callerWait = 2 * time.Second
+	// callerTimeout is the deadline of a caller that acquires a key.
+	callerTimeout = 2 * time.Second
 )
 
-// group is entries in one process. Their calls of one another reach the other's handlers
-// at once, unless faults say otherwise.
+// group is a set of entries in one process. A call from one to another reaches the
+// other's handler at once, unless faults is set.
 type group struct {
 	entries map[string]*Claims // by address
 	view    *hookhall.View
-	mu      sync.Mutex
-	// faults, if set, carries a call: it calls deliver, at once, late or not at all, and
-	// returns whether the caller gets the reply.
+	// mu guards the state of a schedule, view included; other tests don't need it.
+	mu sync.Mutex
+	// faults, if set, transports a call: it calls deliver at once, late or not at all, and
+	// reports whether the caller gets the reply.
 	faults func(ctx context.Context, deliver func()) bool
-	// sent and stored, if set, are called before and after a standby gets a copy.
-	sent   func(hookhall.Record)
-	stored func(hookhall.Record)
+	// beforeCopy and afterCopy, if set, are called before and after a standby stores a copy.
+	beforeCopy func(hookhall.Record)
+	afterCopy  func(hookhall.Record)
 }
 
-// link is the way to one entry of a group.
-type link struct {
+// peerLink is the client of one entry of a group.
+type peerLink struct {
 	hookhall.Peer
-	p  *group
-	to *Claims
+	group *group
+	to    *Claims
 }
 
 func newPair() *group { return newGroup("a", "b") }
@@ -74,60 +76,61 @@
 	}), p, quiet)
 }
 
-// Peer is the way to the entry at an address.
-func (p *group) Peer(address string) hookhall.Peer { return link{p: p, to: p.entries[address]} }
+// Peer returns the client of the entry at an address.
+func (p *group) Peer(address string) hookhall.Peer { return peerLink{group: p, to: p.entries[address]} }
 
-// carry makes one call.
-func carry[R any](ctx context.Context, l link, handle func() R) (R, error) {
+// deliverCall makes one call, through the group's faults if these are set.
+func deliverCall[R any](ctx context.Context, l peerLink, handle func() R) (R, error) {
 	var reply R
-	if l.p.faults == nil {
+	if l.group.faults == nil {
 		return handle(), nil
 	}
-	if !l.p.faults(ctx, func() { reply = handle() }) {
+	if !l.group.faults(ctx, func() { reply = handle() }) {
 		var none R
 		return none, hookhall.ErrUnavailable
 	}
 	return reply, nil
 }
 
-func (l link) Probe(ctx context.Context, q hookhall.Probe) (hookhall.ProbeReply, error) {
-	return carry(ctx, l, func() hookhall.ProbeReply { return l.to.fleet.HandleProbe(ctx, q) })
+func (l peerLink) Probe(ctx context.Context, q hookhall.Probe) (hookhall.ProbeReply, error) {
+	return deliverCall(ctx, l, func() hookhall.ProbeReply { return l.to.fleet.HandleProbe(ctx, q) })
 }
 
-func (l link) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
-	return carry(ctx, l, func() hookhall.FetchReply { return l.to.fleet.HandleFetch(q) })
+func (l peerLink) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
+	return deliverCall(ctx, l, func() hookhall.FetchReply { return l.to.fleet.HandleFetch(q) })
 }
 
-func (l link) Claim(ctx context.Context, q hookhall.ClaimRequest) (hookhall.ClaimReply, error) {
-	return carry(ctx, l, func() hookhall.ClaimReply { return l.to.Handle(ctx, q) })
+func (l peerLink) Claim(ctx context.Context, q hookhall.ClaimRequest) (hookhall.ClaimReply, error) {
+	return deliverCall(ctx, l, func() hookhall.ClaimReply { return l.to.Handle(ctx, q) })
 }
 
-func (l link) Settle(ctx context.Context, s hookhall.Settlement) (hookhall.CopyReply, error) {
-	return carry(ctx, l, func() hookhall.CopyReply { return l.to.HandleSettle(ctx, s) })
+func (l peerLink) Settle(ctx context.Context, s hookhall.Settlement) (hookhall.CopyReply, error) {
+	return deliverCall(ctx, l, func() hookhall.CopyReply { return l.to.HandleSettle(ctx, s) })
 }
 
-func (l link) Copy(ctx context.Context, epoch uint64, r hookhall.Record) (hookhall.CopyReply, error) {
-	return carry(ctx, l, func() hookhall.CopyReply {
-		if l.p.sent != nil {
-			l.p.sent(r)
+func (l peerLink) Copy(ctx context.Context, epoch uint64, r hookhall.Record) (hookhall.CopyReply, error) {
+	return deliverCall(ctx, l, func() hookhall.CopyReply {
+		if l.group.beforeCopy != nil {
+			l.group.beforeCopy(r)
 		}
 		reply := l.to.HandleCopy(epoch, r)
-		if l.p.stored != nil {
-			l.p.stored(r)
+		if l.group.afterCopy != nil {
+			l.group.afterCopy(r)
 		}
 		return reply
 	})
 }
 
-// change puts the next view in force everywhere, in which a member has left or joined.
-func (p *group) change(edit func(*hookhall.View) *hookhall.View) {
+// changeView edits the view, so that a member has left or joined, and makes all entries
+// adopt it.
+func (p *group) changeView(edit func(*hookhall.View) *hookhall.View) {
 	p.view = edit(p.view)
 	for _, c := range p.entries {
 		c.fleet.Adopt(p.view)
 	}
 }
 
-// keyOwnedBy is a key whose owner is the entry at an address.
+// keyOwnedBy returns a key whose owner is the entry at an address.
 func (p *group) keyOwnedBy(address string) string {
 	for n := 0; ; n++ {
 		key := fmt.Sprintf("k%d", n)
@@ -137,7 +140,7 @@
 	}
 }
 
-// onFirst calls f with the first record of a state.
+// onFirst returns a function that calls f when it first gets a record in a state.
 func onFirst(state hookhall.RecordState, f func()) func(hookhall.Record) {
 	var once sync.Once
 	return func(r hookhall.Record) {
@@ -147,7 +150,7 @@
 	}
 }
 
-// loseFirstReply delivers all calls, and loses the reply of the first.
+// loseFirstReply returns faults that deliver all calls and lose the reply of the first.
 func loseFirstReply() func(context.Context, func()) bool {
 	var calls atomic.Int32
 	return func(_ context.Context, deliver func()) bool {
@@ -156,18 +159,20 @@
 	}
 }
 
+// leave returns the change of a view by which a member leaves in a planned stop.
 func leave(id string) func(*hookhall.View) *hookhall.View {
 	return func(v *hookhall.View) *hookhall.View { return view.Leave(v, id, true) }
 }
 
-// TestRefusedGrantIsGivenBack: what a standby stored for a grant that its owner then
-// refused must not hold the key against the very caller that asked for it.
+// TestRefusedGrantIsGivenBack guards against a key that stays held for the whole retention:
+// the standby has stored a grant that its owner then refuses, and becomes the owner. Without
+// a release, its copy blocks the key for the very caller that requested it.
 func TestRefusedGrantIsGivenBack(t *testing.T) {
 	Convey("The owner leaves the view while it waits for its standby", t, func() {
 		p := newPair()
 		key := p.keyOwnedBy("a")
-		p.stored = onFirst(hookhall.StateGranted, func() { p.change(leave("a#1")) })
-		ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+		p.afterCopy = onFirst(hookhall.StateGranted, func() { p.changeView(leave("a#1")) })
+		ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 		defer cancel()
 		Convey("and the caller gets the grant from the new owner", func() {
 			ticket, record, err := p.entries["b"].Acquire(ctx, key, 1)
@@ -178,19 +183,20 @@
 	})
 }
 
-// TestGrantAfterLostReplyIsSettled: the grant of a repeated ask is settled by its own
-// token, and not by that of the ask whose reply was lost.
+// TestGrantAfterLostReplyIsSettled guards against the loss of a run's answer: a retried
+// request has a new token, and a settlement with the token of the request whose reply was
+// lost would be refused.
 func TestGrantAfterLostReplyIsSettled(t *testing.T) {
-	Convey("The reply to the first ask is lost, and the run ends", t, func() {
+	Convey("The reply to the first request is lost, and the run ends", t, func() {
 		p := newPair()
 		key := p.keyOwnedBy("a")
 		p.faults = loseFirstReply()
-		ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+		ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 		defer cancel()
 		ticket, _, err := p.entries["b"].Acquire(ctx, key, 1)
 		So(err, ShouldBeNil)
-		p.entries["b"].Settle(ticket, hookhall.StateFinished, []byte("answer"), callerWait/4)
-		Convey("and its answer is there for who comes again", func() {
+		p.entries["b"].Settle(ticket, hookhall.StateFinished, []byte("answer"), callerTimeout/4)
+		Convey("and its answer is returned to a later submission", func() {
 			_, record, err := p.entries["a"].Acquire(ctx, key, 1)
 			So(err, ShouldBeNil)
 			So(record, ShouldNotBeNil)
@@ -199,17 +205,18 @@
 	})
 }
 
-// TestSettlementReachesTheNextOwner: a settlement is not done while its owner alone has it.
+// TestSettlementReachesTheNextOwner guards against a settlement that counts as stored while
+// only its owner has it: the owner leaves the view before the standby has stored the copy.
 func TestSettlementReachesTheNextOwner(t *testing.T) {
-	Convey("The owner leaves the view while it copies the end of a run", t, func() {
+	Convey("The owner leaves the view while it copies a settlement", t, func() {
 		p := newPair()
 		key := p.keyOwnedBy("a")
-		ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+		ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 		defer cancel()
 		ticket, _, err := p.entries["b"].Acquire(ctx, key, 1)
 		So(err, ShouldBeNil)
-		p.sent = onFirst(hookhall.StateFinished, func() { p.change(leave("a#1")) })
-		p.entries["b"].Settle(ticket, hookhall.StateFinished, []byte("answer"), callerWait/4)
+		p.beforeCopy = onFirst(hookhall.StateFinished, func() { p.changeView(leave("a#1")) })
+		p.entries["b"].Settle(ticket, hookhall.StateFinished, []byte("answer"), callerTimeout/4)
 		Convey("and the new owner has the answer", func() {
 			_, record, err := p.entries["b"].Acquire(ctx, key, 1)
 			So(err, ShouldBeNil)
@@ -219,13 +226,14 @@
 	})
 }
 
-// TestDrainEnds: a settlement that no owner takes does not hold up a planned stop.
+// TestDrainEnds guards against a planned stop that waits without a bound for a settlement
+// that no owner accepts.
 func TestDrainEnds(t *testing.T) {
 	Convey("A settlement that its owner refuses", t, func() {
 		p := newPair()
 		e := p.entries["a"]
 		e.Settle(&Ticket{Key: p.keyOwnedBy("b"), Token: 1}, hookhall.StateFinished, nil, time.Millisecond)
-		Convey("is waited for no longer than the stop may take", func() {
+		Convey("is waited for no longer than the stop timeout", func() {
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 			defer cancel()
 			So(e.Drain(ctx), ShouldNotBeNil)
--- a/internal/coordination/claims/schedule_test.go
+++ b/internal/coordination/claims/schedule_test.go
@@ -20,62 +20,64 @@
 )
 
 const (
-	// ciSeeds is how many schedules CI plays; HOOKHALL_SEEDS sets another number.
-	ciSeeds      = 10
-	scheduleTime = 20 * time.Second
-	scheduleKeys = 12
-	// calmTime is how long after the last fault every key must be free or have its answer.
-	calmTime = 10 * time.Second
+	// ciSeeds is the number of schedules that CI runs; HOOKHALL_SEEDS sets another one.
+	ciSeeds          = 10
+	scheduleDuration = 20 * time.Second
+	scheduleKeys     = 12
+	// recoveryTime is the time after the last fault within which every key must be free or
+	// have its answer.
+	recoveryTime = 10 * time.Second
 )
 
-// schedule is a group of entries under random faults and views, in virtual time.
+// schedule runs a group of entries under random faults and view changes, in virtual time.
 type schedule struct {
 	*group
-	names []string
-	calm  bool
-	runs  map[string]int // ends with an answer, by key
-	busy  map[string]int // runs in progress, by key
-	bad   []string
-	// r is for the schedule itself. The order of concurrent calls is not part of the seed.
-	r *rand.Rand
+	names        []string
+	faultsEnded  bool
+	finishedRuns map[string]int // runs that ended with an answer, by key
+	activeRuns   map[string]int // runs in progress, by key
+	violations   []string
+	// random drives the schedule and is guarded by mu. The seed doesn't determine the order
+	// of concurrent calls.
+	random *rand.Rand
 }
 
 func newSchedule(seed uint64) *schedule {
 	names := []string{"a", "b", "c", "d"}
-	s := &schedule{group: newGroup(names...), names: names, runs: map[string]int{}, busy: map[string]int{}, r: rand.New(rand.NewPCG(seed, 1))}
-	s.faults = s.carry
+	s := &schedule{group: newGroup(names...), names: names, finishedRuns: map[string]int{}, activeRuns: map[string]int{}, random: rand.New(rand.NewPCG(seed, 1))}
+	s.faults = s.deliverWithFaults
 	return s
 }
 
-// draw returns a number below n.
+// draw returns a random number from 0 to n-1.
 func (s *schedule) draw(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.r.IntN(n)
+	return s.random.IntN(n)
 }
 
-// carry delivers a call after a while, or after its caller has given it up, or loses it or
-// its reply.
-func (s *schedule) carry(ctx context.Context, deliver func()) bool {
+// deliverWithFaults delivers a call after a delay, or after its caller has given up on it,
+// or loses the call or its reply. Once the faults have ended, it delivers at once.
+func (s *schedule) deliverWithFaults(ctx context.Context, deliver func()) bool {
 	s.mu.Lock()
-	calm := s.calm
+	faultsEnded := s.faultsEnded
 	s.mu.Unlock()
-	if calm {
+	if faultsEnded {
 		deliver()
 		return true
 	}
 	time.Sleep(time.Duration(s.draw(30)) * time.Millisecond)
-	switch x := s.draw(100); {
-	case x < 70:
+	switch percent := s.draw(100); {
+	case percent < 70:
 		deliver()
 		return ctx.Err() == nil
-	case x < 80:
+	case percent < 80:
 		deliver()
 		return false
-	case x < 90:
-		late := time.Duration(s.draw(500)) * time.Millisecond
+	case percent < 90:
+		delay := time.Duration(s.draw(500)) * time.Millisecond
 		go func() {
-			time.Sleep(late)
+			time.Sleep(delay)
 			deliver()
 		}()
 		return false
@@ -83,11 +85,12 @@
 	return false
 }
 
-// move takes an entry out of the view or back in, which the others learn one by one.
-func (s *schedule) move() {
-	id := s.names[s.draw(len(s.names))]
+// toggleMember removes a random entry from the view, or adds the missing one back. The
+// entries adopt the change one by one.
+func (s *schedule) toggleMember() {
+	name := s.names[s.draw(len(s.names))]
 	s.mu.Lock()
-	if m := (hookhall.Member{ID: id + "#1", Instance: id, Hall: id, Address: id}); len(s.view.Members) == len(s.names) {
+	if m := (hookhall.Member{ID: name + "#1", Instance: name, Hall: name, Address: name}); len(s.view.Members) == len(s.names) {
 		s.view = view.Leave(s.view, m.ID, false)
 	} else {
 		for _, n := range s.names {
@@ -104,10 +107,11 @@
 	}
 }
 
-// submit runs a key as a caller does that comes once.
+// submit runs a key like a caller that submits it once. It returns an error if the key can't
+// be run and has no answer.
 func (s *schedule) submit(key string) error {
 	c := s.entries[s.names[s.draw(len(s.names))]]
-	ctx, cancel := context.WithTimeout(context.Background(), callerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout)
 	defer cancel()
 	ticket, _, err := c.Acquire(ctx, key, 1)
 	if ticket == nil {
@@ -125,22 +129,25 @@
 	return nil
 }
 
+// begin counts the start of a run, and records a violation if the key is running or has run.
 func (s *schedule) begin(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.busy[key]++; s.busy[key] > 1 || s.runs[key] > 0 {
-		s.bad = append(s.bad, fmt.Sprintf("%s runs though it runs %d times and has run %d times", key, s.busy[key]-1, s.runs[key]))
+	if s.activeRuns[key]++; s.activeRuns[key] > 1 || s.finishedRuns[key] > 0 {
+		s.violations = append(s.violations, fmt.Sprintf("%s was started while %d of its runs were in progress and %d had finished", key, s.activeRuns[key]-1, s.finishedRuns[key]))
 	}
 }
 
-func (s *schedule) end(key string, ran int) {
+// end counts the end of a run; finished is 1 if it has an answer, else 0.
+func (s *schedule) end(key string, finished int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy[key]--
-	s.runs[key] += ran
+	s.activeRuns[key]--
+	s.finishedRuns[key] += finished
 }
 
-// run lets callers and views go on under faults for a time, and then ends the faults.
+// run submits keys and changes the view under faults until ctx ends, and then ends the
+// faults.
 func (s *schedule) run(ctx context.Context) {
 	var all sync.WaitGroup
 	repeat := func(pause time.Duration, f func()) {
@@ -154,14 +161,15 @@
 	for n := range scheduleKeys {
 		repeat(300*time.Millisecond, func() { _ = s.submit(fmt.Sprintf("k%d", n)) })
 	}
-	repeat(700*time.Millisecond, s.move)
+	repeat(700*time.Millisecond, s.toggleMember)
 	all.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calm = true
+	s.faultsEnded = true
 }
 
-// repair fetches what each entry should hold and does not.
+// repair starts loops that fetch the records that each entry should hold and lacks. Stop
+// ends them.
 func (s *schedule) repair(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var all sync.WaitGroup
@@ -175,6 +183,7 @@
 	return func() { cancel(); all.Wait() }
 }
 
+// seeds returns the number of schedules to run.
 func seeds() int {
 	if n, err := strconv.Atoi(os.Getenv("HOOKHALL_SEEDS")); err == nil {
 		return n
@@ -182,19 +191,20 @@
 	return ciSeeds
 }
 
-// TestKeysAreFreeAfterFaults: whatever calls are lost or come late while the view changes,
-// a key runs once at a time and at most once to its end; and when the faults are over, it
-// can be run or has its answer, since every grant was used or given back.
+// TestKeysAreFreeAfterFaults guards against keys that run twice, and keys that stay held,
+// when calls are lost or late while the view changes. A key must run once at a time and at
+// most once to its end. After the faults it must be free or have its answer, since every
+// grant was used or released.
 func TestKeysAreFreeAfterFaults(t *testing.T) {
 	for seed := range uint64(seeds()) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newSchedule(seed)
 				stop := s.repair(t.Context())
-				ctx, cancel := context.WithTimeout(t.Context(), scheduleTime)
+				ctx, cancel := context.WithTimeout(t.Context(), scheduleDuration)
 				defer cancel()
 				s.run(ctx)
-				time.Sleep(calmTime)
+				time.Sleep(recoveryTime)
 				for n := range scheduleKeys {
 					key := fmt.Sprintf("k%d", n)
 					if err := s.submit(key); err != nil {
@@ -207,8 +217,8 @@
 						t.Error(err)
 					}
 				}
-				for _, b := range s.bad {
-					t.Error(b)
+				for _, violation := range s.violations {
+					t.Error(violation)
 				}
 			})
 		})
