--- a/internal/coordination/fleet/doc.go
+++ b/internal/coordination/fleet/doc.go
@@ -1,26 +1,28 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet is membership: which entries there are, and who finds out when
-// one is gone.
+// Package fleet maintains the membership of the entries: it joins and leaves the
+// view, detects members that have failed, and fetches the claims that a change of
+// the view assigns to this process.
 //
 // # Model
 //
-// The view lives under one key of the key-value service. An entry that is
-// ready adds itself by compare-and-swap; one that stops takes itself out. Each
-// member sends a heartbeat to its Successors next members on a ring ordered by
-// hash, so the work per member does not grow with the fleet. A member that
-// does not answer for a while is asked for by two others; if they can't reach
-// it either, whoever noticed takes it out of the view. Heartbeats carry epochs
-// and table versions, so news spreads while the service is away.
+// The view is stored under one key of the key-value service. An entry that is
+// ready adds itself by compare-and-swap; one that stops removes itself. Each
+// member sends heartbeats to the next members, as many as Successors, on a ring
+// ordered by hash, so the work per member does not grow with the fleet. When a
+// member has missed several heartbeats in a row, the sender asks two other
+// members to probe it; if they can't reach it either, the sender removes it from
+// the view. Heartbeats carry epochs and table versions, so updates spread while
+// the key-value service is unavailable.
 //
-// Taken out on such evidence, a member counts as unfenced: it may still run
-// behind a cut. It stays unfenced until the platform's list no longer has its
-// instance, or a newer incarnation of that instance joins. Package claim
-// forgets no claims of an unfenced member's.
+// A member that was removed on such evidence is unfenced: it may still run on
+// the other side of a network partition. It stays unfenced until the platform's
+// instance list lacks its instance, or a newer incarnation of that instance
+// joins. Package claim discards no claim that an unfenced member may have granted.
 //
 // # Invariants
 //
 //   - A process's epoch only grows.
-//   - No lease and no clock of another process takes part in any of this.
+//   - Membership uses no leases and no clock of another process.
 package fleet
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -20,63 +20,74 @@
 	"github.com/pkg/errors"
 )
 
-// Successors is how many members each member sends heartbeats to.
+// Successors is the number of members that each member sends heartbeats to.
 const Successors = 3
 
 const (
-	writeTime = 3 * time.Second
-	// settlePoll is how often a leaving member asks whether others are whole.
-	settlePoll = 50 * time.Millisecond
+	// viewWriteTimeout bounds one change of the view, retries included.
+	viewWriteTimeout = 3 * time.Second
+	// handoverPollInterval is the time between two checks of a leaving member whether the
+	// remaining ones hold all its claims.
+	handoverPollInterval = 50 * time.Millisecond
 )
 
-// Timing is the pace of heartbeats.
+// Timing holds the settings of failure detection.
 type Timing struct {
-	// Heartbeat is the time between heartbeats to one member.
+	// Heartbeat is the time between heartbeats to one member, and the timeout of one.
 	Heartbeat time.Duration
-	// Suspect is how many in a row may fail.
+	// Suspect is the number of failed heartbeats in a row after which other members
+	// are asked to probe the member.
 	Suspect int
-	// List is the time between reads of the instance list.
+	// List is the time between reads of the platform's instance list.
 	List time.Duration
 }
 
-// DefaultTiming finds a dead member within some two seconds.
+// DefaultTiming detects a dead member within some two seconds.
 var DefaultTiming = Timing{Heartbeat: 500 * time.Millisecond, Suspect: 3, List: 2 * time.Second}
 
-// Fleet is this process's part in the membership.
+// Fleet maintains the membership of this process, and this process's copy of the
+// view. It is safe for concurrent use.
 type Fleet struct {
-	self   hookhall.Member
-	kv     hookhall.KeyValue
-	list   hookhall.InstanceList
-	peers  hookhall.Peers
-	store  *claim.Store
-	tables *tables.Keeper
-	timing Timing
-	log    *log.Logger
+	self         hookhall.Member
+	kv           hookhall.KeyValue
+	instanceList hookhall.InstanceList
+	peers        hookhall.Peers
+	store        *claim.Store
+	tables       *tables.Keeper
+	timing       Timing
+	log          *log.Logger
 
-	// joined is set while this process wants to be a member.
-	joined  atomic.Bool
+	// wantsMembership is set once Join has been called; from then on the process joins
+	// again whenever it was removed.
+	wantsMembership atomic.Bool
+	// leaving is set once Leave has been called: the process then removes nobody and
+	// doesn't rejoin.
 	leaving atomic.Bool
-	// listed is the platform's list as last read; nil before.
-	listed atomic.Pointer[Listing]
-	// unserved is when the service last failed this process; nil before.
-	unserved atomic.Pointer[time.Time]
-	mu       sync.Mutex
-	// suspected are members whose heartbeats fail.
-	suspected map[string]suspicion
-	// heard are leaving targets that peers have told of.
-	heard peerWord
-	// repair wakes the repair loop.
-	repair chan struct{}
-	writes atomic.Int64
+	// listing is the instance list as last read; nil before the first read.
+	listing atomic.Pointer[Listing]
+	// serviceFailedAt is the time of this process's last failed call of the key-value
+	// service; nil if none has failed.
+	serviceFailedAt atomic.Pointer[time.Time]
+	// mu guards suspicions.
+	mu sync.Mutex
+	// suspicions has, by member ID, the members whose heartbeats fail.
+	suspicions map[string]suspicion
+	// leavingReports has the leaving targets that peers have reported.
+	leavingReports leavingReports
+	// repairRequested starts another round of the repair loop.
+	repairRequested chan struct{}
+	// viewWrites counts the attempted writes of the view.
+	viewWrites atomic.Int64
 }
 
-// Listing is the instance list as read at a time.
+// Listing is one read of the platform's instance list.
 type Listing struct {
 	Instances []hookhall.Instance
-	At        time.Time
+	// At is the time of the read, by package clock.
+	At time.Time
 }
 
-// Has tells whether the list has an instance.
+// Has reports whether the list has an instance with the ID.
 func (l *Listing) Has(id string) bool {
 	for _, i := range l.Instances {
 		if i.ID == id {
@@ -86,62 +97,72 @@
 	return false
 }
 
-// Parts are what a Fleet works with.
+// Parts holds the dependencies and settings of a Fleet.
 type Parts struct {
-	Self   hookhall.Member
-	KV     hookhall.KeyValue
-	List   hookhall.InstanceList
-	Peers  hookhall.Peers
-	Store  *claim.Store
+	// Self is this process as a member.
+	Self hookhall.Member
+	// KV stores the view.
+	KV hookhall.KeyValue
+	// List is the platform's instance list.
+	List hookhall.InstanceList
+	// Peers gives the clients of other members.
+	Peers hookhall.Peers
+	// Store holds the claims and the view in force.
+	Store *claim.Store
+	// Tables holds the routing table, whose versions heartbeats carry.
 	Tables *tables.Keeper
+	// Timing is DefaultTiming if its Heartbeat is 0.
 	Timing Timing
 	Log    *log.Logger
 }
 
-// New makes a Fleet that is not yet a member.
+// New returns a Fleet whose process is not yet a member of the view.
 func New(p Parts) *Fleet {
 	if p.Timing.Heartbeat == 0 {
 		p.Timing = DefaultTiming
 	}
 	return &Fleet{
-		self: p.Self, kv: p.KV, list: p.List, peers: p.Peers, store: p.Store,
+		self: p.Self, kv: p.KV, instanceList: p.List, peers: p.Peers, store: p.Store,
 		tables: p.Tables, timing: p.Timing, log: p.Log,
-		suspected: map[string]suspicion{}, repair: make(chan struct{}, 1),
+		suspicions: map[string]suspicion{}, repairRequested: make(chan struct{}, 1),
 	}
 }
 
-// Self is this process as a member.
+// Self returns this process as a member; it need not be in the view.
 func (f *Fleet) Self() hookhall.Member { return f.self }
 
-// View is the view in force.
+// View returns the view in force, which must not be modified.
 func (f *Fleet) View() *hookhall.View { return f.store.Placement().View }
 
-// Listed is the instance list as last read, nil before the first read.
-func (f *Fleet) Listed() *Listing { return f.listed.Load() }
+// Listed returns the instance list as last read, nil before the first read.
+func (f *Fleet) Listed() *Listing { return f.listing.Load() }
 
-// Writes is how many view writes this process has tried.
-func (f *Fleet) Writes() int64 { return f.writes.Load() }
+// Writes returns the number of view writes that this process has attempted since its
+// start, failed ones included.
+func (f *Fleet) Writes() int64 { return f.viewWrites.Load() }
 
-// Adopt takes in a view that came from anywhere; an older one is ignored.
+// Adopt puts a view in force, whatever its source; an older one is ignored.
 func (f *Fleet) Adopt(v *hookhall.View) {
 	if !f.store.Advance(v) {
 		return
 	}
-	f.log.Info("View in force.", "epoch", v.Epoch, "members", len(v.Members))
-	f.wakeRepair()
+	f.log.Info("view in force", "epoch", v.Epoch, "members", len(v.Members))
+	f.triggerRepair()
 }
 
-func (f *Fleet) wakeRepair() {
+// triggerRepair starts another round of the repair loop; it never blocks.
+func (f *Fleet) triggerRepair() {
 	select {
-	case f.repair <- struct{}{}:
+	case f.repairRequested <- struct{}{}:
 	default:
 	}
 }
 
-// Run follows and looks after the view until ctx ends.
+// Run follows the view and detects failed members until ctx ends. It also reads the
+// instance list, fetches missing claims and drops expired ones.
 func (f *Fleet) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){f.watch, f.heartbeats, f.rejoin, f.readList, f.repairLoop, f.sweep} {
+	for _, loop := range []func(context.Context){f.watchView, f.heartbeatLoop, f.rejoinLoop, f.listLoop, f.repairLoop, f.sweepLoop} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -151,16 +172,17 @@
 	wg.Wait()
 }
 
-// watch follows the view's key.
-func (f *Fleet) watch(ctx context.Context) {
-	follow.Key(ctx, f.kv, tables.ViewKey, f.follow, func(err error) {
-		f.noteUnserved()
-		f.log.Warn("Can't follow the view.", "error", err.Error())
+// watchView adopts each new version of the view in the key-value service.
+func (f *Fleet) watchView(ctx context.Context) {
+	follow.Key(ctx, f.kv, tables.ViewKey, f.adoptStored, func(err error) {
+		f.noteServiceFailure()
+		f.log.Warn("can't watch the view", "error", err.Error())
 	})
 }
 
-func (f *Fleet) follow(e hookhall.Entry) error {
-	v, err := view.Decode(e.Value)
+// adoptStored adopts a view as read from the key-value service.
+func (f *Fleet) adoptStored(entry hookhall.Entry) error {
+	v, err := view.Decode(entry.Value)
 	if err != nil {
 		return err
 	}
@@ -168,26 +190,29 @@
 	return nil
 }
 
-func (f *Fleet) member() bool { return f.store.Placement().Alive(f.self.ID) }
+// isMember reports whether this process is in the view in force.
+func (f *Fleet) isMember() bool { return f.store.Placement().Alive(f.self.ID) }
 
-// Join adds this process to the view, and again whenever it was taken out.
+// Join adds this process to the view. Run adds it again whenever it was removed,
+// also if this call returns an error.
 func (f *Fleet) Join(ctx context.Context) error {
-	f.joined.Store(true)
-	return f.change(ctx, "join", func(v *hookhall.View) *hookhall.View { return view.Join(v, f.self) })
+	f.wantsMembership.Store(true)
+	return f.changeView(ctx, "join", func(v *hookhall.View) *hookhall.View { return view.Join(v, f.self) })
 }
 
-// change writes one change to the view; a change that gives the same view is
-// not written. A lost answer is settled by reading again.
-func (f *Fleet) change(ctx context.Context, what string, edit func(*hookhall.View) *hookhall.View) error {
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+// changeView applies one change to the view in the key-value service, and adopts the
+// result. An edit that returns the same view is not written. When the reply to a
+// write is lost, the next read shows whether it took effect.
+func (f *Fleet) changeView(ctx context.Context, operation string, edit func(*hookhall.View) *hookhall.View) error {
+	ctx, cancel := context.WithTimeout(ctx, viewWriteTimeout)
 	defer cancel()
 	pause := retry.New()
 	for {
-		e, err := f.kv.Get(ctx, tables.ViewKey)
+		entry, err := f.kv.Get(ctx, tables.ViewKey)
 		if err != nil {
-			return errors.Wrapf(err, "view: %s", what)
+			return errors.Wrapf(err, "can't read the view for operation %s", operation)
 		}
-		v, err := view.Decode(e.Value)
+		v, err := view.Decode(entry.Value)
 		if err != nil {
 			return err
 		}
@@ -196,40 +221,44 @@
 			f.Adopt(v)
 			return nil
 		}
-		f.writes.Add(1)
-		ok, err := f.kv.CompareAndSwap(ctx, tables.ViewKey, view.Encode(next), e.Index)
+		f.viewWrites.Add(1)
+		ok, err := f.kv.CompareAndSwap(ctx, tables.ViewKey, view.Encode(next), entry.Index)
 		if ok {
 			f.Adopt(next)
 			return nil
 		}
 		if err != nil {
-			f.log.Warn("The service did not answer.", "change", what, "error", err.Error())
+			f.log.Warn("key-value service did not answer", "change", operation, "error", err.Error())
 		}
 		pause.Wait(ctx)
 		if ctx.Err() != nil {
-			return errors.Wrapf(hookhall.ErrUnavailable, "view: %s", what)
+			return errors.Wrapf(hookhall.ErrUnavailable, "can't write the view for operation %s", operation)
 		}
 	}
 }
 
-// Leave takes this process out of the view, and waits until the members that
-// follow it hold all its claims. Until then it goes on answering them.
+// Leave removes this process from the view, and waits until the members that are
+// left hold all claims that it held. Until then this process must keep answering
+// their Fetch calls. An error says that it is still in the view, or that claims may
+// be lost if it stops now.
 func (f *Fleet) Leave(ctx context.Context) error {
 	f.leaving.Store(true)
 	pause := retry.New()
 	for {
-		err := f.change(ctx, "leave", func(v *hookhall.View) *hookhall.View { return view.Leave(v, f.self.ID, true) })
+		err := f.changeView(ctx, "leave", func(v *hookhall.View) *hookhall.View { return view.Leave(v, f.self.ID, true) })
 		if err == nil {
 			break
 		}
 		if ctx.Err() != nil {
-			return errors.Wrap(err, "still in the view")
+			return errors.Wrap(err, "can't leave; this process is still in the view")
 		}
 		pause.Wait(ctx)
 	}
 	return f.awaitHandover(ctx)
 }
 
+// awaitHandover waits until all members of the view in force are complete at its
+// epoch, or are no longer members.
 func (f *Fleet) awaitHandover(ctx context.Context) error {
 	epoch := f.View().Epoch
 	waiting := append([]hookhall.Member(nil), f.View().Members...)
@@ -237,28 +266,30 @@
 		var next []hookhall.Member
 		for _, m := range waiting {
 			if !f.store.Placement().Alive(m.ID) {
-				continue // it has left or is gone: others hold its slots now
+				continue // it has left or was removed: others now own its slots
 			}
-			if whole, err := f.askWhole(ctx, m, epoch); err != nil || !whole {
+			if complete, err := f.askComplete(ctx, m, epoch); err != nil || !complete {
 				next = append(next, m)
 			}
 		}
 		waiting = next
-		if len(waiting) > 0 && !retry.Sleep(ctx, settlePoll) {
-			return errors.Errorf("%d members may not hold all claims yet", len(waiting))
+		if len(waiting) > 0 && !retry.Sleep(ctx, handoverPollInterval) {
+			return errors.Errorf("%d members may not hold all claims yet; claims may be lost if this process stops", len(waiting))
 		}
 	}
 	return nil
 }
 
-func (f *Fleet) askWhole(ctx context.Context, m hookhall.Member, epoch uint64) (bool, error) {
+// askComplete asks a member whether it holds a complete copy of the records of its
+// slots, at the epoch or a later one.
+func (f *Fleet) askComplete(ctx context.Context, m hookhall.Member, epoch uint64) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
 	defer cancel()
 	return f.peers.Peer(m.Address).Whole(ctx, epoch)
 }
 
-// sweep drops expired claims, a little at a time.
-func (f *Fleet) sweep(ctx context.Context) {
+// sweepLoop drops expired claims every few seconds.
+func (f *Fleet) sweepLoop(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(5*time.Second)) {
 		f.store.Sweep(clock.Now())
 	}
--- a/internal/coordination/fleet/heartbeat.go
+++ b/internal/coordination/fleet/heartbeat.go
@@ -18,32 +18,34 @@
 )
 
 const (
-	// witnesses is how many others must agree on a member that does not answer, and
-	// witnessesMost how many are asked for that.
-	witnesses     = 2
-	witnessesMost = 5
-	// aloneFactor is by how much longer a member is suspected by one whom too few
-	// witnesses answer. The others, if they live, take that one out meanwhile.
-	aloneFactor = 6
+	// requiredWitnesses is the number of other members that must confirm that a member does
+	// not answer. Up to maxWitnesses are asked, since some of them may not answer either.
+	requiredWitnesses = 2
+	maxWitnesses      = 5
+	// isolatedSuspectFactor multiplies the time for which a member must fail to answer when
+	// too few witnesses answer this process. If the others are alive, this process is the
+	// isolated one, and they remove it meanwhile.
+	isolatedSuspectFactor = 6
 )
 
-// heartbeats probes this member's successors.
-func (f *Fleet) heartbeats(ctx context.Context) {
+// heartbeatLoop probes this process's successors, all at once, about every
+// Timing.Heartbeat.
+func (f *Fleet) heartbeatLoop(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(f.timing.Heartbeat)) {
 		var wg sync.WaitGroup
 		for _, m := range successors(f.View().Members, f.self.ID, Successors) {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				f.check(ctx, m)
+				f.checkMember(ctx, m)
 			}()
 		}
 		wg.Wait()
 	}
 }
 
-// successors are the n members after self on a ring ordered by hash. A process
-// that is not a member probes from where it would stand.
+// successors returns the n members that follow self on a ring ordered by hash, or all
+// others if there are fewer. Self need not be a member: its place is given by its hash.
 func successors(members []hookhall.Member, self string, n int) []hookhall.Member {
 	ring := make([]hookhall.Member, 0, len(members))
 	for _, m := range members {
@@ -51,150 +53,160 @@
 			ring = append(ring, m)
 		}
 	}
-	at := xxhash.Sum64String(self)
+	start := xxhash.Sum64String(self)
 	sort.Slice(ring, func(i, j int) bool {
-		// Distance on the ring: unsigned arithmetic wraps round.
-		return xxhash.Sum64String(ring[i].ID)-at < xxhash.Sum64String(ring[j].ID)-at
+		// This compares distances from start; unsigned subtraction wraps around the ring.
+		return xxhash.Sum64String(ring[i].ID)-start < xxhash.Sum64String(ring[j].ID)-start
 	})
 	return ring[:min(n, len(ring))]
 }
 
-// check probes one member and acts on repeated failure. Who is not a member itself acts on
-// nothing: it may be the one that is cut off.
-func (f *Fleet) check(ctx context.Context, m hookhall.Member) {
-	s := f.countProbe(m, f.Probe(ctx, m))
-	if s.failed < f.timing.Suspect || ctx.Err() != nil || f.leaving.Load() || !f.member() {
+// checkMember probes one member, and removes it after repeated failures that witnesses
+// confirm. A process that is not a member removes nobody: it may be the one that is cut off.
+func (f *Fleet) checkMember(ctx context.Context, m hookhall.Member) {
+	s := f.countProbeResult(m, f.Probe(ctx, m))
+	if s.failedProbes < f.timing.Suspect || ctx.Err() != nil || f.leaving.Load() || !f.isMember() {
 		return
 	}
-	reached, alone := f.askWitnesses(ctx, m)
-	if reached || alone && !f.surelyGone(m) && !f.outwaited(ctx, s) {
+	reached, isolated := f.askWitnesses(ctx, m)
+	if reached || isolated && !f.isUnlisted(m) && !f.couldHaveBeenRemoved(ctx, s) {
 		return
 	}
-	f.remove(ctx, m)
+	f.removeMember(ctx, m)
 }
 
-// outwaited tells whether those who may suspect this process in turn have had the time and
-// the service to take it out. It reads the view, which tells whether they have.
-func (f *Fleet) outwaited(ctx context.Context, s suspicion) bool {
-	e, err := f.kv.Get(ctx, tables.ViewKey)
+// couldHaveBeenRemoved reports whether the other members, which may suspect this process in
+// turn, have had the time and an available key-value service to remove it, and have not done
+// so. It reads the stored view to find out, and returns false if that fails.
+func (f *Fleet) couldHaveBeenRemoved(ctx context.Context, s suspicion) bool {
+	entry, err := f.kv.Get(ctx, tables.ViewKey)
 	if err == nil {
-		err = f.follow(e)
+		err = f.adoptStored(entry)
 	}
 	if err != nil {
-		f.noteUnserved()
+		f.noteServiceFailure()
 		return false
 	}
 	since := s.since
-	if t := f.unserved.Load(); t != nil && t.After(since) {
-		since = *t
+	if failedAt := f.serviceFailedAt.Load(); failedAt != nil && failedAt.After(since) {
+		since = *failedAt
 	}
-	return f.member() && clock.Since(since) >= aloneFactor*time.Duration(f.timing.Suspect)*f.timing.Heartbeat
+	return f.isMember() && clock.Since(since) >= isolatedSuspectFactor*time.Duration(f.timing.Suspect)*f.timing.Heartbeat
 }
 
-func (f *Fleet) noteUnserved() {
+// noteServiceFailure records that a call of the key-value service failed now.
+func (f *Fleet) noteServiceFailure() {
 	now := clock.Now()
-	f.unserved.Store(&now)
+	f.serviceFailedAt.Store(&now)
 }
 
-// suspicion is how many probes of a member have failed in a row, and since when.
+// suspicion holds how many probes of a member have failed in a row, and the time of the
+// first one.
 type suspicion struct {
-	failed int
-	since  time.Time
+	failedProbes int
+	since        time.Time
 }
 
-// countProbe counts one probe of a member.
-func (f *Fleet) countProbe(m hookhall.Member, err error) suspicion {
+// countProbeResult counts the result of one probe of a member, and returns its suspicion. A
+// probe that succeeded, or was sent by a process that is not a member, resets it.
+func (f *Fleet) countProbeResult(m hookhall.Member, err error) suspicion {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err == nil || !f.member() {
-		delete(f.suspected, m.ID)
+	if err == nil || !f.isMember() {
+		delete(f.suspicions, m.ID)
 		return suspicion{}
 	}
-	s := f.suspected[m.ID]
-	if s.failed == 0 {
+	s := f.suspicions[m.ID]
+	if s.failedProbes == 0 {
 		s.since = clock.Now()
 	}
-	s.failed++
-	f.suspected[m.ID] = s
+	s.failedProbes++
+	f.suspicions[m.ID] = s
 	return s
 }
 
-// Probe sends one heartbeat and takes in what the reply brings.
+// Probe sends one heartbeat to a member. From the reply it adopts a newer view and the
+// reports of leaving targets, and fetches a newer table. If the member's epoch is older, it
+// sends the view, too.
 func (f *Fleet) Probe(ctx context.Context, m hookhall.Member) error {
 	return f.probe(ctx, m, nil)
 }
 
-// Push sends a heartbeat that carries the view, to a member that is behind.
+// Push sends a heartbeat that carries the view, to a member whose epoch is older.
 func (f *Fleet) Push(ctx context.Context, m hookhall.Member) error {
 	return f.probe(ctx, m, view.Encode(f.View()))
 }
 
+// probe sends one heartbeat, with the encoded view unless that is nil.
 func (f *Fleet) probe(ctx context.Context, m hookhall.Member, encoded []byte) error {
-	limit := f.timing.Heartbeat
-	pctx, cancel := context.WithTimeout(ctx, limit)
+	timeout := f.timing.Heartbeat
+	probeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	peer := f.peers.Peer(m.Address)
-	sent := f.View().Epoch
-	reply, err := peer.Probe(pctx, hookhall.Probe{
-		From: f.self.ID, Epoch: sent, TableVersion: f.tables.Version(), View: encoded, Leaving: f.seenLeaving(),
+	sentEpoch := f.View().Epoch
+	reply, err := peer.Probe(probeCtx, hookhall.Probe{
+		From: f.self.ID, Epoch: sentEpoch, TableVersion: f.tables.Version(), View: encoded, Leaving: f.listedLeaving(),
 	})
 	if err != nil {
 		return err
 	}
-	f.heard.add(reply.Leaving, clock.Now())
-	f.takeView(reply.View)
+	f.leavingReports.add(reply.Leaving, clock.Now())
+	f.adoptEncoded(reply.View)
 	f.tables.Hint(ctx, reply.TableVersion, peer)
-	if reply.Epoch < sent && encoded == nil {
+	if reply.Epoch < sentEpoch && encoded == nil {
 		return f.Push(ctx, m)
 	}
 	return nil
 }
 
-// CatchUp takes the newest table among this member's successors before it
-// serves: what the service showed it may have been an older one.
+// CatchUp fetches the newest table among this process's successors. It is called before
+// the process serves, since the key-value service may have returned an older one.
 func (f *Fleet) CatchUp(ctx context.Context) {
 	for _, m := range successors(f.View().Members, f.self.ID, Successors) {
-		pctx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
+		probeCtx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
 		peer := f.peers.Peer(m.Address)
-		reply, err := peer.Probe(pctx, hookhall.Probe{From: f.self.ID, Epoch: f.View().Epoch, TableVersion: f.tables.Version()})
+		reply, err := peer.Probe(probeCtx, hookhall.Probe{From: f.self.ID, Epoch: f.View().Epoch, TableVersion: f.tables.Version()})
 		cancel()
 		if err != nil || reply.TableVersion <= f.tables.Version() {
 			continue
 		}
 		if err := f.tables.Pull(ctx, peer); err != nil {
-			f.log.Warn("Can't catch up with a peer.", "member", m.ID, "error", err.Error())
+			f.log.Warn("can't fetch a newer table from a member", "member", m.ID, "error", err.Error())
 		}
 	}
 }
 
-func (f *Fleet) takeView(b []byte) {
-	if len(b) == 0 {
+// adoptEncoded adopts a view that a peer sent; an empty one is ignored.
+func (f *Fleet) adoptEncoded(encoded []byte) {
+	if len(encoded) == 0 {
 		return
 	}
-	v, err := view.Decode(b)
+	v, err := view.Decode(encoded)
 	if err != nil {
-		f.log.Warn("A peer sent a wrong view.", "error", err.Error())
+		f.log.Warn("peer sent an invalid view", "error", err.Error())
 		return
 	}
 	f.Adopt(v)
 }
 
-// HandleProbe answers a heartbeat.
+// HandleProbe answers a heartbeat. The reply carries the view if the sender's epoch is
+// older.
 func (f *Fleet) HandleProbe(ctx context.Context, p hookhall.Probe) hookhall.ProbeReply {
-	f.takeView(p.View)
-	f.heard.add(p.Leaving, clock.Now())
+	f.adoptEncoded(p.View)
+	f.leavingReports.add(p.Leaving, clock.Now())
 	v := f.View()
 	if m, ok := view.Find(v, p.From); ok {
 		f.tables.Hint(context.WithoutCancel(ctx), p.TableVersion, f.peers.Peer(m.Address))
 	}
-	r := hookhall.ProbeReply{ID: f.self.ID, Epoch: v.Epoch, TableVersion: f.tables.Version(), Leaving: f.seenLeaving()}
+	reply := hookhall.ProbeReply{ID: f.self.ID, Epoch: v.Epoch, TableVersion: f.tables.Version(), Leaving: f.listedLeaving()}
+	// An admin process sends epoch 0 and keeps no view.
 	if p.Epoch < v.Epoch && p.From != "admin" {
-		r.View = view.Encode(v)
+		reply.View = view.Encode(v)
 	}
-	return r
+	return reply
 }
 
-// HandleProbeFor probes an address for another member.
+// HandleProbeFor probes an address for another member, and reports whether it answered.
 func (f *Fleet) HandleProbeFor(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
 	defer cancel()
@@ -202,64 +214,68 @@
 	return err == nil
 }
 
-// askWitnesses asks others whether they reach a member, in an order by hash that differs by
-// member, until one does or enough have answered. With fewer answers than half of those
-// asked, this process may be the one that is alone.
-func (f *Fleet) askWitnesses(ctx context.Context, m hookhall.Member) (reached, alone bool) {
+// askWitnesses asks other members, in an order by hash that differs by member, whether they
+// reach m, until one does or requiredWitnesses have answered. Isolated is set when fewer than
+// that, and fewer than half of those asked, have answered: this process may then be the one
+// that is cut off. Two more than maxWitnesses are drawn from the ring, since m and this
+// process, which are no witnesses, may be among them.
+func (f *Fleet) askWitnesses(ctx context.Context, m hookhall.Member) (reached, isolated bool) {
 	asked, answered := 0, 0
-	for _, w := range successors(f.View().Members, m.ID+"/witness", witnessesMost+2) {
-		if w.ID == m.ID || w.ID == f.self.ID || asked == witnessesMost {
+	for _, witness := range successors(f.View().Members, m.ID+"/witness", maxWitnesses+2) {
+		if witness.ID == m.ID || witness.ID == f.self.ID || asked == maxWitnesses {
 			continue
 		}
 		asked++
-		wctx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
-		seen, err := f.peers.Peer(w.Address).ProbeFor(wctx, m.Address)
+		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
+		seen, err := f.peers.Peer(witness.Address).ProbeFor(witnessCtx, m.Address)
 		cancel()
 		if err == nil {
 			answered++
 		}
-		if seen || answered == witnesses {
+		if seen || answered == requiredWitnesses {
 			return seen, false
 		}
 	}
-	return false, answered < min(witnesses, (asked+1)/2)
+	return false, answered < min(requiredWitnesses, (asked+1)/2)
 }
 
-// remove takes a member out of the view that nobody can reach.
-func (f *Fleet) remove(ctx context.Context, m hookhall.Member) {
-	gone := f.surelyGone(m)
-	f.log.Warn("Member does not answer; taking it out.", "member", m.ID, "gone", gone)
-	err := f.change(ctx, "remove", func(v *hookhall.View) *hookhall.View { return view.Leave(v, m.ID, gone) })
+// removeMember removes a member that doesn't answer from the view. It is left unfenced
+// unless the instance list lacks its instance.
+func (f *Fleet) removeMember(ctx context.Context, m hookhall.Member) {
+	gone := f.isUnlisted(m)
+	f.log.Warn("member does not answer; removing it", "member", m.ID, "gone", gone)
+	err := f.changeView(ctx, "remove", func(v *hookhall.View) *hookhall.View { return view.Leave(v, m.ID, gone) })
 	if err != nil {
-		f.log.Warn("Can't take it out.", "member", m.ID, "error", err.Error())
+		f.log.Warn("can't remove the member", "member", m.ID, "error", err.Error())
 		return
 	}
 	f.mu.Lock()
-	delete(f.suspected, m.ID)
+	delete(f.suspicions, m.ID)
 	f.mu.Unlock()
 }
 
-// surelyGone tells whether the platform's list, read lately, lacks the
-// member's instance.
-func (f *Fleet) surelyGone(m hookhall.Member) bool {
-	l := f.listed.Load()
-	return l != nil && clock.Since(l.At) < 3*f.timing.List && len(l.Instances) > 0 && !l.Has(m.Instance)
+// isUnlisted reports whether the instance list lacks the member's instance. An empty list,
+// or one that was read more than three intervals ago, proves nothing.
+func (f *Fleet) isUnlisted(m hookhall.Member) bool {
+	listing := f.listing.Load()
+	return listing != nil && clock.Since(listing.At) < 3*f.timing.List && len(listing.Instances) > 0 && !listing.Has(m.Instance)
 }
 
-// readList reads the platform's list, and fences members that it says are gone.
-func (f *Fleet) readList(ctx context.Context) {
-	// A list that shows nothing yet is read again soon: a new fleet's list lags.
-	soon := retry.Between(min(retry.First, f.timing.List), f.timing.List)
+// listLoop reads the instance list every Timing.List, and fences removed members that it
+// no longer has.
+func (f *Fleet) listLoop(ctx context.Context) {
+	// An empty list is read again sooner: the list of a new fleet lags.
+	emptyPause := retry.Between(min(retry.First, f.timing.List), f.timing.List)
 	for ctx.Err() == nil {
-		list, err := f.list.List(ctx)
+		list, err := f.instanceList.List(ctx)
 		if err == nil {
-			f.listed.Store(&Listing{list, clock.Now()})
-			f.fenceGone(ctx)
+			f.listing.Store(&Listing{list, clock.Now()})
+			f.fenceUnlisted(ctx)
 		} else if ctx.Err() == nil {
-			f.log.Warn("Can't read the instance list.", "error", err.Error())
+			f.log.Warn("can't read the instance list", "error", err.Error())
 		}
 		if err == nil && len(list) == 0 {
-			soon.Wait(ctx)
+			emptyPause.Wait(ctx)
 			continue
 		}
 		if !retry.Sleep(ctx, retry.Jitter(f.timing.List)) {
@@ -268,17 +284,18 @@
 	}
 }
 
-// fenceGone is done by one member for each gone one: the first on the ring.
-func (f *Fleet) fenceGone(ctx context.Context) {
+// fenceUnlisted takes members off the view's unfenced ones whose instances the list lacks.
+// For each, only its first successor on the ring does so, to avoid conflicting writes.
+func (f *Fleet) fenceUnlisted(ctx context.Context) {
 	v := f.View()
 	for _, m := range v.Unfenced {
 		first := successors(v.Members, m.ID, 1)
-		if len(first) == 0 || first[0].ID != f.self.ID || !f.surelyGone(m) {
+		if len(first) == 0 || first[0].ID != f.self.ID || !f.isUnlisted(m) {
 			continue
 		}
-		err := f.change(ctx, "fence", func(v *hookhall.View) *hookhall.View { return view.Fence(v, m.ID) })
+		err := f.changeView(ctx, "fence", func(v *hookhall.View) *hookhall.View { return view.Fence(v, m.ID) })
 		if err != nil {
-			f.log.Warn("Can't fence a gone member.", "member", m.ID, "error", err.Error())
+			f.log.Warn("can't fence a member that is no longer listed", "member", m.ID, "error", err.Error())
 		}
 	}
 }
--- a/internal/coordination/fleet/leaving.go
+++ b/internal/coordination/fleet/leaving.go
@@ -11,47 +11,51 @@
 )
 
 const (
-	// peerWordTime is how long a peer's word about a target is believed; it is
-	// repeated with every heartbeat.
-	peerWordTime = 5 * time.Second
-	// mostLeaving bounds what a heartbeat carries.
-	mostLeaving = 64
+	// leavingReportLifetime is how long a peer's report of a leaving target counts. It
+	// spans several heartbeats, each of which renews the report.
+	leavingReportLifetime = 5 * time.Second
+	// maxLeavingTargets bounds the leaving targets in one heartbeat, and so its size.
+	maxLeavingTargets = 64
 )
 
-// peerWord is what peers say of leaving targets. It is never passed on: a word
-// that only peerWord keeps alive would never die.
-type peerWord struct{ until sync.Map } // target id to time.Time
+// leavingReports holds the peers' reports of leaving targets. They are not passed on to
+// other peers: two processes would renew each other's report for ever.
+type leavingReports struct{ expiryByTarget sync.Map } // target ID to time.Time
 
-func (h *peerWord) add(ids []string, now time.Time) {
-	for _, id := range ids[:min(len(ids), mostLeaving)] {
-		h.until.Store(id, now.Add(peerWordTime))
+// add records a peer's report of leaving targets, received at now.
+func (h *leavingReports) add(ids []string, now time.Time) {
+	for _, id := range ids[:min(len(ids), maxLeavingTargets)] {
+		h.expiryByTarget.Store(id, now.Add(leavingReportLifetime))
 	}
 }
 
-func (h *peerWord) has(id string, now time.Time) bool {
-	v, ok := h.until.Load(id)
+// has reports whether a report of the target is valid at now, and drops one that has expired.
+func (h *leavingReports) has(id string, now time.Time) bool {
+	expiry, ok := h.expiryByTarget.Load(id)
 	if !ok {
 		return false
 	}
-	if now.Before(v.(time.Time)) {
+	if now.Before(expiry.(time.Time)) {
 		return true
 	}
-	h.until.Delete(id)
+	h.expiryByTarget.Delete(id)
 	return false
 }
 
-// HeardLeaving tells whether a peer said lately that a target is leaving.
-func (f *Fleet) HeardLeaving(id string, now time.Time) bool { return f.heard.has(id, now) }
+// HeardLeaving reports whether a peer's recent heartbeat reported the target as leaving. The
+// instance list lags, so peers may know it earlier.
+func (f *Fleet) HeardLeaving(id string, now time.Time) bool { return f.leavingReports.has(id, now) }
 
-// seenLeaving are the targets that this process's own list shows as leaving.
-func (f *Fleet) seenLeaving() []string {
-	l := f.listed.Load()
-	if l == nil {
+// listedLeaving returns the IDs of the targets that are leaving by the instance list that this
+// process has read, at most maxLeavingTargets.
+func (f *Fleet) listedLeaving() []string {
+	listing := f.listing.Load()
+	if listing == nil {
 		return nil
 	}
 	var ids []string
-	for _, i := range l.Instances {
-		if i.Role == hookhall.RoleTarget && i.State == hookhall.InstanceLeaving && len(ids) < mostLeaving {
+	for _, i := range listing.Instances {
+		if i.Role == hookhall.RoleTarget && i.State == hookhall.InstanceLeaving && len(ids) < maxLeavingTargets {
 			ids = append(ids, i.ID)
 		}
 	}
--- a/internal/coordination/fleet/membership_test.go
+++ b/internal/coordination/fleet/membership_test.go
@@ -21,26 +21,29 @@
 
 const (
 	testRetention = time.Minute
-	// deadTime is within what a silent member must be out of the view: three heartbeats
-	// and two witnesses without an answer. cutTime is how long members are cut off.
-	deadTime = 6 * time.Second
-	// settleTime is within what the view is still again when many are lost at once.
-	settleTime = time.Minute
-	cutTime    = 10 * time.Second
-	callTime   = time.Millisecond
+	// removalTimeout is the time within which a silent member must be out of the view: that of
+	// three heartbeats and two witnesses without an answer. cutDuration is how long members
+	// stay cut off.
+	removalTimeout = 6 * time.Second
+	// settleTimeout is the time within which the view must be stable again after the loss of
+	// many members at once.
+	settleTimeout = time.Minute
+	cutDuration   = 10 * time.Second
+	callLatency   = time.Millisecond
 )
 
-// memory is the key-value service and the platform's list. Its key is the view's.
-type memory struct {
-	mu      sync.Mutex
-	entry   hookhall.Entry
-	changed chan struct{} // closed at the next write
-	down    bool
-	list    []hookhall.Instance
+// fakePlatform is an in-memory key-value service, whose only key is the view's, and the
+// platform's instance list.
+type fakePlatform struct {
+	mu        sync.Mutex
+	entry     hookhall.Entry
+	changed   chan struct{} // closed at the next write
+	down      bool
+	instances []hookhall.Instance
 }
 
-func (s *memory) Get(context.Context, string) (hookhall.Entry, error) {
-	time.Sleep(callTime)
+func (s *fakePlatform) Get(context.Context, string) (hookhall.Entry, error) {
+	time.Sleep(callLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -49,8 +52,8 @@
 	return s.entry, nil
 }
 
-func (s *memory) CompareAndSwap(_ context.Context, _ string, value []byte, index uint64) (bool, error) {
-	time.Sleep(callTime)
+func (s *fakePlatform) CompareAndSwap(_ context.Context, _ string, value []byte, index uint64) (bool, error) {
+	time.Sleep(callLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -65,9 +68,9 @@
 	return true, nil
 }
 
-func (s *memory) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
+func (s *fakePlatform) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
 
-func (s *memory) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.Entry, error) {
+func (s *fakePlatform) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.Entry, error) {
 	s.mu.Lock()
 	changed, behind := s.changed, s.entry.Index != index
 	s.mu.Unlock()
@@ -84,50 +87,55 @@
 	return s.Get(ctx, key)
 }
 
-func (s *memory) List(context.Context) ([]hookhall.Instance, error) {
+func (s *fakePlatform) List(context.Context) ([]hookhall.Instance, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]hookhall.Instance(nil), s.list...), nil
+	return append([]hookhall.Instance(nil), s.instances...), nil
 }
 
-func (s *memory) setDown(down bool) {
+// setDown makes the key-value service unavailable, or available again.
+func (s *fakePlatform) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// members are fleets of one view, and the ways between them.
-type members struct {
-	t      *testing.T
-	store  *memory
-	fleets map[string]*Fleet // by address
-	ctx    context.Context
-	mu     sync.Mutex
-	// unreachable are ways that carry nothing, by "from>to"; * stands for all.
-	unreachable map[string]bool
+// memberGroup holds the members of one view, and the links between them.
+type memberGroup struct {
+	t        *testing.T
+	platform *fakePlatform
+	fleets   map[string]*Fleet // by address
+	ctx      context.Context
+	mu       sync.Mutex
+	// cutLinks has the links that carry nothing, as "from>to"; * stands for all members. mu
+	// guards it.
+	cutLinks map[string]bool
 }
 
-// way is how one member reaches another.
+// way is one member's client of another.
 type way struct {
 	hookhall.Peer
-	m        *members
+	m        *memberGroup
 	from, to string
 }
 
-// ways are those of one member.
-type ways struct {
-	m    *members
+// memberPeers gives one member its clients of the others.
+type memberPeers struct {
+	m    *memberGroup
 	from string
 }
 
-func (w ways) Peer(address string) hookhall.Peer { return way{m: w.m, from: w.from, to: address} }
+func (w memberPeers) Peer(address string) hookhall.Peer {
+	return way{m: w.m, from: w.from, to: address}
+}
 
-// carry waits for the call's time, and tells whether it gets there and back.
-func (w way) carry(ctx context.Context) (*Fleet, error) {
-	time.Sleep(callTime)
+// deliver waits for callLatency and returns the member that is called. If the link is cut, it
+// waits until ctx ends and returns its error.
+func (w way) deliver(ctx context.Context) (*Fleet, error) {
+	time.Sleep(callLatency)
 	w.m.mu.Lock()
-	u := w.m.unreachable
-	lost := u[w.from+">"+w.to] || u["*>"+w.to] || u[w.from+">*"]
+	cut := w.m.cutLinks
+	lost := cut[w.from+">"+w.to] || cut["*>"+w.to] || cut[w.from+">*"]
 	w.m.mu.Unlock()
 	if lost {
 		<-ctx.Done()
@@ -137,7 +145,7 @@
 }
 
 func (w way) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
-	f, err := w.carry(ctx)
+	f, err := w.deliver(ctx)
 	if err != nil {
 		return hookhall.ProbeReply{}, err
 	}
@@ -145,7 +153,7 @@
 }
 
 func (w way) ProbeFor(ctx context.Context, address string) (bool, error) {
-	f, err := w.carry(ctx)
+	f, err := w.deliver(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -153,7 +161,7 @@
 }
 
 func (w way) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
-	f, err := w.carry(ctx)
+	f, err := w.deliver(ctx)
 	if err != nil {
 		return hookhall.FetchReply{}, err
 	}
@@ -161,26 +169,26 @@
 }
 
 func (w way) Whole(ctx context.Context, epoch uint64) (bool, error) {
-	f, err := w.carry(ctx)
+	f, err := w.deliver(ctx)
 	if err != nil {
 		return false, err
 	}
 	return f.store.Whole(epoch), nil
 }
 
-// newMembers starts n members, and returns when all are in the view.
-func newMembers(t *testing.T, n int) *members {
-	m := &members{
-		t: t, store: &memory{changed: make(chan struct{})}, fleets: map[string]*Fleet{}, unreachable: map[string]bool{},
+// newMemberGroup starts n members, and returns when all are in the view.
+func newMemberGroup(t *testing.T, n int) *memberGroup {
+	m := &memberGroup{
+		t: t, platform: &fakePlatform{changed: make(chan struct{})}, fleets: map[string]*Fleet{}, cutLinks: map[string]bool{},
 	}
 	quiet := log.New(io.Discard)
 	for i := range n {
 		name := fmt.Sprintf("m%d", i)
 		self := hookhall.Member{ID: name + "#1", Instance: name, Hall: name, Address: name}
-		m.store.list = append(m.store.list, hookhall.Instance{ID: name, Role: hookhall.RoleEntry, Hall: name, Address: name})
+		m.platform.instances = append(m.platform.instances, hookhall.Instance{ID: name, Role: hookhall.RoleEntry, Hall: name, Address: name})
 		m.fleets[name] = New(Parts{
-			Self: self, KV: m.store, List: m.store, Peers: ways{m, name},
-			Store: claim.New(self.ID, testRetention), Tables: tables.NewKeeper(m.store, quiet), Log: quiet,
+			Self: self, KV: m.platform, List: m.platform, Peers: memberPeers{m, name},
+			Store: claim.New(self.ID, testRetention), Tables: tables.NewKeeper(m.platform, quiet), Log: quiet,
 		})
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -193,128 +201,130 @@
 		}
 	}
 	t.Cleanup(func() { stop(); all.Wait() })
-	m.await(deadTime, n)
+	m.awaitMembers(removalTimeout, n)
 	return m
 }
 
-// cut makes ways carry nothing, or all again.
-func (m *members) cut(ways ...string) {
+// cut cuts the named links and restores all others.
+func (m *memberGroup) cut(links ...string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	clear(m.unreachable)
-	for _, w := range ways {
-		m.unreachable[w] = true
+	clear(m.cutLinks)
+	for _, link := range links {
+		m.cutLinks[link] = true
 	}
 }
 
-// view is the one in the service.
-func (m *members) view() *hookhall.View {
-	m.store.mu.Lock()
-	defer m.store.mu.Unlock()
-	v, err := view.Decode(m.store.entry.Value)
+// view returns the view in the key-value service.
+func (m *memberGroup) view() *hookhall.View {
+	m.platform.mu.Lock()
+	defer m.platform.mu.Unlock()
+	v, err := view.Decode(m.platform.entry.Value)
 	if err != nil {
 		m.t.Fatal(err)
 	}
 	return v
 }
 
-// await waits until the view has n members.
-func (m *members) await(most time.Duration, n int) {
+// awaitMembers waits until the view has n members, and fails the test after timeout.
+func (m *memberGroup) awaitMembers(timeout time.Duration, n int) {
 	m.t.Helper()
-	for began := time.Now(); time.Since(began) < most; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(10 * time.Millisecond) {
 		if len(m.view().Members) == n {
 			return
 		}
 	}
-	m.t.Fatalf("%d members after %v, not %d", len(m.view().Members), most, n)
+	m.t.Fatalf("the view has %d members after %v, want %d", len(m.view().Members), timeout, n)
 }
 
-// hold fails if the view changes within a time.
-func (m *members) hold(during time.Duration) {
+// expectNoChange fails the test if the view's epoch changes within a time.
+func (m *memberGroup) expectNoChange(during time.Duration) {
 	m.t.Helper()
 	before := m.view().Epoch
 	time.Sleep(during)
 	if after := m.view().Epoch; after != before {
-		m.t.Errorf("the epoch went from %d to %d", before, after)
+		m.t.Errorf("the epoch changed from %d to %d", before, after)
 	}
 }
 
-// TestMembership: who is in the view, by who reaches whom.
+// TestMembership guards against views that keep changing, or that have the wrong members,
+// when members can't reach one another or the key-value service: for instance, isolated
+// members that remove the others and are removed in turn, again and again.
 func TestMembership(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		n    int
-		play func(m *members)
+		name     string
+		n        int
+		scenario func(m *memberGroup)
 	}{
-		{"a calm fleet changes nothing", 5, func(m *members) { m.hold(time.Minute) }},
-		{"a dead member is out", 5, func(m *members) {
+		{"a fleet without faults keeps its view", 5, func(m *memberGroup) { m.expectNoChange(time.Minute) }},
+		{"a dead member is removed", 5, func(m *memberGroup) {
 			m.cut("*>m2", "m2>*")
-			m.await(deadTime, 4)
-			m.hold(time.Minute)
+			m.awaitMembers(removalTimeout, 4)
+			m.expectNoChange(time.Minute)
 		}},
-		{"one that a single member can't reach stays", 5, func(m *members) {
+		{"a member that a single other one can't reach stays", 5, func(m *memberGroup) {
 			m.cut("m0>m1", "m1>m0")
-			m.hold(time.Minute)
+			m.expectNoChange(time.Minute)
 		}},
-		{"one that was cut off is back, once", 5, func(m *members) {
+		{"a member that was cut off rejoins once", 5, func(m *memberGroup) {
 			m.cut("*>m2", "m2>*")
-			m.await(deadTime, 4)
-			m.hold(cutTime)
+			m.awaitMembers(removalTimeout, 4)
+			m.expectNoChange(cutDuration)
 			m.cut()
-			m.await(rejoinMost, 5)
-			m.hold(time.Minute)
+			m.awaitMembers(maxRejoinPause, 5)
+			m.expectNoChange(time.Minute)
 		}},
-		{"one that can send and not be reached stays out", 5, func(m *members) {
+		{"a member that can send and not be reached stays out", 5, func(m *memberGroup) {
 			m.cut("*>m2")
-			m.await(deadTime, 4)
-			m.hold(time.Minute)
+			m.awaitMembers(removalTimeout, 4)
+			m.expectNoChange(time.Minute)
 		}},
-		{"two that reach only one another are out", 5, func(m *members) {
+		{"two members that reach only each other are removed", 5, func(m *memberGroup) {
 			m.cut("m0>m2", "m0>m3", "m0>m4", "m1>m2", "m1>m3", "m1>m4", "m2>m0", "m2>m1", "m3>m0", "m3>m1", "m4>m0", "m4>m1")
-			time.Sleep(settleTime)
-			m.hold(time.Minute)
+			time.Sleep(settleTimeout)
+			m.expectNoChange(time.Minute)
 		}},
-		{"the only one that is left takes out the others", 5, func(m *members) {
+		{"the only member that is left removes the others", 5, func(m *memberGroup) {
 			m.cut("*>m1", "m1>*", "*>m2", "m2>*", "*>m3", "m3>*", "*>m4", "m4>*")
 			for _, dead := range []string{"m1", "m2", "m3", "m4"} {
-				m.fleets[dead].leaving.Store(true) // it does nothing any more
+				m.fleets[dead].leaving.Store(true) // a leaving member removes nobody and does not rejoin
 			}
-			m.await(settleTime, 1)
+			m.awaitMembers(settleTimeout, 1)
 		}},
-		{"of two, each keeps the view when the other is gone", 2, func(m *members) {
+		{"of two members, one removes the other when that is gone", 2, func(m *memberGroup) {
 			m.cut("*>m1", "m1>*")
-			m.await(deadTime, 1)
+			m.awaitMembers(removalTimeout, 1)
 		}},
-		{"one that leaves is out, and the others hold its claims", 5, func(m *members) {
-			ctx, cancel := context.WithTimeout(m.ctx, deadTime)
+		{"a member that leaves is removed, and the others hold its claims", 5, func(m *memberGroup) {
+			ctx, cancel := context.WithTimeout(m.ctx, removalTimeout)
 			defer cancel()
 			if err := m.fleets["m3"].Leave(ctx); err != nil {
-				m.t.Errorf("leaving: %v", err)
+				m.t.Errorf("Leave: %v", err)
 			}
-			m.await(deadTime, 4)
-			m.hold(time.Minute)
+			m.awaitMembers(removalTimeout, 4)
+			m.expectNoChange(time.Minute)
 		}},
-		{"nobody leaves while the service is away, and it is told", 3, func(m *members) {
-			m.store.setDown(true)
-			ctx, cancel := context.WithTimeout(m.ctx, deadTime)
+		{"Leave fails while the key-value service is unavailable", 3, func(m *memberGroup) {
+			m.platform.setDown(true)
+			ctx, cancel := context.WithTimeout(m.ctx, removalTimeout)
 			defer cancel()
 			if err := m.fleets["m1"].Leave(ctx); err == nil {
-				m.t.Error("it left")
+				m.t.Error("Leave succeeded without the key-value service")
 			}
-			m.store.setDown(false)
-			m.await(time.Second, 3)
+			m.platform.setDown(false)
+			m.awaitMembers(time.Second, 3)
 		}},
-		{"one that dies while the service is away is out once it is back", 5, func(m *members) {
-			m.store.setDown(true)
+		{"a member that dies during an outage of the key-value service is removed after it", 5, func(m *memberGroup) {
+			m.platform.setDown(true)
 			m.cut("*>m2", "m2>*")
-			m.hold(cutTime)
-			m.store.setDown(false)
-			m.await(deadTime, 4)
-			m.hold(time.Minute)
+			m.expectNoChange(cutDuration)
+			m.platform.setDown(false)
+			m.awaitMembers(removalTimeout, 4)
+			m.expectNoChange(time.Minute)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { c.play(newMembers(t, c.n)) })
+			synctest.Test(t, func(t *testing.T) { c.scenario(newMemberGroup(t, c.n)) })
 		})
 	}
 }
--- a/internal/coordination/fleet/rejoin.go
+++ b/internal/coordination/fleet/rejoin.go
@@ -11,22 +11,22 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// rejoinMost bounds the pause between tries to come back. Each removal and
-// return is two epochs for the whole fleet, so a member that flaps is slowed.
-const rejoinMost = 30 * time.Second
+// maxRejoinPause bounds the pause between two attempts to rejoin. Each removal and
+// return makes two epochs for the whole fleet, so a member that flaps is slowed down.
+const maxRejoinPause = 30 * time.Second
 
-// rejoin brings this process back into the view after it was taken out. It
-// waits until a member can reach it: one that can send but not be reached would
-// be taken out again at once, and come back, without end.
-func (f *Fleet) rejoin(ctx context.Context) {
-	pause := retry.Between(f.timing.Heartbeat, rejoinMost)
-	var since time.Time // a member again since
+// rejoinLoop adds this process to the view again after it was removed, once other
+// members can reach it. A process that can send but not be reached would otherwise
+// be removed and rejoin endlessly.
+func (f *Fleet) rejoinLoop(ctx context.Context) {
+	pause := retry.Between(f.timing.Heartbeat, maxRejoinPause)
+	var rejoinedAt time.Time
 	for retry.Sleep(ctx, retry.Jitter(f.timing.Heartbeat)) {
-		if f.leaving.Load() || !f.joined.Load() {
+		if f.leaving.Load() || !f.wantsMembership.Load() {
 			continue
 		}
-		if f.member() {
-			if clock.Since(since) > rejoinMost {
+		if f.isMember() {
+			if clock.Since(rejoinedAt) > maxRejoinPause {
 				pause.Reset()
 			}
 			continue
@@ -34,23 +34,23 @@
 		if !f.reachable(ctx) {
 			continue
 		}
-		f.log.Info("Joining again.")
+		f.log.Info("rejoining the view")
 		if err := f.Join(ctx); err != nil {
-			f.log.Warn("Can't join again.", "error", err.Error())
+			f.log.Warn("can't rejoin the view", "error", err.Error())
 		}
-		since = clock.Now()
+		rejoinedAt = clock.Now()
 		pause.Wait(ctx)
 	}
 }
 
-// reachable asks members to probe this process: half of those asked must reach it. Alone it
-// is always reachable.
+// reachable asks this process's successors to probe it, and reports whether at least half
+// of them reach it. It is true if there are no other members.
 func (f *Fleet) reachable(ctx context.Context) bool {
 	members := successors(f.View().Members, f.self.ID, Successors)
 	reached := 0
 	for _, m := range members {
-		wctx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
-		seen, err := f.peers.Peer(m.Address).ProbeFor(wctx, f.self.Address)
+		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
+		seen, err := f.peers.Peer(m.Address).ProbeFor(witnessCtx, f.self.Address)
 		cancel()
 		if err == nil && seen {
 			reached++
--- a/internal/coordination/fleet/repair.go
+++ b/internal/coordination/fleet/repair.go
@@ -16,46 +16,49 @@
 )
 
 const (
-	// repairPause is between rounds while something is missing.
-	repairPause = 100 * time.Millisecond
-	fetchTime   = 2 * time.Second
-	// fetchSlots bounds the slots of one Fetch, and so its size.
-	fetchSlots = 128
+	// repairInterval is the time between two rounds while claims are missing.
+	repairInterval = 100 * time.Millisecond
+	// fetchTimeout bounds one Fetch call.
+	fetchTimeout = 2 * time.Second
+	// maxFetchSlots bounds the slots of one Fetch call, and so the size of its reply.
+	maxFetchSlots = 128
 )
 
-// repairLoop fetches claims that this process should hold and does not.
+// repairLoop fetches the claims that this process should hold and lacks, after each change
+// of the view.
 func (f *Fleet) repairLoop(ctx context.Context) {
 	for {
 		for f.Repair(ctx) > 0 {
-			if !retry.Sleep(ctx, retry.Jitter(repairPause)) {
+			if !retry.Sleep(ctx, retry.Jitter(repairInterval)) {
 				return
 			}
 		}
 		select {
-		case <-f.repair:
+		case <-f.repairRequested:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// Repair makes one round and returns how many slots still miss something. A
-// round goes on while it makes progress.
+// Repair fetches missing claims as long as that makes progress, and returns the number
+// of slots that still lack claims.
 func (f *Fleet) Repair(ctx context.Context) int {
 	for {
 		before := f.store.Missing()
 		if len(before) == 0 || ctx.Err() != nil {
 			return len(before)
 		}
-		f.fetchAll(ctx, before)
+		f.fetchMissing(ctx, before)
 		after := f.store.Missing()
-		if !progress(before, after) {
+		if !madeProgress(before, after) {
 			return len(after)
 		}
 	}
 }
 
-func progress(before, after []claim.Need) bool {
+// madeProgress reports whether the list of missing layers has changed.
+func madeProgress(before, after []claim.Need) bool {
 	if len(before) != len(after) {
 		return true
 	}
@@ -67,57 +70,63 @@
 	return false
 }
 
-// fetchAll asks, for each needed layer, the pair that served it.
-func (f *Fleet) fetchAll(ctx context.Context, needs []claim.Need) {
+// fetchMissing fetches each needed layer (the grants of one epoch for one slot) from the
+// owner and the standby of that epoch. A layer whose pair is gone is noted in the store as
+// lost.
+func (f *Fleet) fetchMissing(ctx context.Context, needs []claim.Need) {
 	v := f.View()
 	now := clock.Now()
-	history := map[uint64][]hookhall.Member{}
-	sources := map[string][]uint32{}
-	address := map[string]string{}
+	membersByEpoch := map[uint64][]hookhall.Member{}
+	slotsByMember := map[string][]uint32{}
+	addressByMember := map[string]string{}
 	for _, n := range needs {
-		members, ok := history[n.Epoch]
+		members, ok := membersByEpoch[n.Epoch]
 		if !ok {
 			members, ok = view.At(v, n.Epoch)
 			if !ok {
-				f.beforeHistory(v, n, now)
+				f.expireBeforeHistory(v, n, now)
 				continue
 			}
-			history[n.Epoch] = members
+			membersByEpoch[n.Epoch] = members
 		}
 		pair := view.PairOf(members, n.Slot).Members()
 		for _, m := range pair {
 			if m.ID != f.self.ID {
-				sources[m.ID] = append(sources[m.ID], n.Slot)
-				address[m.ID] = m.Address
+				slotsByMember[m.ID] = append(slotsByMember[m.ID], n.Slot)
+				addressByMember[m.ID] = m.Address
 			}
 		}
-		if allGone(v, pair) {
+		if isPairGone(v, pair) {
 			f.store.Lost(n, now)
 		}
 	}
-	f.fetchFrom(ctx, v, sources, address)
+	f.fetchFromMembers(ctx, v, slotsByMember, addressByMember)
 }
 
-func (f *Fleet) fetchFrom(ctx context.Context, v *hookhall.View, sources map[string][]uint32, address map[string]string) {
-	ids := make([]string, 0, len(sources))
-	for id := range sources {
+// fetchFromMembers fetches slots from the members that may hold them, at most maxFetchSlots
+// per call. The maps are keyed by member ID.
+func (f *Fleet) fetchFromMembers(ctx context.Context, v *hookhall.View, slotsByMember map[string][]uint32, addressByMember map[string]string) {
+	ids := make([]string, 0, len(slotsByMember))
+	for id := range slotsByMember {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
 	encoded := view.Encode(v)
 	for _, id := range ids {
-		for slots := sources[id]; len(slots) > 0; {
-			part := slots[:min(fetchSlots, len(slots))]
+		for slots := slotsByMember[id]; len(slots) > 0; {
+			part := slots[:min(maxFetchSlots, len(slots))]
 			slots = slots[len(part):]
-			if !f.fetch(ctx, address[id], hookhall.FetchRequest{Epoch: v.Epoch, Slots: part, View: encoded}) {
+			if !f.fetch(ctx, addressByMember[id], hookhall.FetchRequest{Epoch: v.Epoch, Slots: part, View: encoded}) {
 				break
 			}
 		}
 	}
 }
 
+// fetch makes one Fetch call and merges the records of its reply. It returns false if the
+// call failed or the member is not yet at the epoch of the request.
 func (f *Fleet) fetch(ctx context.Context, address string, q hookhall.FetchRequest) bool {
-	ctx, cancel := context.WithTimeout(ctx, fetchTime)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	reply, err := f.peers.Peer(address).Fetch(ctx, q)
 	if err != nil || reply.Epoch < q.Epoch {
@@ -129,16 +138,16 @@
 	return true
 }
 
-// HandleFetch moves on to the asker's view first: what it reads then can't
-// grow by another grant of an earlier epoch.
+// HandleFetch returns the records of slots to a member that lacks them. It adopts the
+// sender's view first, so that no further grant of an earlier epoch can follow the read.
 func (f *Fleet) HandleFetch(q hookhall.FetchRequest) hookhall.FetchReply {
-	f.takeView(q.View)
+	f.adoptEncoded(q.View)
 	return f.store.Records(q.Epoch, q.Slots)
 }
 
-// allGone tells whether no member of a pair can grant any more: none is a
+// isPairGone reports whether no member of a pair can grant any more: none is a
 // member now, and none is unfenced.
-func allGone(v *hookhall.View, pair []hookhall.Member) bool {
+func isPairGone(v *hookhall.View, pair []hookhall.Member) bool {
 	for _, m := range pair {
 		if _, ok := view.Find(v, m.ID); ok {
 			return false
@@ -152,10 +161,11 @@
 	return true
 }
 
-// beforeHistory settles an epoch that the view no longer tells the members of:
-// with nobody unfenced, all of them are gone or have moved on, and what they
-// granted expires within the retention.
-func (f *Fleet) beforeHistory(v *hookhall.View, n claim.Need, now time.Time) {
+// expireBeforeHistory handles a missing layer of an epoch whose members the view's history
+// no longer has. If no member is unfenced, all members of that epoch are gone or have
+// moved on to a later one, and their grants expire within the retention. After that time,
+// the layer and all earlier ones of the slot count as held.
+func (f *Fleet) expireBeforeHistory(v *hookhall.View, n claim.Need, now time.Time) {
 	if len(v.Unfenced) > 0 {
 		return
 	}
