--- a/internal/coordination/claims/claims.go
+++ b/internal/coordination/claims/claims.go
@@ -58,7 +58,7 @@
 	// maxSettleAttempts bounds the attempts to settle a claim; after them, the
 	// claim stays as it is until it expires. A release is given up after a quarter.
 	maxSettleAttempts = 30
-	// KeepAnswer is the size in bytes of the largest answer that is stored with a
+	// MaxAnswerBytes is the size in bytes of the largest answer that is stored with a
 	// claim; a larger one is dropped.
 	KeepAnswer = 64 << 10
 )
@@ -82,8 +82,8 @@
 }
 
 // New returns a Claims that keeps its records in s and reaches other entries
-// through p. Tokens count up from a random number, so that those of two
-// incarnations of an entry differ.
+// through p. Tokens count up from a random number, so that those of different
+// processes differ.
 func New(s *claim.Store, f *fleet.Fleet, p hookhall.Peers, l *log.Logger) *Claims {
 	c := &Claims{store: s, fleet: f, peers: p, log: l}
 	c.lastToken.Store(rand.Uint64() >> 1)
@@ -307,7 +307,7 @@
 // Settle ends a claim in the given state. It returns when the owner and the
 // standby have stored the settlement, or after wait; in the latter case it goes on
 // in the background, which Drain waits for. An answer that is larger than
-// KeepAnswer is not stored.
+// MaxAnswerBytes is not stored.
 func (c *Claims) Settle(t *Ticket, state hookhall.RecordState, answer []byte, wait time.Duration) {
 	if len(answer) > KeepAnswer {
 		answer = nil
--- a/internal/coordination/fleet/doc.go
+++ b/internal/coordination/fleet/doc.go
@@ -9,8 +9,8 @@
 //
 // The view is stored under one key of the key-value service. An entry that is
 // ready adds itself by compare-and-swap; one that stops removes itself. Each
-// member sends heartbeats to the next members, as many as Successors, on a ring
-// ordered by hash, so the work per member does not grow with the fleet. When a
+// member sends heartbeats to the SuccessorCount next members on a ring ordered by
+// hash, so the work per member does not grow with the fleet. When a
 // member has missed several heartbeats in a row, the sender asks two other
 // members to probe it; if they can't reach it either, the sender removes it from
 // the view. Heartbeats carry epochs and table versions, so updates spread while
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -20,7 +20,7 @@
 	"github.com/pkg/errors"
 )
 
-// Successors is the number of members that each member sends heartbeats to.
+// SuccessorCount is the number of members that each member sends heartbeats to.
 const Successors = 3
 
 const (
@@ -33,12 +33,12 @@
 
 // Timing holds the settings of failure detection.
 type Timing struct {
-	// Heartbeat is the time between heartbeats to one member, and the timeout of one.
+	// HeartbeatInterval is the time between heartbeats to one member, and their timeout.
 	Heartbeat time.Duration
-	// Suspect is the number of failed heartbeats in a row after which other members
+	// SuspectThreshold is the number of failed heartbeats in a row after which other members
 	// are asked to probe the member.
 	Suspect int
-	// List is the time between reads of the platform's instance list.
+	// ListInterval is the time between reads of the platform's instance list.
 	List time.Duration
 }
 
@@ -65,8 +65,8 @@
 	leaving atomic.Bool
 	// listing is the instance list as last read; nil before the first read.
 	listing atomic.Pointer[Listing]
-	// serviceFailedAt is the time of this process's last failed call of the key-value
-	// service; nil if none has failed.
+	// serviceFailedAt is the time at which this process last failed to watch or read the
+	// view in the key-value service; nil if it never did.
 	serviceFailedAt atomic.Pointer[time.Time]
 	// mu guards suspicions.
 	mu sync.Mutex
@@ -83,7 +83,7 @@
 // Listing is one read of the platform's instance list.
 type Listing struct {
 	Instances []hookhall.Instance
-	// At is the time of the read, by package clock.
+	// ReadAt is the time of the read, by package clock.
 	At time.Time
 }
 
@@ -97,13 +97,13 @@
 	return false
 }
 
-// Parts holds the dependencies and settings of a Fleet.
+// Config holds the dependencies and settings of a Fleet.
 type Parts struct {
 	// Self is this process as a member.
 	Self hookhall.Member
 	// KV stores the view.
 	KV hookhall.KeyValue
-	// List is the platform's instance list.
+	// InstanceList is the platform's instance list.
 	List hookhall.InstanceList
 	// Peers gives the clients of other members.
 	Peers hookhall.Peers
@@ -111,19 +111,19 @@
 	Store *claim.Store
 	// Tables holds the routing table, whose versions heartbeats carry.
 	Tables *tables.Keeper
-	// Timing is DefaultTiming if its Heartbeat is 0.
+	// Timing is replaced by DefaultTiming if its HeartbeatInterval is 0.
 	Timing Timing
 	Log    *log.Logger
 }
 
 // New returns a Fleet whose process is not yet a member of the view.
-func New(p Parts) *Fleet {
-	if p.Timing.Heartbeat == 0 {
-		p.Timing = DefaultTiming
+func New(config Parts) *Fleet {
+	if config.Timing.Heartbeat == 0 {
+		config.Timing = DefaultTiming
 	}
 	return &Fleet{
-		self: p.Self, kv: p.KV, instanceList: p.List, peers: p.Peers, store: p.Store,
-		tables: p.Tables, timing: p.Timing, log: p.Log,
+		self: config.Self, kv: config.KV, instanceList: config.List, peers: config.Peers, store: config.Store,
+		tables: config.Tables, timing: config.Timing, log: config.Log,
 		suspicions: map[string]suspicion{}, repairRequested: make(chan struct{}, 1),
 	}
 }
@@ -134,10 +134,10 @@
 // View returns the view in force, which must not be modified.
 func (f *Fleet) View() *hookhall.View { return f.store.Placement().View }
 
-// Listed returns the instance list as last read, nil before the first read.
+// LatestListing returns the instance list as last read, nil before the first read.
 func (f *Fleet) Listed() *Listing { return f.listing.Load() }
 
-// Writes returns the number of view writes that this process has attempted since its
+// ViewWrites returns the number of view writes that this process has attempted since its
 // start, failed ones included.
 func (f *Fleet) Writes() int64 { return f.viewWrites.Load() }
 
--- a/internal/coordination/fleet/heartbeat.go
+++ b/internal/coordination/fleet/heartbeat.go
@@ -29,7 +29,7 @@
 )
 
 // heartbeatLoop probes this process's successors, all at once, about every
-// Timing.Heartbeat.
+// Timing.HeartbeatInterval.
 func (f *Fleet) heartbeatLoop(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(f.timing.Heartbeat)) {
 		var wg sync.WaitGroup
@@ -94,7 +94,7 @@
 	return f.isMember() && clock.Since(since) >= isolatedSuspectFactor*time.Duration(f.timing.Suspect)*f.timing.Heartbeat
 }
 
-// noteServiceFailure records that a call of the key-value service failed now.
+// noteServiceFailure records that a watch or read of the view failed now.
 func (f *Fleet) noteServiceFailure() {
 	now := clock.Now()
 	f.serviceFailedAt.Store(&now)
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// CatchUp fetches the newest table among this process's successors. It is called before
+// FetchNewestTable fetches the newest table among this process's successors. It is called before
 // the process serves, since the key-value service may have returned an older one.
 func (f *Fleet) CatchUp(ctx context.Context) {
 	for _, m := range successors(f.View().Members, f.self.ID, Successors) {
@@ -261,7 +261,7 @@
 	return listing != nil && clock.Since(listing.At) < 3*f.timing.List && len(listing.Instances) > 0 && !listing.Has(m.Instance)
 }
 
-// listLoop reads the instance list every Timing.List, and fences removed members that it
+// listLoop reads the instance list every Timing.ListInterval, and fences removed members that it
 // no longer has.
 func (f *Fleet) listLoop(ctx context.Context) {
 	// An empty list is read again sooner: the list of a new fleet lags.
--- a/internal/coordination/fleet/leaving.go
+++ b/internal/coordination/fleet/leaving.go
@@ -42,7 +42,7 @@
 	return false
 }
 
-// HeardLeaving reports whether a peer's recent heartbeat reported the target as leaving. The
+// IsReportedLeaving reports whether a peer's recent heartbeat reported the target as leaving. The
 // instance list lags, so peers may know it earlier.
 func (f *Fleet) HeardLeaving(id string, now time.Time) bool { return f.leavingReports.has(id, now) }
 
--- a/internal/coordination/fleet/membership_test.go
+++ b/internal/coordination/fleet/membership_test.go
@@ -112,7 +112,7 @@
 	cutLinks map[string]bool
 }
 
-// way is one member's client of another.
+// memberLink is one member's client of another.
 type way struct {
 	hookhall.Peer
 	m        *memberGroup
--- a/internal/coordination/fleet/repair.go
+++ b/internal/coordination/fleet/repair.go
@@ -163,7 +163,7 @@
 
 // expireBeforeHistory handles a missing layer of an epoch whose members the view's history
 // no longer has. If no member is unfenced, all members of that epoch are gone or have
-// moved on to a later one, and their grants expire within the retention. After that time,
+// advanced to a later one, and their grants expire within the retention. After that time,
 // the layer and all earlier ones of the slot count as held.
 func (f *Fleet) expireBeforeHistory(v *hookhall.View, n claim.Need, now time.Time) {
 	if len(v.Unfenced) > 0 {
