--- a/internal/coordination/rollouts/doc.go
+++ b/internal/coordination/rollouts/doc.go
@@ -1,24 +1,25 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rollouts carries out operators' orders to move a service to another version.
+// Package rollouts moves the requests of a service to another version when operators order
+// a rollout.
 //
 // # Model
 //
-// Each process knows the orders, from the store or from the news of others, and how far
-// each has come. By that it says which versions may run a request, and counts what the
-// answers show. Several times a second it tells all that it has counted to the order's
-// owner, one process found by rendezvous hashing, and is told the phase in return. The
-// owner adds the latest word of each process up, decides (package state/rollout), and
-// writes the state to the store. A successor begins with what the others tell it next,
-// and with the state in the store.
+// Each process keeps the rollouts in force, which it learns from the store or from peers,
+// and the phase of each. From the phase it derives which versions may get a request, and it
+// counts the answers of the old and the new version. Several times a second it reports its
+// totals to the owner of each rollout, one process chosen by rendezvous hashing, and the
+// reply carries the phase. The owner adds up the latest report of each process, decides the
+// next phase (package state/rollout), and writes the status to the store. A new owner
+// starts from the next reports and from the status in the store.
 //
 // # Invariants
 //
-//   - A process that does not know how far an order has come sends nothing to the new
-//     version, unless there is no other.
-//   - A final state is decided by the store: it is written under a condition, and whoever
-//     finds another one there takes that over.
-//   - What a process tells is all that it has counted, so that a word that is lost or
-//     comes twice changes nothing.
+//   - A process that does not know the phase of a rollout sends nothing to the new version,
+//     unless there is no other.
+//   - The store decides a final state: it is written under a condition, and an owner that
+//     finds another state there adopts it.
+//   - A report carries totals, not increments, so that a lost or duplicate report changes
+//     nothing.
 package rollouts
--- a/internal/coordination/rollouts/owner.go
+++ b/internal/coordination/rollouts/owner.go
@@ -16,210 +16,217 @@
 )
 
 const (
-	// reportEvery is how often a process tells what it has counted: often enough for a
-	// version to be rolled back within a second of the answers that show that it is bad.
-	reportEvery = 250 * time.Millisecond
-	// reportTime bounds telling it.
-	reportTime = 300 * time.Millisecond
-	// storeTime bounds a call of the store.
-	storeTime = 900 * time.Millisecond
-	// wordKeeps is for how long a process that tells nothing any more is believed to have
-	// requests in progress.
-	wordKeeps = 4 * reportEvery
-	// keyPrefix names the work of owning a service's Rollout.
-	keyPrefix = "rollout/"
+	// reportInterval is the mean time between two reports of a process: short enough that a
+	// version is rolled back within a second of the answers that show that it is bad.
+	reportInterval = 250 * time.Millisecond
+	// reportTimeout bounds the call that sends a report to an owner.
+	reportTimeout = 300 * time.Millisecond
+	// storeTimeout bounds the store calls of one decision.
+	storeTimeout = 900 * time.Millisecond
+	// inFlightMaxAge is the age up to which a process's last report counts as requests in
+	// progress at old targets. A process that sent none for this long is taken to
+	// have ended, and does not hold up the completion of a rollout.
+	inFlightMaxAge = 4 * reportInterval
+	// ownerKeyPrefix begins the keys by which the owners of rollouts are chosen; the service
+	// follows.
+	ownerKeyPrefix = "rollout/"
 )
 
-// Run tells owners what this process has counted, and decides what it owns, until ctx
-// ends.
+// Run reports the totals of this process to the owners of rollouts, and decides the rollouts
+// that this process owns, until ctx ends.
 func (r *Rollouts) Run(ctx context.Context) {
-	for retry.Sleep(ctx, retry.Jitter(reportEvery)) {
-		if r.any.Load() {
+	for retry.Sleep(ctx, retry.Jitter(reportInterval)) {
+		if r.hasRollouts.Load() {
 			r.step(ctx)
 		}
 	}
 }
 
-// step is one round of Run.
+// step runs one round of Run.
 func (r *Rollouts) step(ctx context.Context) {
-	byOwner := map[string][]Tally{}
-	for _, t := range r.counted() {
-		owner := r.Fleet.Owner(keyPrefix+t.Service, nil, clock.Now()).Address
+	talliesByOwner := map[string][]Tally{}
+	for _, t := range r.tallies() {
+		owner := r.Fleet.Owner(ownerKeyPrefix+t.Service, nil, clock.Now()).Address
 		switch {
 		case owner == r.Fleet.Self().Address:
 			r.decide(ctx, t.Service)
 		case !t.Phase.Final():
-			byOwner[owner] = append(byOwner[owner], t)
+			talliesByOwner[owner] = append(talliesByOwner[owner], t)
 		}
 	}
-	for owner, tallies := range byOwner {
-		r.tell(ctx, owner, Report{Reporter: r.Fleet.Self().Address, Tallies: tallies})
+	for owner, tallies := range talliesByOwner {
+		r.sendReport(ctx, owner, Report{Reporter: r.Fleet.Self().Address, Tallies: tallies})
 	}
 }
 
-// counted is all that this process has counted.
-func (r *Rollouts) counted() []Tally {
+// tallies returns the totals of this process for all rollouts.
+func (r *Rollouts) tallies() []Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
 	var list []Tally
-	for _, o := range r.orders {
-		list = append(list, Tally{o.standing(now), maps.Clone(o.counts), o.atOld})
+	for _, tracked := range r.rolloutsByService {
+		list = append(list, Tally{tracked.progress(now), maps.Clone(tracked.ownEvidence), tracked.ownAtOld})
 	}
 	return list
 }
 
-// tell tells one owner.
-func (r *Rollouts) tell(ctx context.Context, owner string, report Report) {
-	ctx, cancel := context.WithTimeout(ctx, reportTime)
+// sendReport sends a report to an owner and applies the phases in its reply.
+func (r *Rollouts) sendReport(ctx context.Context, owner string, report Report) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	standings, err := r.Remote(owner).Tally(ctx, report)
+	reply, err := r.Remote(owner).Tally(ctx, report)
 	if err != nil {
 		r.Fleet.Suspect(owner, clock.Now())
-		r.Log.Warn("The owner of a roll-out does not answer.", "owner", owner, "error", err.Error())
+		r.Log.Warn("rollout owner did not answer", "owner", owner, "error", err.Error())
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range standings {
-		if known := r.orders[s.Service]; known != nil && known.Revision == s.Revision {
-			r.enter(known, s.Phase, owner, clock.Now())
+	for _, s := range reply {
+		if known := r.rolloutsByService[s.Service]; known != nil && known.Revision == s.Revision {
+			r.advance(known, s.Phase, owner, clock.Now())
 		}
 	}
 }
 
-// Take takes in another process's word, and returns how far the orders have come.
+// Take stores the totals that another process reports to this one as the owner, and returns
+// the progress of the reported rollouts. It leaves out those of which this process knows a
+// later revision.
 func (r *Rollouts) Take(report Report) []Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
 	var list []Standing
 	for _, t := range report.Tallies {
-		known := r.orders[t.Service]
+		known := r.rolloutsByService[t.Service]
 		if known == nil || known.Revision < t.Revision {
-			// The reporter has heard of it first.
-			r.take(t.Standing, report.Reporter)
-			r.any.Store(true)
-			known = r.orders[t.Service]
+			// The reporter learned of the rollout before this process did.
+			r.merge(t.Standing, report.Reporter)
+			r.hasRollouts.Store(true)
+			known = r.rolloutsByService[t.Service]
 		}
 		if known.Revision != t.Revision {
 			continue
 		}
-		r.take(t.Standing, report.Reporter)
-		known.told[report.Reporter] = word{t, now}
-		list = append(list, known.standing(now))
+		r.merge(t.Standing, report.Reporter)
+		known.tallyByReporter[report.Reporter] = receivedTally{t, now}
+		list = append(list, known.progress(now))
 	}
 	return list
 }
 
-// decide has an order that this process owns come further.
+// decide advances a rollout that this process owns, and writes its status if that changed.
 func (r *Rollouts) decide(ctx context.Context, service string) {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	r.mu.Lock()
-	o := r.orders[service]
-	ended := o == nil || (o.phase.Final() && o.wrote == o.phase.State())
+	tracked := r.rolloutsByService[service]
+	ended := tracked == nil || (tracked.phase.Final() && tracked.publishedState == tracked.phase.State())
 	r.mu.Unlock()
-	if ended || !r.asked(ctx, o) {
+	if ended || !r.loadStatus(ctx, tracked) {
 		return
 	}
-	if state := r.judge(o, clock.Now()); state != "" {
-		r.write(ctx, o, state)
+	if state := r.evaluate(tracked, clock.Now()); state != "" {
+		r.writeStatus(ctx, tracked, state)
 	}
 }
 
-// judge takes in what is known of an order, and returns the state that operators are to
-// be told, "" when they know. It is completed only once the store says so: then the old
-// targets end.
-func (r *Rollouts) judge(o *order, now time.Time) hookhall.RolloutState {
+// evaluate decides the next phase of a rollout, and returns the state to write to the store,
+// "" if the store has it. The phase becomes Completed only after the store has accepted that
+// state, since operators then stop the old targets.
+func (r *Rollouts) evaluate(tracked *trackedRollout, now time.Time) hookhall.RolloutState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := o.situation(now)
+	s := tracked.situation(now)
 	next, why := s.Next()
-	if next != o.phase {
-		r.Log.Info("A roll-out is decided.", "service", o.Service, "version", o.Version, "phase", next, "why", why, "age", s.Age, "at_old", s.AtOld, "evidence", s.Evidence)
+	if next != tracked.phase {
+		r.Log.Info("rollout phase decided", "service", tracked.Service, "version", tracked.Version, "phase", next, "why", why, "age", s.Age, "at_old", s.AtOld, "evidence", s.Evidence)
 	}
 	if next != rollout.Completed {
-		r.enter(o, next, "this process", now)
+		r.advance(tracked, next, "this process", now)
 	}
-	if state := next.State(); state != o.wrote {
+	if state := next.State(); state != tracked.publishedState {
 		return state
 	}
 	return ""
 }
 
-// situation is what the owner knows. The caller holds the lock.
-func (o *order) situation(now time.Time) rollout.Situation {
-	s := rollout.Situation{Phase: o.phase, Age: now.Sub(o.heard), Time: o.Time, AtOld: o.atOld, Evidence: rollout.Evidence{}}
-	if !o.moved.IsZero() {
-		s.Moved = now.Sub(o.moved)
-	}
-	s.Evidence.Add(o.counts)
-	for _, w := range o.told {
-		s.Evidence.Add(w.Evidence)
-		if now.Sub(w.at) < wordKeeps {
-			s.AtOld += w.AtOld
+// situation returns what the owner's decision is based on: the totals of this process and
+// the latest report of each other one. Rollouts.mu must be held.
+func (t *trackedRollout) situation(now time.Time) rollout.Situation {
+	s := rollout.Situation{Phase: t.phase, Age: now.Sub(t.learnedAt), Time: t.Time, AtOld: t.ownAtOld, Evidence: rollout.Evidence{}}
+	if !t.movedAt.IsZero() {
+		s.Moved = now.Sub(t.movedAt)
+	}
+	s.Evidence.Add(t.ownEvidence)
+	for _, received := range t.tallyByReporter {
+		s.Evidence.Add(received.Evidence)
+		if now.Sub(received.receivedAt) < inFlightMaxAge {
+			s.AtOld += received.AtOld
 		}
 	}
 	return s
 }
 
-// asked reads the state in the store once: another owner may have been before.
-func (r *Rollouts) asked(ctx context.Context, o *order) bool {
+// loadStatus reads the status in the store, unless it was read before, and reports whether
+// it is known. A previous owner may have written a status.
+func (r *Rollouts) loadStatus(ctx context.Context, tracked *trackedRollout) bool {
 	r.mu.Lock()
-	known := o.asked
+	loaded := tracked.statusLoaded
 	r.mu.Unlock()
-	if known {
+	if loaded {
 		return true
 	}
-	item, _, err := r.Store.Get(ctx, r.Keys.StatusKey(o.Service))
+	item, _, err := r.Store.Get(ctx, r.Keys.StatusKey(tracked.Service))
 	if err != nil {
-		r.Log.Warn("The state of a roll-out can't be read; nothing is decided before.", "service", o.Service, "error", err.Error())
+		r.Log.Warn("could not read rollout status; decision postponed", "service", tracked.Service, "error", err.Error())
 		return false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.asked, o.status = true, item.Revision
-	if item.Revision > o.Revision {
-		r.adopt(o, item)
+	tracked.statusLoaded, tracked.statusRevision = true, item.Revision
+	if item.Revision > tracked.Revision {
+		r.adoptStatus(tracked, item)
 	}
 	return true
 }
 
-// adopt takes over the state that another process has written. The caller holds r.mu.
-func (r *Rollouts) adopt(o *order, item hookhall.Item) {
+// adoptStatus applies a status that another process has written. r.mu must be held.
+func (r *Rollouts) adoptStatus(tracked *trackedRollout, item hookhall.Item) {
 	status, err := r.Keys.ReadStatus(item.Value)
-	if err != nil || status.Version != o.Version {
-		return // the state of another order, or of nobody's
+	if err != nil || status.Version != tracked.Version {
+		return // the status of another rollout, or an undecodable one
 	}
-	o.wrote = status.State
-	if status.State.Final() && o.phase.Final() {
-		o.phase = rollout.PhaseOf(status.State) // two owners decided; operators were told this
+	tracked.publishedState = status.State
+	if status.State.Final() && tracked.phase.Final() {
+		tracked.phase = rollout.PhaseOf(status.State) // two owners decided; operators may have acted on the written one
 		return
 	}
-	r.enter(o, rollout.PhaseOf(status.State), "store", clock.Now())
+	r.advance(tracked, rollout.PhaseOf(status.State), "store", clock.Now())
 }
 
-// write tells operators a state, unless another process has told one meanwhile.
-func (r *Rollouts) write(ctx context.Context, o *order, state hookhall.RolloutState) {
-	value, err := r.Keys.WriteStatus(hookhall.RolloutStatus{Version: o.Version, State: state})
+// writeStatus writes a state to the store for operators, unless another process has written
+// the status since it was loaded. After a failure the status is loaded again.
+func (r *Rollouts) writeStatus(ctx context.Context, tracked *trackedRollout, state hookhall.RolloutState) {
+	value, err := r.Keys.WriteStatus(hookhall.RolloutStatus{Version: tracked.Version, State: state})
 	if err != nil {
-		r.Log.Error("The state of a roll-out can't be encoded.", "service", o.Service, "error", err.Error())
+		r.Log.Error("could not encode rollout status", "service", tracked.Service, "error", err.Error())
 		return
 	}
-	at, err := r.Store.Swap(ctx, r.Keys.StatusKey(o.Service), value, o.status)
+	revision, err := r.Store.Swap(ctx, r.Keys.StatusKey(tracked.Service), value, tracked.statusRevision)
 	if err != nil {
 		r.mu.Lock()
-		o.asked = false // it may have been written all the same, or by another process
+		tracked.statusLoaded = false // this write may have succeeded, or another process has written
 		r.mu.Unlock()
 		if !errors.Is(err, hookhall.ErrConflict) {
-			r.Log.Warn("The state of a roll-out can't be written; it is tried again.", "service", o.Service, "state", state, "error", err.Error())
+			r.Log.Warn("could not write rollout status; will retry", "service", tracked.Service, "state", state, "error", err.Error())
 		}
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o.wrote, o.status = state, at
-	r.enter(o, rollout.PhaseOf(state), "store", clock.Now())
-	r.Log.Info("Operators are told the state of a roll-out.", "service", o.Service, "version", o.Version, "state", state)
+	tracked.publishedState, tracked.statusRevision = state, revision
+	r.advance(tracked, rollout.PhaseOf(state), "store", clock.Now())
+	r.Log.Info("rollout status written", "service", tracked.Service, "version", tracked.Version, "state", state)
 }
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -19,102 +19,117 @@
 	"github.com/hookhall/hookhall/internal/state/rollout"
 )
 
-// Fleet finds the owners of orders.
+// Fleet finds the processes that own rollouts.
 type Fleet interface {
+	// Self returns this process.
 	Self() hookhall.Member
+	// Owner returns the process that owns a key at now. It is none of those in skip, which
+	// has addresses as keys.
 	Owner(key string, skip map[string]bool, now time.Time) hookhall.Member
+	// Suspect records that the process at an address did not answer.
 	Suspect(address string, now time.Time)
 }
 
-// Remote is another process.
+// Remote sends reports to another process.
 type Remote interface {
+	// Tally sends a report to an owner and returns the progress of the reported rollouts.
 	Tally(ctx context.Context, r Report) ([]Standing, error)
 }
 
-// Directory is what is read of the catalog.
+// Directory lists targets.
 type Directory interface {
+	// Targets returns the targets of a service, of all versions.
 	Targets(pool string) []hookhall.Target
 }
 
-// Standing is an order and how far it has come, for all that a process knows.
+// Standing is a rollout and its progress as one process knows it.
 type Standing struct {
 	hookhall.Rollout
 	Phase rollout.Phase
-	Age   time.Duration // since the process heard of the order
+	// Age is the time since the rollout was first received, by this process or by a peer
+	// that it learned the rollout from.
+	Age time.Duration
 }
 
-// Orders are all that operators have ordered, as of a revision of the store.
+// Orders are the rollouts in force at a revision of the store.
 type Orders struct {
 	Revision hookhall.Revision
 	List     []Standing
 }
 
-// Tally is what one process has counted of an order.
+// Tally is the totals that one process has counted for a rollout.
 type Tally struct {
 	Standing
 	Evidence rollout.Evidence
-	AtOld    int // requests that run at old targets
+	AtOld    int // requests in progress at targets of the old version
 }
 
-// Report is a process's word to an owner.
+// Report carries the totals of one process to an owner.
 type Report struct {
 	Reporter string // its address
 	Tallies  []Tally
 }
 
-// Rollouts are the orders that this process knows.
+// Rollouts holds the rollouts that this process knows, and the totals that it has counted
+// for them. It is safe for concurrent use; its exported fields are set before the first use.
 type Rollouts struct {
 	Keys      hookhall.RolloutKeys
 	Store     hookhall.Store
 	Fleet     Fleet
-	Remote    func(address string) Remote
+	Remote    func(address string) Remote // returns the client of a process
 	Directory Directory
-	// Share is what a version that may be bad may get of a service's requests.
+	// Share bounds the share of a service's requests, from 0 to 1, that a version may get
+	// before it is known to be good.
 	Share float64
 	Log   *log.Logger
 
-	// any is set while there are orders: requests of other times take no lock.
-	any atomic.Bool
+	// hasRollouts is set while there are rollouts, so that without any a request takes no
+	// lock.
+	hasRollouts atomic.Bool
 
-	mu       sync.Mutex
-	revision hookhall.Revision
-	orders   map[string]*order // by service
+	mu                sync.Mutex
+	revision          hookhall.Revision // of the store, at which the rollouts were in force
+	rolloutsByService map[string]*trackedRollout
 }
 
-// order is one with what is known of it.
-type order struct {
+// trackedRollout is a rollout with its progress and totals. Rollouts.mu guards all fields
+// except the embedded Rollout, which does not change.
+type trackedRollout struct {
 	hookhall.Rollout
-	phase  rollout.Phase
-	heard  time.Time
-	moved  time.Time // when all requests were given to the new version
-	counts rollout.Evidence
-	atOld  int
+	phase       rollout.Phase
+	learnedAt   time.Time        // when it was first received, here or by a peer
+	movedAt     time.Time        // when all requests went to the new version; zero before
+	ownEvidence rollout.Evidence // counted by this process
+	ownAtOld    int              // requests of this process in progress at old targets
 
-	// The rest is the owner's.
-	told   map[string]word // the latest of each process, by address
-	asked  bool            // the state in the store was read
-	wrote  hookhall.RolloutState
-	status hookhall.Revision // of the state in the store
+	// Only the owner uses the fields that follow.
+	tallyByReporter map[string]receivedTally // the latest of each process, by address
+	statusLoaded    bool                     // the status was read from the store
+	publishedState  hookhall.RolloutState    // in the store
+	statusRevision  hookhall.Revision        // of the status in the store; only Run uses it
 }
 
-// word is what a process told, and when.
-type word struct {
+// receivedTally is the tally of another process.
+type receivedTally struct {
 	Tally
-	at time.Time
+	receivedAt time.Time
 }
 
-// Read takes in the operators' keys that the store had at a revision; whole tells that it
-// had no others. It tells whether an order changed.
+// Read applies the items of operators' keys that the store had at a revision, and reports
+// whether any rollout was added, replaced or withdrawn. If whole is set, the items are
+// complete and all other rollouts are withdrawn; otherwise the items are changes. Revisions
+// before the present one are ignored. An item that can't be decoded keeps the previous
+// rollout in force.
 func (r *Rollouts) Read(items []hookhall.Item, at hookhall.Revision, whole bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at < r.revision {
 		return false
 	}
-	list := map[string]hookhall.Rollout{}
+	listed := map[string]hookhall.Rollout{}
 	if !whole {
-		for service, o := range r.orders {
-			list[service] = o.Rollout
+		for service, tracked := range r.rolloutsByService {
+			listed[service] = tracked.Rollout
 		}
 	}
 	for _, i := range items {
@@ -123,28 +138,30 @@
 			continue
 		}
 		if i.Gone {
-			delete(list, service)
+			delete(listed, service)
 			continue
 		}
 		o, _, err := r.Keys.Rollout(i.Key, i.Value)
 		if err != nil {
-			r.Log.Warn("An order of a roll-out can't be read; the one before stays.", "key", i.Key, "bytes", len(i.Value), "error", err.Error())
-			if was := r.orders[service]; was != nil {
-				list[service] = was.Rollout
+			r.Log.Warn("could not decode rollout; keeping the previous one", "key", i.Key, "bytes", len(i.Value), "error", err.Error())
+			if previous := r.rolloutsByService[service]; previous != nil {
+				listed[service] = previous.Rollout
 			}
 			continue
 		}
 		o.Revision = i.Revision
-		list[service] = o
+		listed[service] = o
 	}
-	var standings []Standing
-	for _, o := range list {
-		standings = append(standings, Standing{Rollout: o})
+	var list []Standing
+	for _, o := range listed {
+		list = append(list, Standing{Rollout: o})
 	}
-	return r.replace(Orders{at, standings}, "store")
+	return r.replaceAll(Orders{at, list}, "store")
 }
 
-// Learn takes in what a peer knows of the orders.
+// Learn applies the rollouts that a peer knows, unless they are of an earlier revision than
+// those known here. Rollouts that the peer does not list are withdrawn. Revision 0, a peer
+// that has not read the store, is ignored.
 func (r *Rollouts) Learn(o Orders, from string) {
 	if o.Revision == 0 {
 		return
@@ -154,172 +171,181 @@
 	if o.Revision < r.revision {
 		return
 	}
-	r.replace(o, from)
+	r.replaceAll(o, from)
 }
 
-// replace puts orders in force, and tells whether any changed. The caller holds r.mu.
-func (r *Rollouts) replace(o Orders, from string) (changed bool) {
+// replaceAll makes o the rollouts in force, and reports whether any was added, replaced or
+// withdrawn. r.mu must be held.
+func (r *Rollouts) replaceAll(o Orders, from string) (changed bool) {
 	r.revision = o.Revision
-	if r.orders == nil {
-		r.orders = map[string]*order{}
+	if r.rolloutsByService == nil {
+		r.rolloutsByService = map[string]*trackedRollout{}
 	}
-	listed := map[string]bool{}
+	isListed := map[string]bool{}
 	for _, s := range o.List {
-		listed[s.Service] = true
-		changed = r.take(s, from) || changed
+		isListed[s.Service] = true
+		changed = r.merge(s, from) || changed
 	}
-	for service, known := range r.orders {
-		if !listed[service] {
-			r.Log.Info("The order of a roll-out is withdrawn.", "service", service, "version", known.Version, "from", from)
-			delete(r.orders, service)
+	for service, known := range r.rolloutsByService {
+		if !isListed[service] {
+			r.Log.Info("rollout withdrawn", "service", service, "version", known.Version, "from", from)
+			delete(r.rolloutsByService, service)
 			changed = true
 		}
 	}
-	r.any.Store(len(r.orders) > 0)
+	r.hasRollouts.Store(len(r.rolloutsByService) > 0)
 	return changed
 }
 
-// take takes one order in. The caller holds r.mu.
-func (r *Rollouts) take(s Standing, from string) bool {
+// merge merges a rollout and its progress into those known, and reports whether the rollout
+// is a new one. A later revision replaces the rollout together with its totals. r.mu must be
+// held.
+func (r *Rollouts) merge(s Standing, from string) bool {
 	now := clock.Now()
-	known := r.orders[s.Service]
+	known := r.rolloutsByService[s.Service]
 	if known == nil || known.Revision < s.Revision {
-		known = &order{Rollout: s.Rollout, heard: now.Add(-s.Age), counts: rollout.Evidence{}, told: map[string]word{}}
-		r.orders[s.Service] = known
-		r.Log.Info("A roll-out is ordered.", "service", s.Service, "version", s.Version, "time", s.Time, "revision", s.Revision, "from", from)
-		r.enter(known, s.Phase, from, now)
+		known = &trackedRollout{Rollout: s.Rollout, learnedAt: now.Add(-s.Age), ownEvidence: rollout.Evidence{}, tallyByReporter: map[string]receivedTally{}}
+		r.rolloutsByService[s.Service] = known
+		r.Log.Info("rollout received", "service", s.Service, "version", s.Version, "time", s.Time, "revision", s.Revision, "from", from)
+		r.advance(known, s.Phase, from, now)
 		return true
 	}
 	if known.Revision > s.Revision {
 		return false
 	}
-	if heard := now.Add(-s.Age); heard.Before(known.heard) {
-		known.heard = heard
+	if learnedAt := now.Add(-s.Age); learnedAt.Before(known.learnedAt) {
+		known.learnedAt = learnedAt
 	}
-	r.enter(known, s.Phase, from, now)
+	r.advance(known, s.Phase, from, now)
 	return false
 }
 
-// enter takes in that an order has come as far as a phase. The caller holds r.mu.
-func (r *Rollouts) enter(o *order, p rollout.Phase, from string, now time.Time) {
-	p = o.phase.Join(p)
-	if p == o.phase {
+// advance moves a rollout on to phase p; an earlier phase than the present one changes
+// nothing. r.mu must be held.
+func (r *Rollouts) advance(tracked *trackedRollout, p rollout.Phase, from string, now time.Time) {
+	p = tracked.phase.Join(p)
+	if p == tracked.phase {
 		return
 	}
-	o.phase = p
-	if o.moved.IsZero() && p >= rollout.Moving {
-		o.moved = now
+	tracked.phase = p
+	if tracked.movedAt.IsZero() && p >= rollout.Moving {
+		tracked.movedAt = now
 	}
-	r.Log.Info("A roll-out has come further.", "service", o.Service, "version", o.Version, "phase", p, "age", now.Sub(o.heard), "from", from)
+	r.Log.Info("rollout phase changed", "service", tracked.Service, "version", tracked.Version, "phase", p, "age", now.Sub(tracked.learnedAt), "from", from)
 }
 
-// Orders are what this process knows, sorted by service.
+// Orders returns the rollouts that this process knows, sorted by service.
 func (r *Rollouts) Orders() Orders {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
 	out := Orders{Revision: r.revision}
-	for _, o := range r.orders {
-		out.List = append(out.List, o.standing(now))
+	for _, tracked := range r.rolloutsByService {
+		out.List = append(out.List, tracked.progress(now))
 	}
 	slices.SortFunc(out.List, func(a, b Standing) int { return strings.Compare(a.Service, b.Service) })
 	return out
 }
 
-func (o *order) standing(now time.Time) Standing {
-	return Standing{o.Rollout, o.phase, now.Sub(o.heard)}
+// progress returns the rollout and its progress. Rollouts.mu must be held.
+func (t *trackedRollout) progress(now time.Time) Standing {
+	return Standing{t.Rollout, t.phase, now.Sub(t.learnedAt)}
 }
 
-// Versions are those that may run a request of a service now. A version on trial is drawn
-// only for a request's first target: what may be sent on is better served by the old one.
+// Versions returns which versions of a service may run a request now; first is set for the
+// request's first attempt. The canary is drawn only for that: a retry is better served by
+// the old version. While all targets run one version, any may be used.
 func (r *Rollouts) Versions(service string, first bool) balance.Versions {
-	if !r.any.Load() {
+	if !r.hasRollouts.Load() {
 		return balance.Versions{}
 	}
 	r.mu.Lock()
-	o := r.orders[service]
-	if o == nil {
+	tracked := r.rolloutsByService[service]
+	if tracked == nil {
 		r.mu.Unlock()
 		return balance.Versions{}
 	}
-	version, phase := o.Version, o.phase
+	version, phase := tracked.Version, tracked.phase
 	r.mu.Unlock()
-	old := 0
+	oldCount := 0
 	targets := r.Directory.Targets(service)
 	for _, t := range targets {
 		if t.Version != version {
-			old++
+			oldCount++
 		}
 	}
-	fresh := len(targets) - old
+	newCount := len(targets) - oldCount
 	switch {
-	case old == 0 || fresh == 0:
-		return balance.Versions{} // there is nothing to choose
+	case oldCount == 0 || newCount == 0:
+		return balance.Versions{} // all targets run one version
 	case phase == rollout.Trial && first && rand.Float64() < rollout.Share(r.Share):
-		return balance.Versions{Only: version, Among: rollout.TrialTargets(r.Share, old)}
+		return balance.Versions{Only: version, Among: rollout.TrialTargets(r.Share, oldCount)}
 	case phase == rollout.Moving || phase == rollout.Completed:
 		return balance.Versions{Only: version}
 	}
 	return balance.Versions{Not: version}
 }
 
-// Usable are those of a service's targets that may be used now, whoever chooses among
-// them, and the version among them that is on trial with its share, "" for none.
-func (r *Rollouts) Usable(service string, targets []hookhall.Target) (list []hookhall.Target, trial string, share float64) {
-	if !r.any.Load() {
+// Usable returns those of a service's targets that may get calls now. During the canary
+// phase these are all targets; then canary is the new version, and share the share of calls,
+// from 0 to 1, that it gets. Otherwise canary is "". The targets passed in are not changed.
+func (r *Rollouts) Usable(service string, targets []hookhall.Target) (list []hookhall.Target, canary string, share float64) {
+	if !r.hasRollouts.Load() {
 		return targets, "", 0
 	}
 	r.mu.Lock()
-	o := r.orders[service]
-	if o == nil {
+	tracked := r.rolloutsByService[service]
+	if tracked == nil {
 		r.mu.Unlock()
 		return targets, "", 0
 	}
-	version, phase := o.Version, o.phase
+	version, phase := tracked.Version, tracked.phase
 	r.mu.Unlock()
 	if phase == rollout.Trial {
 		return targets, version, rollout.Share(r.Share)
 	}
 	wantsNew := phase == rollout.Moving || phase == rollout.Completed
-	other := func(t hookhall.Target) bool { return (t.Version == version) != wantsNew }
-	if !slices.ContainsFunc(targets, other) {
+	isUnwanted := func(t hookhall.Target) bool { return (t.Version == version) != wantsNew }
+	if !slices.ContainsFunc(targets, isUnwanted) {
 		return targets, "", 0
 	}
-	if list = slices.DeleteFunc(slices.Clone(targets), other); len(list) == 0 {
-		return targets, "", 0 // there is nothing to choose
+	if list = slices.DeleteFunc(slices.Clone(targets), isUnwanted); len(list) == 0 {
+		return targets, "", 0 // no target runs the wanted version
 	}
 	return list, "", 0
 }
 
-// Use is one request at a target, as far as an order is concerned; nil for none.
+// Use counts one attempt of a request at a target for a rollout. A nil Use counts nothing.
 type Use struct {
-	rollouts *Rollouts
-	order    *order
-	route    string
-	fresh    bool // of the new version
-	began    time.Time
-	once     sync.Once
+	rollouts     *Rollouts
+	rollout      *trackedRollout
+	route        string
+	isNewVersion bool // the target runs the new version
+	startedAt    time.Time
+	endOnce      sync.Once
 }
 
-// Begin counts a request that is sent to a target.
+// Begin counts the start of an attempt at a target. It returns nil if the target's service
+// has no rollout in progress; otherwise End must be called.
 func (r *Rollouts) Begin(route string, t hookhall.Target) *Use {
-	if !r.any.Load() {
+	if !r.hasRollouts.Load() {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o := r.orders[t.Pool]
-	if o == nil || o.phase.Final() {
+	tracked := r.rolloutsByService[t.Pool]
+	if tracked == nil || tracked.phase.Final() {
 		return nil
 	}
-	u := &Use{rollouts: r, order: o, route: route, fresh: t.Version == o.Version, began: clock.Now()}
-	if !u.fresh {
-		o.atOld++
+	u := &Use{rollouts: r, rollout: tracked, route: route, isNewVersion: t.Version == tracked.Version, startedAt: clock.Now()}
+	if !u.isNewVersion {
+		tracked.ownAtOld++
 	}
 	return u
 }
 
-// Answered counts an answer whose head came after a time, or that failed.
+// Answered counts an answer. took is the time to the head of the answer, and failed is set
+// for a failure.
 func (u *Use) Answered(took time.Duration, failed bool) {
 	if u == nil {
 		return
@@ -329,30 +355,30 @@
 		t.Bad = 1
 	}
 	v := rollout.Versions{Old: t}
-	if u.fresh {
+	if u.isNewVersion {
 		v = rollout.Versions{New: t}
 	}
 	u.rollouts.mu.Lock()
 	defer u.rollouts.mu.Unlock()
-	u.order.counts.Add(rollout.Evidence{u.route: v})
+	u.rollout.ownEvidence.Add(rollout.Evidence{u.route: v})
 }
 
-// Unanswered counts a target that has not answered by now, when nobody waits for it any
-// longer.
+// Unanswered counts an attempt that was abandoned before the target answered. It counts as
+// an answer that took the time so far, not as a failure.
 func (u *Use) Unanswered() {
 	if u != nil {
-		u.Answered(clock.Since(u.began), false)
+		u.Answered(clock.Since(u.startedAt), false)
 	}
 }
 
-// End counts the request's end at the target. It may be called again without effect.
+// End counts the end of the attempt. Further calls have no effect.
 func (u *Use) End() {
-	if u == nil || u.fresh {
+	if u == nil || u.isNewVersion {
 		return
 	}
-	u.once.Do(func() {
+	u.endOnce.Do(func() {
 		u.rollouts.mu.Lock()
 		defer u.rollouts.mu.Unlock()
-		u.order.atOld--
+		u.rollout.ownAtOld--
 	})
 }
--- a/internal/coordination/rollouts/rollouts_test.go
+++ b/internal/coordination/rollouts/rollouts_test.go
@@ -22,14 +22,14 @@
 )
 
 const (
-	service = "recap"
-	old     = "v1"
-	fresh   = "v2"
-	share   = 0.1
-	slack   = 50
+	service    = "recap"
+	oldVersion = "v1"
+	newVersion = "v2"
+	maxShare   = 0.1
+	slack      = 50
 )
 
-// fakeKeys has orders as "version seconds" and states as "version state".
+// fakeKeys encodes rollouts as "version seconds" and statuses as "version state".
 type fakeKeys struct{}
 
 func (fakeKeys) RolloutService(key string) (string, bool) { return strings.CutPrefix(key, "order/") }
@@ -53,41 +53,41 @@
 func (fakeKeys) ReadStatus(value []byte) (hookhall.RolloutStatus, error) {
 	version, state, ok := strings.Cut(string(value), " ")
 	if !ok {
-		return hookhall.RolloutStatus{}, errors.New("no state")
+		return hookhall.RolloutStatus{}, errors.New("status without a state")
 	}
 	return hookhall.RolloutStatus{Version: version, State: hookhall.RolloutState(state)}, nil
 }
 
-// fakeStore has one state; it can be away.
+// fakeStore holds the status of one rollout; it can be unavailable.
 type fakeStore struct {
 	hookhall.Store
-	mu   sync.Mutex
-	item hookhall.Item
-	at   hookhall.Revision
-	away bool
+	mu          sync.Mutex
+	item        hookhall.Item
+	revision    hookhall.Revision
+	unavailable bool
 }
 
 func (s *fakeStore) Get(_ context.Context, key string) (hookhall.Item, hookhall.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unavailable {
 		return hookhall.Item{}, 0, hookhall.ErrUnavailable
 	}
-	return s.item, s.at, nil
+	return s.item, s.revision, nil
 }
 
 func (s *fakeStore) Swap(_ context.Context, key string, value []byte, was hookhall.Revision) (hookhall.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.away:
+	case s.unavailable:
 		return 0, hookhall.ErrUnavailable
 	case s.item.Revision != was:
 		return 0, hookhall.ErrConflict
 	}
-	s.at++
-	s.item = hookhall.Item{Key: key, Value: value, Revision: s.at}
-	return s.at, nil
+	s.revision++
+	s.item = hookhall.Item{Key: key, Value: value, Revision: s.revision}
+	return s.revision, nil
 }
 
 func (s *fakeStore) state() string {
@@ -96,45 +96,46 @@
 	return string(s.item.Value)
 }
 
-// process is one gateway of a fleet.
+// process is one gateway of a fleet. It implements Fleet.
 type process struct {
 	*Rollouts
 	address string
 	fleet   *fleet
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 }
 
 func (p *process) Self() hookhall.Member { return hookhall.Member{Address: p.address} }
 
-// Owner is the first process by address that runs.
+// Owner returns the running process with the lowest address.
 func (p *process) Owner(string, map[string]bool, time.Time) hookhall.Member {
-	return hookhall.Member{Address: p.fleet.first()}
+	return hookhall.Member{Address: p.fleet.ownerAddress()}
 }
 
 func (p *process) Suspect(string, time.Time) {}
 
-// fleet is some gateways before targets of both versions.
+// fleet is a number of gateways that send requests to targets of both versions.
 type fleet struct {
 	mu        sync.Mutex
 	store     *fakeStore
 	targets   []hookhall.Target
 	processes map[string]*process
-	bad       func(t hookhall.Target, age time.Duration) (fails bool, took time.Duration)
-	ordered   time.Time
-	run       sync.WaitGroup
-
-	sent, exposed, failures int
-	lastFresh               time.Time
-	fiftieth                time.Time
-	atOld                   int
+	// answer returns the outcome of a request at a target, age after the start.
+	answer    func(t hookhall.Target, age time.Duration) (fails bool, took time.Duration)
+	startedAt time.Time
+	running   sync.WaitGroup
+
+	sent, sentToNew, failures int
+	lastSentToNewAt           time.Time
+	fiftiethFailureAt         time.Time
+	inFlightAtOld             int
 }
 
-func newFleet(bad func(t hookhall.Target, age time.Duration) (bool, time.Duration)) *fleet {
-	f := &fleet{store: &fakeStore{at: 10}, processes: map[string]*process{}, bad: bad, ordered: time.Now()}
+func newFleet(answer func(t hookhall.Target, age time.Duration) (bool, time.Duration)) *fleet {
+	f := &fleet{store: &fakeStore{revision: 10}, processes: map[string]*process{}, answer: answer, startedAt: time.Now()}
 	for i := range 10 {
 		f.targets = append(f.targets,
-			hookhall.Target{ID: fmt.Sprint("old-", i), Pool: service, Version: old},
-			hookhall.Target{ID: fmt.Sprint("new-", i), Pool: service, Version: fresh})
+			hookhall.Target{ID: fmt.Sprint("old-", i), Pool: service, Version: oldVersion},
+			hookhall.Target{ID: fmt.Sprint("new-", i), Pool: service, Version: newVersion})
 	}
 	return f
 }
@@ -142,42 +143,43 @@
 // Targets implements Directory.
 func (f *fleet) Targets(string) []hookhall.Target { return f.targets }
 
-func (f *fleet) first() string {
+func (f *fleet) ownerAddress() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	first := ""
+	lowest := ""
 	for a := range f.processes {
-		if first == "" || a < first {
-			first = a
+		if lowest == "" || a < lowest {
+			lowest = a
 		}
 	}
-	return first
+	return lowest
 }
 
-func (f *fleet) at(address string) *process {
+func (f *fleet) process(address string) *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.processes[address]
 }
 
-// start starts a process, which another one tells of the orders unless it is the first.
-func (f *fleet) start(address string, told Orders) {
+// start starts a process. It learns the rollout from known, or, if that is empty, from the
+// store.
+func (f *fleet) start(address string, known Orders) {
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &process{address: address, fleet: f, end: cancel}
+	p := &process{address: address, fleet: f, cancel: cancel}
 	p.Rollouts = &Rollouts{
-		Keys: fakeKeys{}, Store: f.store, Fleet: p, Directory: f, Share: share, Log: log.New(io.Discard),
+		Keys: fakeKeys{}, Store: f.store, Fleet: p, Directory: f, Share: maxShare, Log: log.New(io.Discard),
 		Remote: func(to string) Remote { return remote{f, to} },
 	}
-	if told.Revision == 0 {
-		p.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte(fresh + " 16"), Revision: 5}}, 10, true)
+	if known.Revision == 0 {
+		p.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte(newVersion + " 16"), Revision: 5}}, 10, true)
 	} else {
-		p.Learn(told, "peer")
+		p.Learn(known, "peer")
 	}
 	f.mu.Lock()
 	f.processes[address] = p
 	f.mu.Unlock()
-	f.run.Go(func() { p.Run(ctx) })
-	f.run.Go(func() { f.traffic(ctx, p) })
+	f.running.Go(func() { p.Run(ctx) })
+	f.running.Go(func() { f.traffic(ctx, p) })
 }
 
 func (f *fleet) kill(address string) {
@@ -185,16 +187,16 @@
 	p := f.processes[address]
 	delete(f.processes, address)
 	f.mu.Unlock()
-	p.end()
+	p.cancel()
 }
 
 func (f *fleet) stop() {
 	f.mu.Lock()
 	for _, p := range f.processes {
-		p.end()
+		p.cancel()
 	}
 	f.mu.Unlock()
-	f.run.Wait()
+	f.running.Wait()
 }
 
 type remote struct {
@@ -203,9 +205,9 @@
 }
 
 func (r remote) Tally(_ context.Context, report Report) ([]Standing, error) {
-	p := r.fleet.at(r.to)
+	p := r.fleet.process(r.to)
 	if p == nil {
-		return nil, errors.New("it does not run")
+		return nil, errors.New("the process is not running")
 	}
 	return p.Take(report), nil
 }
@@ -215,202 +217,207 @@
 	for ctx.Err() == nil {
 		time.Sleep(time.Duration(rand.Float64() * float64(200*time.Millisecond)))
 		if ctx.Err() == nil {
-			f.run.Go(func() { f.request(p) })
+			f.running.Go(func() { f.request(p) })
 		}
 	}
 }
 
 func (f *fleet) request(p *process) {
 	versions := p.Versions(service, true)
-	var may []hookhall.Target
+	var allowed []hookhall.Target
 	for _, t := range f.targets {
 		if versions.Allow(t) {
-			may = append(may, t)
+			allowed = append(allowed, t)
 		}
 	}
-	t := may[rand.IntN(len(may))]
+	t := allowed[rand.IntN(len(allowed))]
 	u := p.Begin("route", t)
-	fails, took := f.bad(t, time.Since(f.ordered))
+	fails, took := f.answer(t, time.Since(f.startedAt))
 	f.mu.Lock()
 	f.sent++
-	if t.Version == fresh {
-		f.exposed++
-		f.lastFresh = time.Now()
+	if t.Version == newVersion {
+		f.sentToNew++
+		f.lastSentToNewAt = time.Now()
 		if fails {
 			if f.failures++; f.failures == 50 {
-				f.fiftieth = time.Now()
+				f.fiftiethFailureAt = time.Now()
 			}
 		}
 	} else {
-		f.atOld++
+		f.inFlightAtOld++
 	}
 	f.mu.Unlock()
 	time.Sleep(took)
-	u.Answered(clock.Since(u.startOr(clock.Now())), fails)
+	u.Answered(clock.Since(u.startedAtOr(clock.Now())), fails)
 	u.End()
-	if t.Version != fresh {
+	if t.Version != newVersion {
 		f.mu.Lock()
-		f.atOld--
+		f.inFlightAtOld--
 		f.mu.Unlock()
 	}
 }
 
-// startOr is when a use began, or another time when nothing is counted.
-func (u *Use) startOr(otherwise time.Time) time.Time {
+// startedAtOr returns when an attempt began, or otherwise for nil.
+func (u *Use) startedAtOr(otherwise time.Time) time.Time {
 	if u == nil {
 		return otherwise
 	}
-	return u.began
+	return u.startedAt
 }
 
-// sound answers within some hundred milliseconds.
-func sound(hookhall.Target, time.Duration) (bool, time.Duration) {
+// healthy is a version that answers every request, after 50 to 350 ms.
+func healthy(hookhall.Target, time.Duration) (bool, time.Duration) {
 	return false, time.Duration(50+rand.IntN(300)) * time.Millisecond
 }
 
-// failing is a new version that fails half of its answers from an age on.
+// failing returns a new version that fails half of its requests once the age reaches from.
 func failing(from time.Duration) func(hookhall.Target, time.Duration) (bool, time.Duration) {
 	return func(t hookhall.Target, age time.Duration) (bool, time.Duration) {
-		_, took := sound(t, age)
-		return t.Version == fresh && age >= from && rand.IntN(2) == 0, took
+		_, took := healthy(t, age)
+		return t.Version == newVersion && age >= from && rand.IntN(2) == 0, took
 	}
 }
 
-// slow is a new version that takes eight times as long for half of its answers.
+// slow is a new version that takes eight times as long for half of its requests.
 func slow(t hookhall.Target, age time.Duration) (bool, time.Duration) {
-	_, took := sound(t, age)
-	if t.Version == fresh && rand.IntN(2) == 0 {
+	_, took := healthy(t, age)
+	if t.Version == newVersion && rand.IntN(2) == 0 {
 		took *= 8
 	}
 	return false, took
 }
 
-// TestRollouts: orders over a fleet of 40, whose processes are killed in series, the one
-// that decides first, while the store is away for a while.
+// TestRollouts guards against a wrong end of a rollout, too many requests at a bad version,
+// and a completion that is published while requests still run at old targets. It runs one
+// rollout in a fleet of 40, in which the owner is killed every second or the store is
+// unavailable for the first five seconds.
 func TestRollouts(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		bad   func(hookhall.Target, time.Duration) (bool, time.Duration)
-		want  hookhall.RolloutState
-		kills bool
-		away  bool
+		name        string
+		answer      func(hookhall.Target, time.Duration) (bool, time.Duration)
+		want        hookhall.RolloutState
+		kills       bool
+		unavailable bool
 	}{
-		{name: "a good version", bad: sound, want: hookhall.RolloutCompleted},
-		{name: "a good version, kills", bad: sound, want: hookhall.RolloutCompleted, kills: true},
-		{name: "a good version, store away", bad: sound, want: hookhall.RolloutCompleted, away: true},
-		{name: "failures", bad: failing(0), want: hookhall.RolloutRolledBack},
-		{name: "failures after a while", bad: failing(4 * time.Second), want: hookhall.RolloutRolledBack},
-		{name: "failures, kills", bad: failing(0), want: hookhall.RolloutRolledBack, kills: true},
-		{name: "failures, kills, store away", bad: failing(0), want: hookhall.RolloutRolledBack, kills: true, away: true},
-		{name: "slow answers", bad: slow, want: hookhall.RolloutRolledBack},
-		{name: "slow answers, kills", bad: slow, want: hookhall.RolloutRolledBack, kills: true},
+		{name: "a good version", answer: healthy, want: hookhall.RolloutCompleted},
+		{name: "a good version, owner killed", answer: healthy, want: hookhall.RolloutCompleted, kills: true},
+		{name: "a good version, store unavailable", answer: healthy, want: hookhall.RolloutCompleted, unavailable: true},
+		{name: "failures", answer: failing(0), want: hookhall.RolloutRolledBack},
+		{name: "failures after a while", answer: failing(4 * time.Second), want: hookhall.RolloutRolledBack},
+		{name: "failures, owner killed", answer: failing(0), want: hookhall.RolloutRolledBack, kills: true},
+		{name: "failures, owner killed, store unavailable", answer: failing(0), want: hookhall.RolloutRolledBack, kills: true, unavailable: true},
+		{name: "slow answers", answer: slow, want: hookhall.RolloutRolledBack},
+		{name: "slow answers, owner killed", answer: slow, want: hookhall.RolloutRolledBack, kills: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(c.bad)
-				f.store.away = c.away
+				f := newFleet(c.answer)
+				f.store.unavailable = c.unavailable
 				for i := range 40 {
 					f.start(fmt.Sprintf("10.0.0.%02d:1", i), Orders{})
 				}
 				for second := range 17 {
 					if second == 5 {
 						f.store.mu.Lock()
-						f.store.away = false
+						f.store.unavailable = false
 						f.store.mu.Unlock()
 					}
 					time.Sleep(time.Second)
 					if c.kills {
-						first := f.first()
-						told := f.at(first).Orders()
-						f.kill(first)
-						f.start(fmt.Sprintf("10.0.1.%02d:1", second), told)
+						owner := f.ownerAddress()
+						known := f.process(owner).Orders()
+						f.kill(owner)
+						f.start(fmt.Sprintf("10.0.1.%02d:1", second), known)
 					}
-					checkState(t, f)
+					checkNoneAtOld(t, f)
 				}
-				if got, want := f.store.state(), fresh+" "+string(c.want); got != want {
-					t.Errorf("operators are told %q, not %q", got, want)
+				if got, want := f.store.state(), newVersion+" "+string(c.want); got != want {
+					t.Errorf("status in the store is %q, want %q", got, want)
 				}
 				f.stop()
-				if most := share*float64(f.sent) + slack; c.want == hookhall.RolloutRolledBack && float64(f.exposed) > most {
-					t.Errorf("the new version got %d of %d requests", f.exposed, f.sent)
+				if limit := maxShare*float64(f.sent) + slack; c.want == hookhall.RolloutRolledBack && float64(f.sentToNew) > limit {
+					t.Errorf("the new version got %d of %d requests", f.sentToNew, f.sent)
 				}
-				if !f.fiftieth.IsZero() && f.lastFresh.Sub(f.fiftieth) > 2*time.Second {
-					t.Errorf("it got requests until %v after its 50th failure", f.lastFresh.Sub(f.fiftieth))
+				if !f.fiftiethFailureAt.IsZero() && f.lastSentToNewAt.Sub(f.fiftiethFailureAt) > 2*time.Second {
+					t.Errorf("the new version got requests until %v after its 50th failure", f.lastSentToNewAt.Sub(f.fiftiethFailureAt))
 				}
 			})
 		})
 	}
 }
 
-// checkState: operators stop the old targets when they are told that it is completed.
-func checkState(t *testing.T, f *fleet) {
+// checkNoneAtOld checks that no request runs at an old target once the store has the rollout
+// as completed: operators then stop the old targets.
+func checkNoneAtOld(t *testing.T, f *fleet) {
 	t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.store.state() == fresh+" "+string(hookhall.RolloutCompleted) && f.atOld > 0 {
-		t.Errorf("%d requests run at old targets of a roll-out that is completed", f.atOld)
+	if f.store.state() == newVersion+" "+string(hookhall.RolloutCompleted) && f.inFlightAtOld > 0 {
+		t.Errorf("%d requests run at old targets of a completed rollout", f.inFlightAtOld)
 	}
 }
 
-// TestTwoOwners: of two processes that both decide, the second takes over what the first
-// has told operators.
-func TestTwoOwners(t *testing.T) {
+// TestFinalStatusInStore guards against two different ends of a rollout: of two processes
+// that both decide, the second adopts the state that the first has written to the store.
+func TestFinalStatusInStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(sound)
-		f.store.item = hookhall.Item{Value: []byte(fresh + " " + string(hookhall.RolloutRolledBack)), Revision: 20}
+		f := newFleet(healthy)
+		f.store.item = hookhall.Item{Value: []byte(newVersion + " " + string(hookhall.RolloutRolledBack)), Revision: 20}
 		f.start("10.0.0.1:1", Orders{})
 		time.Sleep(time.Second)
-		standing := f.at("10.0.0.1:1").Orders().List[0]
-		if standing.Phase != rollout.RolledBack {
-			t.Errorf("phase %d", standing.Phase)
+		got := f.process("10.0.0.1:1").Orders().List[0]
+		if got.Phase != rollout.RolledBack {
+			t.Errorf("phase %d, want RolledBack", got.Phase)
 		}
 		f.stop()
-		if f.exposed > 0 {
-			t.Errorf("the new version got %d requests", f.exposed)
+		if f.sentToNew > 0 {
+			t.Errorf("the new version got %d requests", f.sentToNew)
 		}
 	})
 }
 
-// TestStateOfAnotherOrder: what operators were told of the version before says nothing.
-func TestStateOfAnotherOrder(t *testing.T) {
+// TestStatusOfAnotherVersion guards against ending a rollout by the status that the store
+// still has of the previous one, to another version.
+func TestStatusOfAnotherVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(sound)
+		f := newFleet(healthy)
 		f.store.item = hookhall.Item{Value: []byte("v0 " + string(hookhall.RolloutRolledBack)), Revision: 20}
 		f.start("10.0.0.1:1", Orders{})
 		time.Sleep(time.Second)
-		if got := f.store.state(); got != fresh+" "+string(hookhall.RolloutRunning) {
-			t.Errorf("operators are told %q", got)
+		if got := f.store.state(); got != newVersion+" "+string(hookhall.RolloutRunning) {
+			t.Errorf("status in the store is %q", got)
 		}
 		f.stop()
 	})
 }
 
-// TestOrders: which orders are in force, by what is read.
-func TestOrders(t *testing.T) {
+// TestReadAndLearn checks which rollouts are in force after items of the store and updates of
+// peers. It guards against losing a rollout to an older update or to an undecodable item.
+func TestReadAndLearn(t *testing.T) {
 	r := &Rollouts{Keys: fakeKeys{}, Log: log.New(io.Discard)}
-	order := func(version string, revision hookhall.Revision) hookhall.Item {
+	item := func(version string, revision hookhall.Revision) hookhall.Item {
 		return hookhall.Item{Key: "order/" + service, Value: []byte(version + " 16"), Revision: revision}
 	}
-	hold := func(when, want string) {
+	check := func(when, want string) {
 		t.Helper()
 		got := ""
 		for _, s := range r.Orders().List {
 			got += s.Version
 		}
 		if got != want {
-			t.Errorf("%s: %q, not %q", when, got, want)
+			t.Errorf("%s: got versions %q, want %q", when, got, want)
 		}
 	}
-	r.Read([]hookhall.Item{order("a", 5), {Key: "other", Revision: 6}}, 7, true)
-	hold("an order", "a")
+	r.Read([]hookhall.Item{item("a", 5), {Key: "other", Revision: 6}}, 7, true)
+	check("one rollout", "a")
 	r.Read(nil, 8, false)
-	hold("a watch without events", "a")
-	r.Read([]hookhall.Item{order("b", 9)}, 9, false)
-	hold("a later one", "b")
+	check("a watch without events", "a")
+	r.Read([]hookhall.Item{item("b", 9)}, 9, false)
+	check("a later revision", "b")
 	r.Learn(Orders{Revision: 7}, "peer")
-	hold("older news", "b")
+	check("an older update of a peer", "b")
 	r.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte("nonsense"), Revision: 10}}, 10, false)
-	hold("one that can't be read", "b")
+	check("an undecodable item", "b")
 	r.Read([]hookhall.Item{{Key: "order/" + service, Gone: true, Revision: 11}}, 11, false)
-	hold("withdrawn", "")
+	check("a withdrawn rollout", "")
 }
