--- a/internal/coordination/quarantine/doc.go
+++ b/internal/coordination/quarantine/doc.go
@@ -1,23 +1,25 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine keeps requests from targets that end when they run them.
+// Package quarantine keeps requests away from targets that crash when they run them.
 //
 // # Model
 //
-// A send whose answer breaks off is only a suspicion: answers get lost for many
-// reasons. So the target is asked for a new connection. If its address refuses that, or
-// the store lists another life of it soon, its process has ended, and the End is entered
-// in the ledger and told to all gateways at once. All of them hold the same ledger and
-// judge by it alone. What one of them was not told is repaired with the next news, whose
-// sum of the ledger differs then.
+// An attempt whose answer breaks off only raises a suspicion, since answers get lost for
+// many reasons. So the target is asked for a new connection. If its address refuses that, or
+// the store lists another incarnation of the target soon after, its process has crashed, and
+// the crash is entered in the ledger and broadcast to all gateways at once. All of them hold
+// the same ledger and decide by it alone. A gateway that missed a broadcast is repaired with
+// the next update, since the checksum of its ledger differs then.
 //
-// A content that is refused is also written to the platform's store, under a lease as
-// long as the ledger keeps it, by the gateway that reads the store for all: if all
-// gateways end at once, they know it again when they start.
+// The gateway that reads the store for all also writes each refused content to the
+// platform's store, under a lease as long as the ledger keeps a crash: if all gateways crash
+// at once, they read it again when they start.
 //
 // # Invariants
 //
-//   - Nothing here delays a request: probes, news and writes run beside it.
-//   - Without the store, and without peers, a gateway judges by what it saw itself.
+//   - Nothing here delays a request: probes, broadcasts and writes run beside it. Only the
+//     retry of a stage call waits for one probe.
+//   - Without the store and without peers, a gateway decides by the crashes that it has
+//     found itself.
 package quarantine
--- a/internal/coordination/quarantine/finding.go
+++ b/internal/coordination/quarantine/finding.go
@@ -14,110 +14,114 @@
 )
 
 const (
-	// probeTime bounds the wait for a refusal, which takes a round trip where a process
-	// has ended.
-	probeTime = 250 * time.Millisecond
-	// rebirthTime is for how long a target whose address takes connections again may
-	// turn out to be in another life: it lists itself at its start, and a change of the
-	// list is known everywhere within 1.4 s.
-	rebirthTime = 2 * time.Second
-	// rebirthLook is how often the list is looked at meanwhile.
-	rebirthLook = 100 * time.Millisecond
-	// findingKeep is how long it is remembered that a life has ended: answers that it
-	// left unfinished break off within seconds.
-	findingKeep = 10 * time.Second
+	// probeTimeout bounds the wait for a refused connection. Where a process has ended, the
+	// refusal takes one round trip.
+	probeTimeout = 250 * time.Millisecond
+	// restartTimeout is how long a target whose address accepts connections again may take to
+	// be listed as another incarnation. It lists itself at its start, and a change of the
+	// list reaches every gateway within 1.4 s.
+	restartTimeout = 2 * time.Second
+	// restartPollInterval is the time between two looks at the list meanwhile.
+	restartPollInterval = 100 * time.Millisecond
+	// checkTTL is how long the result of a check is kept. The answers that a crashed
+	// incarnation left unfinished break off within seconds, and share its check.
+	checkTTL = 10 * time.Second
 )
 
-// finding is whether a life of a target has ended.
-type finding struct {
-	probed  chan struct{} // closed once the target was asked for a connection
-	refused bool          // which it refused; set before
-	done    chan struct{} // closed once all is known
-	ended   bool          // set before
-	at      time.Time     // when it began
+// crashCheck finds out whether one incarnation of a target has crashed.
+type crashCheck struct {
+	probed    chan struct{} // closed after the probe
+	refused   bool          // the probe was refused; set before probed is closed
+	done      chan struct{} // closed after the check
+	crashed   bool          // set before done is closed
+	startedAt time.Time
 }
 
-// Broke takes in that t's answer to a content broke off. Work of a gateway that does not tell
-// its content, as one of an earlier version, has the zero digest, which stands for nothing.
+// Broke records that t's answer to a request content broke off, and starts a check of whether
+// t has crashed; it does not wait for that. The zero digest is ignored: a gateway of an
+// earlier version sends no content.
 func (q *Quarantine) Broke(content crashes.Digest, account string, t hookhall.Target) {
 	if content == (crashes.Digest{}) {
 		return
 	}
-	e := crashes.End{Content: content, Account: account, Life: t.Life(), Software: t.Software(), Served: q.recent.Has(content, clock.Now())}
-	f := q.find(e.Life, t)
+	e := crashes.End{Content: content, Account: account, Life: t.Life(), Software: t.Software(), Served: q.recentlyServed.Has(content, clock.Now())}
+	check := q.startCheck(e.Life, t)
 	go func() {
-		<-f.done
-		if f.ended {
-			e.At = f.at
-			q.enter(e)
+		<-check.done
+		if check.crashed {
+			e.At = check.startedAt
+			q.recordCrash(e)
 		}
 	}()
 }
 
-// Ended tells whether a target has ended whose answer broke off. It waits for the answer
-// to one request for a connection.
+// Ended reports whether a target whose answer broke off refuses connections, that is, has
+// crashed. It waits for one probe, at most probeTimeout; a crashed target that has restarted
+// by then goes unnoticed here.
 func (q *Quarantine) Ended(t hookhall.Target) bool {
-	f := q.find(t.Life(), t)
-	<-f.probed
-	return f.refused
+	check := q.startCheck(t.Life(), t)
+	<-check.probed
+	return check.refused
 }
 
-// find begins to find out whether a life has ended. All that broke off at one target
-// share one probe.
-func (q *Quarantine) find(l hookhall.Life, t hookhall.Target) *finding {
+// startCheck starts a check of an incarnation, or returns the one that is running or has
+// found a crash. All answers that break off at one target share one probe.
+func (q *Quarantine) startCheck(l hookhall.Life, t hookhall.Target) *crashCheck {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if f := q.findings[l]; f != nil && (!f.known() || f.ended) {
-		return f
+	if check := q.checksByLife[l]; check != nil && (!check.isDone() || check.crashed) {
+		return check
 	}
-	f := &finding{probed: make(chan struct{}), done: make(chan struct{}), at: clock.Now()}
-	q.findings[l] = f
-	go q.findOut(f, t)
-	return f
+	check := &crashCheck{probed: make(chan struct{}), done: make(chan struct{}), startedAt: clock.Now()}
+	q.checksByLife[l] = check
+	go q.runCheck(check, t)
+	return check
 }
 
-func (q *Quarantine) findOut(f *finding, t hookhall.Target) {
-	defer close(f.done)
-	f.refused = q.refuses(t.Address)
-	close(f.probed)
-	f.ended = f.refused || q.reborn(t)
+// runCheck probes a target and then waits for another incarnation of it to be listed.
+func (q *Quarantine) runCheck(check *crashCheck, t hookhall.Target) {
+	defer close(check.done)
+	check.refused = q.refusesConnection(t.Address)
+	close(check.probed)
+	check.crashed = check.refused || q.isReplaced(t)
 }
 
-// known tells whether the finding is complete.
-func (f *finding) known() bool {
+// isDone reports whether the check is complete.
+func (c *crashCheck) isDone() bool {
 	select {
-	case <-f.done:
+	case <-c.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// reborn tells whether it is listed soon that t's life is over.
-func (q *Quarantine) reborn(t hookhall.Target) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), rebirthTime)
+// isReplaced reports whether t's incarnation is listed as over within restartTimeout.
+func (q *Quarantine) isReplaced(t hookhall.Target) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
 	for !q.catalog.Over(t) {
-		if !retry.Sleep(ctx, rebirthLook) {
+		if !retry.Sleep(ctx, restartPollInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-func (q *Quarantine) refuses(address string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+// refusesConnection reports whether an address refuses a connection within probeTimeout.
+func (q *Quarantine) refusesConnection(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	return q.prober.Refuses(ctx, address)
 }
 
-// forgetFindings drops those that nothing waits for.
-func (q *Quarantine) forgetFindings(now time.Time) {
+// expireChecks removes the complete checks that started more than checkTTL before now.
+func (q *Quarantine) expireChecks(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for l, f := range q.findings {
-		if f.known() && now.Sub(f.at) > findingKeep {
-			delete(q.findings, l)
+	for l, check := range q.checksByLife {
+		if check.isDone() && now.Sub(check.startedAt) > checkTTL {
+			delete(q.checksByLife, l)
 		}
 	}
 }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -17,51 +17,52 @@
 )
 
 const (
-	// endsMost is at how many lives of targets a content is refused: the platform
-	// counts what reaches targets after the third. With two, a client's repeat of a
-	// request that ran beside a guilty one would be refused.
-	endsMost = 3
-	// keep is for how long ends count: the longest lease of the platform's store.
-	keep = 10 * time.Minute
-	// contentsMost and perAccountMost bound the ledger to about a megabyte. When a fifth
-	// of 620 targets with 30 requests each end at once, 3,720 contents are in it.
-	contentsMost   = 4096
-	perAccountMost = 1024
-	// tellDelay gathers what is told to the others: a target's end breaks off several
-	// answers within a few milliseconds.
-	tellDelay = 5 * time.Millisecond
-	// expireEvery is how often the ledger is looked through for what is past its time.
-	expireEvery = 5 * time.Second
+	// maxCrashes is the number of crashed incarnations of targets at which a content is
+	// refused: the platform counts what reaches targets after the third. With two, a client's
+	// retry of a harmless request that ran beside a crashing one would be refused.
+	maxCrashes = 3
+	// crashTTL is how long a crash counts: the longest lease of the platform's store.
+	crashTTL = 10 * time.Minute
+	// maxContents and maxContentsPerAccount bound the ledger to about a megabyte. When a
+	// fifth of 620 targets with 30 requests each crash at once, it holds 3,720 contents.
+	maxContents           = 4096
+	maxContentsPerAccount = 1024
+	// broadcastDelay is how long crashes are collected before they are broadcast: a crash
+	// breaks off several answers within a few milliseconds.
+	broadcastDelay = 5 * time.Millisecond
+	// expireInterval is the time between two removals of expired crashes from the ledger.
+	expireInterval = 5 * time.Second
 )
 
-// Limits are those of the ledger of a gateway.
+// Limits returns the limits of a gateway's ledger.
 func Limits() crashes.Limits {
-	return crashes.Limits{Ends: endsMost, Keep: keep, Contents: contentsMost, PerAccount: perAccountMost}
+	return crashes.Limits{Ends: maxCrashes, Keep: crashTTL, Contents: maxContents, PerAccount: maxContentsPerAccount}
 }
 
-// Catalog tells of the lives of targets.
+// Catalog lists the incarnations of targets.
 type Catalog interface {
-	// Over tells whether what is listed shows that t's life is over.
+	// Over reports whether the list shows that t's incarnation is over.
 	Over(t hookhall.Target) bool
 }
 
-// Meter counts.
+// Meter counts crashes and refused contents.
 type Meter interface {
-	// TargetEnded counts an end that this process found, by service and version.
+	// TargetEnded counts a crash that this process found. software is the service and the
+	// version of the target.
 	TargetEnded(software string)
-	// ContentsRefused tells how many contents are refused.
+	// ContentsRefused sets the number of contents that are refused.
 	ContentsRefused(n int)
 }
 
-// Quarantine is what a gateway knows of requests that end targets. Its exported
-// fields are set before Run.
+// Quarantine decides which request contents are refused because targets crash when they run
+// them. Its exported fields are set before Run. Its methods are safe for concurrent use.
 type Quarantine struct {
 	Ledger *crashes.Ledger
-	// Leads tells whether this process writes to the store for all.
+	// Leads reports whether this process is the one that writes to the store for all.
 	Leads func() bool
-	// Era is how often the store has come back from an older copy.
+	// Era returns how often the store was restored from an older copy.
 	Era func() uint64
-	// Tell tells all other gateways, without waiting for them.
+	// Tell sends crashes to all other gateways. It must not block.
 	Tell  func(ends []crashes.End)
 	Meter Meter // nil counts nothing
 
@@ -70,38 +71,39 @@
 	store   hookhall.Store
 	log     *log.Logger
 
-	mu       sync.Mutex // for what follows
-	findings map[hookhall.Life]*finding
-	recent   *crashes.Recent
-	outbox   []crashes.End
-	refused  map[crashes.Digest]bool // those whose refusal was logged
-	wake     chan struct{}           // the store is to be written
+	mu             sync.Mutex // guards checksByLife, pending and loggedRefusals
+	checksByLife   map[hookhall.Life]*crashCheck
+	recentlyServed *crashes.Recent
+	pending        []crashes.End           // not broadcast yet
+	loggedRefusals map[crashes.Digest]bool // contents whose refusal was logged
+	writeSignal    chan struct{}           // filled when the store may have to be written
 }
 
-// New makes a Quarantine with an empty ledger.
+// New returns a Quarantine with an empty ledger. Until its fields are set, it writes nothing
+// to the store and sends nothing to other gateways.
 func New(p hookhall.Prober, c Catalog, s hookhall.Store, l *log.Logger) *Quarantine {
 	return &Quarantine{
 		Ledger: crashes.NewLedger(Limits()), prober: p, catalog: c, store: s, log: l,
 		Leads: func() bool { return false }, Era: func() uint64 { return 0 }, Tell: func([]crashes.End) {},
-		findings: map[hookhall.Life]*finding{}, recent: crashes.NewRecent(clock.Now()), refused: map[crashes.Digest]bool{}, wake: make(chan struct{}, 1),
+		checksByLife: map[hookhall.Life]*crashCheck{}, recentlyServed: crashes.NewRecent(clock.Now()), loggedRefusals: map[crashes.Digest]bool{}, writeSignal: make(chan struct{}, 1),
 	}
 }
 
-// Run writes to the store and forgets what is past its time, until ctx ends.
+// Run keeps the store's records up to date and removes what has expired, until ctx ends.
 func (q *Quarantine) Run(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { q.keepStored(ctx) })
-	for retry.Sleep(ctx, expireEvery) {
+	wg.Go(func() { q.syncStore(ctx) })
+	for retry.Sleep(ctx, expireInterval) {
 		now := clock.Now()
 		q.Ledger.Expire(now)
-		q.forgetFindings(now)
-		q.noteRefusals()
+		q.expireChecks(now)
+		q.updateRefusals()
 	}
 	wg.Wait()
 }
 
-// Standing is what is held against a request's content. The digest is made only when
-// something is held against any.
+// Standing returns the crashes that count against a request's content. content computes the
+// digest and is called only if there are crashes under any content.
 func (q *Quarantine) Standing(content func() crashes.Digest) crashes.Standing {
 	if q.Ledger.Empty() {
 		return crashes.Standing{}
@@ -109,117 +111,122 @@
 	return q.Ledger.Standing(content())
 }
 
-// Served takes in that a target gave a whole answer to a request's content: then it does
-// not end the targets that run it, and what ended some had another cause.
+// Served records that a target gave a complete answer to a request's content. The content
+// does not crash each target that runs it, so its earlier crashes had another cause and are
+// cleared.
 func (q *Quarantine) Served(content func() crashes.Digest) {
-	q.recent.Add(content(), clock.Now())
+	q.recentlyServed.Add(content(), clock.Now())
 	if q.Standing(content).Ends == 0 {
 		return
 	}
 	if cleared := q.clear(content()); len(cleared) > 0 {
-		q.log.Info("A content was served; ends under it do not count.", "content", content(), "account", cleared[0].Account, "ends", len(cleared))
+		q.log.Info("content served; its crashes no longer count", "content", content(), "account", cleared[0].Account, "ends", len(cleared))
 	}
 }
 
-// Lift has a content served again, by an operator's word. It tells whether anything was
-// held against it.
+// Lift releases a content from quarantine at an operator's request. It reports whether any
+// crashes counted against it.
 func (q *Quarantine) Lift(content crashes.Digest) bool {
 	cleared := q.clear(content)
-	q.log.Info("An operator lifts what is held against a content.", "content", content, "ends", len(cleared))
+	q.log.Info("content released by operator", "content", content, "ends", len(cleared))
 	return len(cleared) > 0
 }
 
-// clear clears all ends under a content, here and elsewhere.
+// clear clears all crashes under a content, here and at the other gateways, and returns
+// them.
 func (q *Quarantine) clear(content crashes.Digest) []crashes.End {
 	cleared := q.Ledger.Clear(content)
 	if len(cleared) > 0 {
-		q.noteRefusals()
-		q.tell(cleared)
+		q.updateRefusals()
+		q.enqueue(cleared)
 	}
 	return cleared
 }
 
-// Learn takes in what a peer or the store told of ends, and returns what was new.
+// Learn merges crashes of a peer or of the store into the ledger, and returns those that are
+// new here or newly cleared.
 func (q *Quarantine) Learn(ends []crashes.End, from string) []crashes.End {
 	fresh := q.Ledger.Learn(ends, clock.Now())
 	if len(fresh) == 0 {
 		return nil
 	}
-	q.log.Info("Ends of targets are told.", "count", len(fresh), "from", from, "content", fresh[0].Content, "target", fresh[0].Life.ID, "cleared", fresh[0].Cleared)
-	q.noteRefusals()
+	q.log.Info("crashes received", "count", len(fresh), "from", from, "content", fresh[0].Content, "target", fresh[0].Life.ID, "cleared", fresh[0].Cleared)
+	q.updateRefusals()
 	return fresh
 }
 
-// All lists all ends that are known.
+// All returns all crashes in the ledger, also cleared ones.
 func (q *Quarantine) All() []crashes.End { return q.Ledger.All() }
 
-// Sum sums them up.
+// Sum returns the checksum of the ledger at now; equal ledgers have equal ones.
 func (q *Quarantine) Sum(now time.Time) uint64 { return q.Ledger.Sum(now) }
 
-// enter enters an end that this process found.
-func (q *Quarantine) enter(e crashes.End) {
+// recordCrash enters a crash that this process found, and broadcasts it.
+func (q *Quarantine) recordCrash(e crashes.End) {
 	fresh := q.Ledger.Learn([]crashes.End{e}, clock.Now())
 	if len(fresh) == 0 {
 		return
 	}
-	q.log.Warn("A target ended while it ran a request.", "content", e.Content, "account", e.Account, "target", e.Life.ID,
+	q.log.Warn("target crashed while running a request", "content", e.Content, "account", e.Account, "target", e.Life.ID,
 		"born", e.Life.Born, "software", e.Software, "ends", q.Ledger.Standing(e.Content).Ends)
 	if q.Meter != nil {
 		q.Meter.TargetEnded(e.Software)
 	}
-	q.noteRefusals()
-	q.tell(fresh)
+	q.updateRefusals()
+	q.enqueue(fresh)
 }
 
-// tell passes ends on to the others, gathered over a moment.
-func (q *Quarantine) tell(ends []crashes.End) {
+// enqueue adds crashes to the next broadcast, which follows within broadcastDelay.
+func (q *Quarantine) enqueue(ends []crashes.End) {
 	q.mu.Lock()
-	first := len(q.outbox) == 0
-	q.outbox = append(q.outbox, ends...)
+	isFirst := len(q.pending) == 0
+	q.pending = append(q.pending, ends...)
 	q.mu.Unlock()
-	if first {
-		time.AfterFunc(tellDelay, q.flush)
+	if isFirst {
+		time.AfterFunc(broadcastDelay, q.flush)
 	}
 }
 
+// flush broadcasts the pending crashes.
 func (q *Quarantine) flush() {
 	q.mu.Lock()
-	ends := q.outbox
-	q.outbox = nil
+	ends := q.pending
+	q.pending = nil
 	q.mu.Unlock()
 	q.Tell(ends)
 }
 
-// noteRefusals logs which contents are refused from now on, or no more, and has the store
-// written.
-func (q *Quarantine) noteRefusals() {
+// updateRefusals logs which contents are newly refused or no longer refused, sets the
+// metric, and signals that the store may have to be written.
+func (q *Quarantine) updateRefusals() {
 	refused := q.Ledger.Refused()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for d, s := range refused {
-		if !q.refused[d] {
-			q.refused[d] = true
-			q.log.Warn("A content is refused from now on: targets end when they run it.", "content", d, "ends", s.Ends,
-				"software", s.Software, "first_ago_ms", clock.Since(s.Since).Milliseconds(), "targets", q.targets(d))
+		if !q.loggedRefusals[d] {
+			q.loggedRefusals[d] = true
+			q.log.Warn("content refused: targets crash when they run it", "content", d, "ends", s.Ends,
+				"software", s.Software, "first_ago_ms", clock.Since(s.Since).Milliseconds(), "targets", q.crashedTargets(d))
 		}
 	}
-	for d := range q.refused {
-		if _, still := refused[d]; !still {
-			delete(q.refused, d)
-			q.log.Info("A content is not refused any more.", "content", d)
+	for d := range q.loggedRefusals {
+		if _, isRefused := refused[d]; !isRefused {
+			delete(q.loggedRefusals, d)
+			q.log.Info("content no longer refused", "content", d)
 		}
 	}
 	if q.Meter != nil {
 		q.Meter.ContentsRefused(len(refused))
 	}
 	select {
-	case q.wake <- struct{}{}:
-	default: // it is awake
+	case q.writeSignal <- struct{}{}:
+	default: // a signal is pending
 	}
 }
 
-// targets lists the targets that ended under a content, sorted.
-func (q *Quarantine) targets(d crashes.Digest) []string {
+// crashedTargets returns the ids of the targets whose crashes count against a content,
+// sorted.
+func (q *Quarantine) crashedTargets(d crashes.Digest) []string {
 	var ids []string
 	for _, e := range q.Ledger.Of(d) {
 		if !e.Cleared {
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -17,14 +17,14 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-// prober is a hookhall.Prober whose answers take a while.
-type prober struct {
+// fakeProber is a hookhall.Prober that answers after 1 ms.
+type fakeProber struct {
 	refuses bool
-	asked   atomic.Int64
+	probes  atomic.Int64
 }
 
-func (p *prober) Refuses(ctx context.Context, _ string) bool {
-	p.asked.Add(1)
+func (p *fakeProber) Refuses(ctx context.Context, _ string) bool {
+	p.probes.Add(1)
 	select {
 	case <-ctx.Done():
 		return false
@@ -33,57 +33,63 @@
 	}
 }
 
-// lives is a Catalog in which a target's life is over from a time on, or never.
-type lives struct {
-	over  bool
-	after time.Duration
-	began time.Time
+// fakeCatalog is a Catalog that lists all incarnations as over once endsAfter has passed, or
+// never.
+type fakeCatalog struct {
+	ended     bool
+	endsAfter time.Duration
+	startedAt time.Time
 }
 
-func (l lives) Over(hookhall.Target) bool { return l.over && time.Since(l.began) >= l.after }
+func (l fakeCatalog) Over(hookhall.Target) bool {
+	return l.ended && time.Since(l.startedAt) >= l.endsAfter
+}
 
 func target(id string) hookhall.Target {
 	return hookhall.Target{ID: id, Address: "127.0.0.1:1", Version: "v1", Born: 1}
 }
 
-// newQuarantine makes one that collects what it tells.
-func newQuarantine(p *prober, l lives) (q *Quarantine, told *[]crashes.End) {
-	l.began = time.Now()
-	q = New(p, l, nil, log.New(io.Discard))
-	told = &[]crashes.End{}
-	q.Tell = func(ends []crashes.End) { *told = append(*told, ends...) }
-	return q, told
+// newQuarantine returns a Quarantine, and the crashes that it broadcasts.
+func newQuarantine(p *fakeProber, c fakeCatalog) (q *Quarantine, broadcast *[]crashes.End) {
+	c.startedAt = time.Now()
+	q = New(p, c, nil, log.New(io.Discard))
+	broadcast = &[]crashes.End{}
+	q.Tell = func(ends []crashes.End) { *broadcast = append(*broadcast, ends...) }
+	return q, broadcast
 }
 
-// settled is longer than finding out whether a life is over may take.
-const settled = rebirthTime + time.Second
+// settleTime is longer than a crash check takes.
+const settleTime = restartTimeout + time.Second
 
-func TestBroke(t *testing.T) {
+// TestCrashCheck guards against broken answers that count as crashes though the target runs
+// on, and against crashes that are missed. Answers of five contents break off at one target;
+// a crash counts once for each, after a single probe.
+func TestCrashCheck(t *testing.T) {
 	for name, c := range map[string]struct {
 		refuses bool
-		lives   lives
-		ends    int
+		catalog fakeCatalog
+		crashes int
 	}{
-		"the address refuses connections":   {true, lives{}, 1},
-		"the target lives":                  {false, lives{}, 0},
-		"another life is listed already":    {false, lives{over: true}, 1},
-		"another life is listed soon":       {false, lives{over: true, after: time.Second}, 1},
-		"another life is listed much later": {false, lives{over: true, after: time.Minute}, 0},
+		"the address refuses connections":          {true, fakeCatalog{}, 1},
+		"the target runs on":                       {false, fakeCatalog{}, 0},
+		"another incarnation is listed already":    {false, fakeCatalog{ended: true}, 1},
+		"another incarnation is listed soon":       {false, fakeCatalog{ended: true, endsAfter: time.Second}, 1},
+		"another incarnation is listed much later": {false, fakeCatalog{ended: true, endsAfter: time.Minute}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				p := &prober{refuses: c.refuses}
-				q, told := newQuarantine(p, c.lives)
-				q.Broke(crashes.Digest{}, "", target("t")) // told by nobody
+				p := &fakeProber{refuses: c.refuses}
+				q, broadcast := newQuarantine(p, c.catalog)
+				q.Broke(crashes.Digest{}, "", target("t")) // a gateway of an earlier version sends no digest
 				for n := range 5 {
 					q.Broke(crashes.Digest{byte(n + 1)}, "a", target("t"))
 				}
-				time.Sleep(settled)
+				time.Sleep(settleTime)
 				synctest.Wait()
-				if len(q.All()) != 5*c.ends || len(*told) != 5*c.ends {
-					t.Errorf("%d ends, %d told; want %d for each of five contents", len(q.All()), len(*told), c.ends)
+				if len(q.All()) != 5*c.crashes || len(*broadcast) != 5*c.crashes {
+					t.Errorf("%d crashes, %d broadcast; want %d for each of five contents", len(q.All()), len(*broadcast), c.crashes)
 				}
-				if n := p.asked.Load(); n != 1 {
+				if n := p.probes.Load(); n != 1 {
 					t.Errorf("the target was probed %d times", n)
 				}
 			})
@@ -91,61 +97,64 @@
 	}
 }
 
-// TestProbesAgain: that a target lived a moment ago says nothing of a later answer.
-func TestProbesAgain(t *testing.T) {
+// TestProbeAfterHealthyProbe guards against the reuse of an earlier result: a target that
+// accepted a connection may have crashed by the time a later answer breaks off.
+func TestProbeAfterHealthyProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &prober{}
-		q, _ := newQuarantine(p, lives{})
+		p := &fakeProber{}
+		q, _ := newQuarantine(p, fakeCatalog{})
 		q.Broke(crashes.Digest{1}, "a", target("t"))
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		synctest.Wait()
 		p.refuses = true
 		q.Broke(crashes.Digest{1}, "a", target("t"))
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		synctest.Wait()
 		if n := len(q.All()); n != 1 {
-			t.Errorf("%d ends", n)
+			t.Errorf("%d crashes", n)
 		}
-		q.forgetFindings(time.Now().Add(time.Minute))
-		if len(q.findings) != 0 {
-			t.Errorf("%d findings are kept", len(q.findings))
+		q.expireChecks(time.Now().Add(time.Minute))
+		if len(q.checksByLife) != 0 {
+			t.Errorf("%d checks were not expired", len(q.checksByLife))
 		}
 	})
 }
 
-// TestServed: a whole answer clears what was held against a content, here and elsewhere.
+// TestServed guards against refusing a content that targets serve: a complete answer clears
+// the crashes under it, in this process and in its peers.
 func TestServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one, told := newQuarantine(&prober{refuses: true}, lives{})
+		first, broadcast := newQuarantine(&fakeProber{refuses: true}, fakeCatalog{})
 		content := func() crashes.Digest { return crashes.Digest{1} }
 		for _, id := range []string{"t1", "t2", "t3"} {
-			one.Broke(content(), "a", target(id))
+			first.Broke(content(), "a", target(id))
 		}
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		synctest.Wait()
-		if !one.Standing(content).Refused() {
+		if !first.Standing(content).Refused() {
 			t.Fatal("not refused")
 		}
-		two, _ := newQuarantine(&prober{}, lives{})
-		two.Learn(*told, "one")
-		if !two.Standing(content).Refused() || two.Sum(time.Now()) != one.Sum(time.Now()) {
-			t.Fatal("not refused by whom it was told")
+		second, _ := newQuarantine(&fakeProber{}, fakeCatalog{})
+		second.Learn(*broadcast, "one")
+		if !second.Standing(content).Refused() || second.Sum(time.Now()) != first.Sum(time.Now()) {
+			t.Fatal("the peer does not refuse the content, or has another checksum")
 		}
-		one.Served(content)
-		time.Sleep(settled)
+		first.Served(content)
+		time.Sleep(settleTime)
 		synctest.Wait()
-		two.Learn(*told, "one")
-		if one.Standing(content).Refused() || two.Standing(content).Refused() {
+		second.Learn(*broadcast, "one")
+		if first.Standing(content).Refused() || second.Standing(content).Refused() {
 			t.Error("still refused")
 		}
 	})
 }
 
-// TestNoDigest: while nothing is held against any content, none is made to ask for it.
-func TestNoDigest(t *testing.T) {
-	q, _ := newQuarantine(&prober{}, lives{})
+// TestNoDigestWhileEmpty guards against the cost of a digest for each request while the ledger
+// is empty.
+func TestNoDigestWhileEmpty(t *testing.T) {
+	q, _ := newQuarantine(&fakeProber{}, fakeCatalog{})
 	content := func() crashes.Digest {
-		t.Error("a digest was made")
+		t.Error("a digest was computed")
 		return crashes.Digest{}
 	}
 	if q.Standing(content).Refused() {
@@ -153,8 +162,9 @@
 	}
 }
 
-// TestRecord: what is written is read as it was, but for its age.
-func TestRecord(t *testing.T) {
+// TestRecordRoundTrip checks that a record is read as it was written, except for the age of
+// its crashes.
+func TestRecordRoundTrip(t *testing.T) {
 	now := time.Now()
 	var ends []crashes.End
 	for n := range 3 {
@@ -168,7 +178,7 @@
 		t.Fatal(err)
 	}
 	later := now.Add(time.Minute)
-	got, err := readRecord(hookhall.Item{Value: value}, later)
+	got, err := parseRecord(hookhall.Item{Value: value}, later)
 	if err != nil || len(got) != 3 {
 		t.Fatalf("%v, %v", got, err)
 	}
@@ -180,8 +190,8 @@
 	}
 }
 
-// TestReadRecord: records that can't be read are no records.
-func TestReadRecord(t *testing.T) {
+// TestParseRecord checks that an invalid record is an error and not a crash without a content.
+func TestParseRecord(t *testing.T) {
 	now := time.Now()
 	ends := []crashes.End{{Content: crashes.Digest{1, 2}, Account: "a", Life: hookhall.Life{ID: "t", Born: 5}, Software: "s v1", Cleared: true, At: now}}
 	for name, c := range map[string]struct {
@@ -196,7 +206,7 @@
 		"another type":   {`{"content":"01020000000000000000000000000000","ends":"t"}`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, err := readRecord(hookhall.Item{Key: prefix + "x", Value: []byte(c.value)}, now)
+			got, err := parseRecord(hookhall.Item{Key: keyPrefix + "x", Value: []byte(c.value)}, now)
 			if (err == nil) != c.want || (c.want && got[0] != ends[0]) {
 				t.Errorf("%v, %v", got, err)
 			}
--- a/internal/coordination/quarantine/stored.go
+++ b/internal/coordination/quarantine/stored.go
@@ -17,60 +17,64 @@
 )
 
 const (
-	// prefix of the keys, each named by a content.
-	prefix = "hookhall/crashes/"
-	// storePauseFirst and storePauseMost bound the pauses after failures of the store.
-	storePauseFirst = 100 * time.Millisecond
-	storePauseMost  = time.Second
-	// rewriteEvery is the least time between two writes of what has changed: the targets
-	// that were sent a content before its refusal end one by one.
-	rewriteEvery = 200 * time.Millisecond
-	// leadLook is how often a process looks whether it has become the one that writes.
-	leadLook = 2 * time.Second
+	// keyPrefix begins the keys of records; the content's digest in hex follows.
+	keyPrefix = "hookhall/crashes/"
+	// minStoreRetryDelay and maxStoreRetryDelay bound the pauses between retries of a failed
+	// store call.
+	minStoreRetryDelay = 100 * time.Millisecond
+	maxStoreRetryDelay = time.Second
+	// minWriteInterval is the minimum time between two writes: the targets that were sent a
+	// content before its refusal crash one by one, and each changes the record.
+	minWriteInterval = 200 * time.Millisecond
+	// writerPollInterval is the maximum time until a process notices that it has become the one
+	// that writes.
+	writerPollInterval = 2 * time.Second
 )
 
-// record is what the store has of a refused content.
+// record is the stored form of a refused content: its crashes.
 type record struct {
-	Content string      `json:"content"`
-	Account string      `json:"account"`
-	Ends    []recordEnd `json:"ends"`
+	Content string          `json:"content"`
+	Account string          `json:"account"`
+	Crashes []recordedCrash `json:"ends"`
 }
 
-type recordEnd struct {
+// recordedCrash is the stored form of a crash.
+type recordedCrash struct {
 	Target string `json:"target"`
 	Born   int64  `json:"born,omitempty"`
-	// Software is the target's service and the version of that.
+	// Software is the target's service and the version of the service.
 	Software string `json:"software,omitempty"`
-	// AfterMS is when the end came after the first of the record.
+	// AfterMS is the time in milliseconds from the first crash of the record to this one.
 	AfterMS int64 `json:"after_ms,omitempty"`
 	Served  bool  `json:"served,omitempty"`
 	Cleared bool  `json:"cleared,omitempty"`
 }
 
-// stored is what this process knows to be in the store of one content.
-type stored struct {
-	lease hookhall.Lease // 0 when another process wrote it
-	ends  int            // how many counted
-	era   uint64         // of the store, when that was so
+// storedRecord describes the record of one content that this process knows to be in the
+// store.
+type storedRecord struct {
+	lease   hookhall.Lease // 0 when another process wrote it
+	crashes int            // how many counted against the content
+	era     uint64         // of the store when it had the record
 }
 
-// writer keeps the store's records.
-type writer struct {
+// recordWriter keeps the store's records up to date. One goroutine uses it.
+type recordWriter struct {
 	*Quarantine
-	stored map[crashes.Digest]stored
+	storedByDigest map[crashes.Digest]storedRecord
 }
 
-// keepStored reads the records at the start and writes what is refused later, as long as
-// this process writes for all.
-func (q *Quarantine) keepStored(ctx context.Context) {
-	w := &writer{q, map[crashes.Digest]stored{}}
-	pause := retry.Between(storePauseFirst, storePauseMost)
+// syncStore reads the records at the start, and then writes changed ones while this process is
+// the one that writes for all, until ctx ends.
+func (q *Quarantine) syncStore(ctx context.Context) {
+	w := &recordWriter{q, map[crashes.Digest]storedRecord{}}
+	pause := retry.Between(minStoreRetryDelay, maxStoreRetryDelay)
 	for ctx.Err() == nil && w.read(ctx) != nil {
 		pause.Wait(ctx)
 	}
 	pause.Reset()
-	for retry.Sleep(ctx, rewriteEvery) {
-		w.await(ctx)
+	for retry.Sleep(ctx, minWriteInterval) {
+		w.waitForChange(ctx)
 		for ctx.Err() == nil && !w.write(ctx) {
 			pause.Wait(ctx)
 		}
@@ -78,98 +82,104 @@
 	}
 }
 
-// await waits until something may have to be written.
-func (w *writer) await(ctx context.Context) {
+// waitForChange waits until a record may have to be written, at most writerPollInterval.
+func (w *recordWriter) waitForChange(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-w.wake:
-	case <-time.After(leadLook):
+	case <-w.writeSignal:
+	case <-time.After(writerPollInterval):
 	}
 }
 
-// read takes in what the store has.
-func (w *writer) read(ctx context.Context) error {
-	items, _, err := w.store.Range(ctx, prefix)
+// read merges the store's records into the ledger. A record that can't be decoded is logged
+// and left out.
+func (w *recordWriter) read(ctx context.Context) error {
+	items, _, err := w.store.Range(ctx, keyPrefix)
 	if err != nil {
 		return err
 	}
 	now := clock.Now()
 	for _, i := range items {
-		ends, err := readRecord(i, now)
+		ends, err := parseRecord(i, now)
 		if err != nil {
-			w.log.Error("A record of a refused content can't be read.", "key", i.Key, "error", err.Error())
+			w.log.Error("could not decode record of refused content", "key", i.Key, "error", err.Error())
 			continue
 		}
 		w.Learn(ends, "store")
-		w.note(ends[0].Content, hookhall.Lease{})
+		w.noteStored(ends[0].Content, hookhall.Lease{})
 	}
 	return nil
 }
 
-// write writes what has changed, and tells whether nothing is left to write.
-func (w *writer) write(ctx context.Context) bool {
+// write writes the changed records if this process is the one that writes, and reports
+// whether none is left to write.
+func (w *recordWriter) write(ctx context.Context) bool {
 	if !w.Leads() {
 		return true
 	}
-	done := true
+	allWritten := true
 	for d := range w.changed() {
 		if err := w.writeOne(ctx, d); err != nil {
-			w.log.Warn("A refused content could not be written.", "content", d, "error", err.Error())
-			done = false
+			w.log.Warn("could not write record of refused content", "content", d, "error", err.Error())
+			allWritten = false
 		}
 	}
-	return done
+	return allWritten
 }
 
-// changed are the contents whose record is not what is known here: those that are
-// refused, and those that were. A store that came back from a copy may have lost any.
-func (w *writer) changed() map[crashes.Digest]bool {
-	differ := map[crashes.Digest]bool{}
+// changed returns the contents that are or were refused and whose records differ from the
+// ledger. A store that was restored from an older copy may have lost any record.
+func (w *recordWriter) changed() map[crashes.Digest]bool {
+	differing := map[crashes.Digest]bool{}
 	for d, s := range w.Ledger.Refused() {
-		if was, ok := w.stored[d]; !ok || was.ends != s.Ends || was.era < w.Era() {
-			differ[d] = true
+		if was, isStored := w.storedByDigest[d]; !isStored || was.crashes != s.Ends || was.era < w.Era() {
+			differing[d] = true
 		}
 	}
-	for d, was := range w.stored {
-		if (w.Ledger.Standing(d).Ends != was.ends || was.era < w.Era()) && len(w.Ledger.Of(d)) > 0 {
-			differ[d] = true
+	for d, was := range w.storedByDigest {
+		if (w.Ledger.Standing(d).Ends != was.crashes || was.era < w.Era()) && len(w.Ledger.Of(d)) > 0 {
+			differing[d] = true
 		}
 	}
-	return differ
+	return differing
 }
 
-// writeOne writes the record of one content under a lease of its own.
-func (w *writer) writeOne(ctx context.Context, d crashes.Digest) error {
+// writeOne writes the record of one content under a lease of its own. A lease that this
+// process holds for the content is used again.
+func (w *recordWriter) writeOne(ctx context.Context, d crashes.Digest) error {
 	ends := w.Ledger.Of(d)
 	value, err := json.Marshal(newRecord(ends))
 	if err != nil {
 		return errors.Wrap(err, "record")
 	}
-	lease := w.stored[d].lease
+	lease := w.storedByDigest[d].lease
 	if lease.Era < w.Era() {
-		lease = hookhall.Lease{} // it went with what the store has lost
+		lease = hookhall.Lease{} // lost in the restore of the store
 	}
 	if lease.Number == 0 {
-		if lease, err = w.store.Grant(ctx, keep); err != nil {
+		if lease, err = w.store.Grant(ctx, crashTTL); err != nil {
 			return err
 		}
 	}
-	err = w.store.Put(ctx, prefix+d.String(), value, lease)
+	err = w.store.Put(ctx, keyPrefix+d.String(), value, lease)
 	if errors.Is(err, hookhall.ErrLeaseGone) {
-		delete(w.stored, d)
+		delete(w.storedByDigest, d)
 	}
 	if err != nil {
 		return err
 	}
-	w.note(d, lease)
+	w.noteStored(d, lease)
 	return nil
 }
 
-// note takes in that the store has what is known of a content.
-func (w *writer) note(d crashes.Digest, lease hookhall.Lease) {
-	w.stored[d] = stored{lease, w.Ledger.Standing(d).Ends, w.Era()}
+// noteStored records that the store has the present state of a content. The zero lease means
+// that another process wrote it.
+func (w *recordWriter) noteStored(d crashes.Digest, lease hookhall.Lease) {
+	w.storedByDigest[d] = storedRecord{lease, w.Ledger.Standing(d).Ends, w.Era()}
 }
 
+// newRecord returns the record of the crashes of one content, of which there is at least
+// one.
 func newRecord(ends []crashes.End) record {
 	r := record{Content: ends[0].Content.String(), Account: ends[0].Account}
 	first := ends[0].At
@@ -179,36 +189,37 @@
 		}
 	}
 	for _, e := range ends {
-		r.Ends = append(r.Ends, recordEnd{
+		r.Crashes = append(r.Crashes, recordedCrash{
 			Target: e.Life.ID, Born: e.Life.Born, Software: e.Software, AfterMS: e.At.Sub(first).Milliseconds(), Served: e.Served, Cleared: e.Cleared,
 		})
 	}
 	return r
 }
 
-// readRecord reads a record. It does not say how old its ends are: the last counts from now
-// on, and no longer than the record's lease and the ledger's time together.
-func readRecord(i hookhall.Item, now time.Time) ([]crashes.End, error) {
+// parseRecord returns the crashes of a stored record, at least one. The record does not tell
+// their age: the last one is dated now, so that it counts for crashTTL after the record was
+// read, which is at most the record's lease and crashTTL after the last write.
+func parseRecord(i hookhall.Item, now time.Time) ([]crashes.End, error) {
 	var r record
 	if err := json.Unmarshal(i.Value, &r); err != nil {
 		return nil, errors.Wrap(err, i.Key)
 	}
 	var content crashes.Digest
 	b, err := hex.DecodeString(r.Content)
-	if err != nil || len(b) != len(content) || len(r.Ends) == 0 {
-		return nil, errors.Errorf("%s: %q with %d ends is no record", i.Key, r.Content, len(r.Ends))
+	if err != nil || len(b) != len(content) || len(r.Crashes) == 0 {
+		return nil, errors.Errorf("%s: invalid record of a refused content: digest %q, %d crashes", i.Key, r.Content, len(r.Crashes))
 	}
 	copy(content[:], b)
 	last := int64(0)
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		last = max(last, e.AfterMS)
 	}
 	var ends []crashes.End
-	for _, e := range r.Ends {
+	for _, e := range r.Crashes {
 		ends = append(ends, crashes.End{
 			Content: content, Account: r.Account, Life: hookhall.Life{ID: e.Target, Born: e.Born},
 			Software: e.Software, Served: e.Served, Cleared: e.Cleared,
-			At: now.Add(-time.Duration(min(last-e.AfterMS, int64(keep/time.Millisecond))) * time.Millisecond),
+			At: now.Add(-time.Duration(min(last-e.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
 		})
 	}
 	return ends, nil
