--- a/internal/coordination/advisories/advisories.go
+++ b/internal/coordination/advisories/advisories.go
@@ -15,47 +15,50 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// Meter counts advisories.
+// Meter counts changes of advisories.
 type Meter interface {
 	// Advised counts a change of a target's advisory; kind is one of the Kind constants.
 	Advised(service, kind string)
 }
 
-// The kinds of advisories in metrics.
+// The kinds of changes in metrics.
 const (
-	KindLeaving = "leaving"
-	KindLimit   = "limit"
-	KindNoLimit = "no-limit"
-	KindPause   = "pause"
+	KindLeaving = "leaving"  // the target announced that it is leaving
+	KindLimit   = "limit"    // its rate limit began, or changed by more than a tenth
+	KindNoLimit = "no-limit" // its rate limit ended
+	KindPause   = "pause"    // it asked this instance to pause
 )
 
-// fromAnswer is the source of an advisory that this instance read itself.
+// fromAnswer is the source of an advisory that this instance read in an answer.
 const fromAnswer = "answer"
 
 const (
 	// batchDelay is how long changes are collected before they are broadcast.
 	batchDelay = 10 * time.Millisecond
-	// broadcastInterval is the minimum time between two broadcasts: a target may name
+	// broadcastInterval is the minimum time between two broadcasts: a target may set
 	// another limit in each answer.
 	broadcastInterval = 250 * time.Millisecond
 )
 
-// Advisories is a hookhall.AdvisoryObserver.
+// Advisories applies the advisories in answers and the reports of peers. It is a
+// hookhall.AdvisoryObserver and safe for concurrent use; its exported fields are set before
+// the first use.
 type Advisories struct {
 	Book  *advisory.Book
 	Meter Meter
 	Log   *log.Logger
-	// Leave marks a target as leaving. It must not block.
+	// Leave marks an incarnation of a target as leaving. It must not block.
 	Leave func(l hookhall.Life, from string)
 	// Broadcast sends reports to all other instances. It must not block.
 	Broadcast func(list []advisory.Report)
 
-	mu      sync.Mutex
-	pending map[hookhall.Life]advisory.Report // not broadcast yet
-	last    time.Time                         // of the last broadcast
+	mu            sync.Mutex                        // guards pending and lastBroadcast
+	pending       map[hookhall.Life]advisory.Report // not broadcast yet; nil while no broadcast is due
+	lastBroadcast time.Time
 }
 
-// Advised implements hookhall.AdvisoryObserver.
+// Advised applies the advisory of an answer to a call that was sent at sent, and broadcasts
+// what is new. It implements hookhall.AdvisoryObserver.
 func (s *Advisories) Advised(t hookhall.Target, a hookhall.Advisory, sent time.Time) {
 	c := s.Book.Record(t.Life(), a, sent, clock.Now())
 	s.apply(t, c, fromAnswer)
@@ -64,7 +67,8 @@
 	}
 }
 
-// Merge applies the reports of a peer, and returns those that peers further on should get.
+// Merge applies the reports of a peer, and returns those that are new here and should be
+// passed on to other peers.
 func (s *Advisories) Merge(list []advisory.Report, from string) (fresh []advisory.Report) {
 	for _, r := range list {
 		c := s.Book.Merge(r, clock.Now())
@@ -79,26 +83,28 @@
 // All returns reports of all targets that are leaving or limited.
 func (s *Advisories) All() []advisory.Report { return s.Book.All() }
 
-// enqueue adds a report to the next broadcast.
+// enqueue adds a report to the next broadcast, in place of an earlier one of the same
+// incarnation.
 func (s *Advisories) enqueue(r advisory.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == nil {
 		s.pending = map[hookhall.Life]advisory.Report{}
-		time.AfterFunc(max(batchDelay, broadcastInterval-clock.Since(s.last)), s.flush)
+		time.AfterFunc(max(batchDelay, broadcastInterval-clock.Since(s.lastBroadcast)), s.flush)
 	}
 	s.pending[r.Target.Life()] = r
 }
 
+// flush broadcasts the pending reports.
 func (s *Advisories) flush() {
 	s.mu.Lock()
 	list := slices.Collect(maps.Values(s.pending))
-	s.pending, s.last = nil, clock.Now()
+	s.pending, s.lastBroadcast = nil, clock.Now()
 	s.mu.Unlock()
 	s.Broadcast(list)
 }
 
-// apply acts on a change.
+// apply logs and counts a change, and marks the target as leaving if that is new.
 func (s *Advisories) apply(t hookhall.Target, c advisory.Change, from string) {
 	s.log(t, c, from)
 	if c.After.Leaving && !c.Before.Leaving {
@@ -113,19 +119,19 @@
 		return
 	}
 	if after.Leaving && !before.Leaving {
-		s.Log.Info("A target announces that it is leaving.", "target", t.ID, "service", t.Pool, "born", t.Born, "from", from)
+		s.Log.Info("target announced that it is leaving", "target", t.ID, "service", t.Pool, "born", t.Born, "from", from)
 		s.Meter.Advised(t.Pool, KindLeaving)
 	}
 	if after.PausedUntil.After(before.PausedUntil) {
-		s.Log.Info("A target asks this instance for a pause.", "target", t.ID, "service", t.Pool, "born", t.Born, "pause", clock.Until(after.PausedUntil), "from", from)
+		s.Log.Info("target asked this instance to pause", "target", t.ID, "service", t.Pool, "born", t.Born, "pause", clock.Until(after.PausedUntil), "from", from)
 		s.Meter.Advised(t.Pool, KindPause)
 	}
 	switch b, n := before.Limit, after.Limit; {
 	case n.Named && (!b.Named || c.Notify):
-		s.Log.Info("A target names a rate limit.", "target", t.ID, "service", t.Pool, "born", t.Born, "limit", n.Rate, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
+		s.Log.Info("target set a rate limit", "target", t.ID, "service", t.Pool, "born", t.Born, "limit", n.Rate, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
 		s.Meter.Advised(t.Pool, KindLimit)
 	case b.Named && !n.Named:
-		s.Log.Info("A target names no rate limit any more.", "target", t.ID, "service", t.Pool, "born", t.Born, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
+		s.Log.Info("target removed its rate limit", "target", t.ID, "service", t.Pool, "born", t.Born, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
 		s.Meter.Advised(t.Pool, KindNoLimit)
 	}
 }
--- a/internal/coordination/advisories/advisories_test.go
+++ b/internal/coordination/advisories/advisories_test.go
@@ -21,8 +21,9 @@
 
 var target = hookhall.Target{ID: "target", Pool: "pool", Born: 1}
 
-// observe has f observe answers, and returns the broadcasts and the lives that left.
-func observe(t *testing.T, f func(s *Advisories)) (sent [][]advisory.Report, left []hookhall.Life) {
+// observe calls f, and returns the broadcasts within the second after it and the incarnations
+// that were marked as leaving.
+func observe(t *testing.T, f func(s *Advisories)) (broadcasts [][]advisory.Report, left []hookhall.Life) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		s := &Advisories{
@@ -31,7 +32,7 @@
 			Broadcast: func(list []advisory.Report) {
 				mu.Lock()
 				defer mu.Unlock()
-				sent = append(sent, list)
+				broadcasts = append(broadcasts, list)
 			},
 		}
 		f(s)
@@ -39,49 +40,51 @@
 		mu.Lock()
 		defer mu.Unlock()
 	})
-	return sent, left
+	return broadcasts, left
 }
 
-// TestBroadcastOnce: an advisory is broadcast once, however often it is received.
+// TestBroadcastOnce guards against a flood of broadcasts between instances: an advisory is
+// broadcast once, however often answers and peers repeat it.
 func TestBroadcastOnce(t *testing.T) {
-	sent, left := observe(t, func(s *Advisories) {
+	broadcasts, left := observe(t, func(s *Advisories) {
 		for range 100 {
 			s.Advised(target, hookhall.Advisory{Leaving: true, Limited: true, Limit: 2}, time.Now())
 			s.Merge([]advisory.Report{{Target: target, Leaving: true, Limit: advisory.Limit{Named: true, Rate: 2, Heard: time.Now()}}}, "peer")
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
-	if len(sent) != 1 || len(sent[0]) != 1 || !sent[0][0].Leaving || sent[0][0].Limit.Rate != 2 {
-		t.Errorf("broadcast %+v", sent)
+	if len(broadcasts) != 1 || len(broadcasts[0]) != 1 || !broadcasts[0][0].Leaving || broadcasts[0][0].Limit.Rate != 2 {
+		t.Errorf("broadcasts: %+v", broadcasts)
 	}
 	if len(left) != 1 || left[0] != target.Life() {
 		t.Errorf("left: %v", left)
 	}
 }
 
-// TestBroadcastInterval: a target that names another limit in each answer causes a few
-// broadcasts a second, the last one with its last limit.
+// TestBroadcastInterval guards against a broadcast for each answer: a target that sets another
+// limit in each answer causes a few broadcasts a second. The last one has its last limit.
 func TestBroadcastInterval(t *testing.T) {
-	sent, _ := observe(t, func(s *Advisories) {
+	broadcasts, _ := observe(t, func(s *Advisories) {
 		for n := range 200 {
 			s.Advised(target, hookhall.Advisory{Limited: true, Limit: float64(1 + n*n)}, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
-	if len(sent) > 12 {
-		t.Errorf("%d broadcasts in two seconds", len(sent))
+	if len(broadcasts) > 12 {
+		t.Errorf("%d broadcasts in two seconds", len(broadcasts))
 	}
-	if last := sent[len(sent)-1][0].Limit.Rate; last < 0.9*(1+199*199) {
-		t.Errorf("the last limit that was broadcast is %g", last)
+	if last := broadcasts[len(broadcasts)-1][0].Limit.Rate; last < 0.9*(1+199*199) {
+		t.Errorf("the last limit broadcast is %g", last)
 	}
 }
 
-// TestPauseIsNotBroadcast: a pause is between the target and this instance.
+// TestPauseIsNotBroadcast guards against a pause that holds for all instances though the target
+// asked only one for it.
 func TestPauseIsNotBroadcast(t *testing.T) {
-	sent, left := observe(t, func(s *Advisories) {
+	broadcasts, left := observe(t, func(s *Advisories) {
 		s.Advised(target, hookhall.Advisory{Pause: time.Second}, time.Now())
 	})
-	if len(sent)+len(left) > 0 {
-		t.Errorf("broadcast %v, left %v", sent, left)
+	if len(broadcasts)+len(left) > 0 {
+		t.Errorf("broadcasts %v, left %v", broadcasts, left)
 	}
 }
--- a/internal/coordination/advisories/doc.go
+++ b/internal/coordination/advisories/doc.go
@@ -6,19 +6,19 @@
 //
 // # Model
 //
-// All answers of targets pass through one observer: first tries and retries, streams at
+// All answers of targets pass through one observer: first attempts and retries, streams at
 // their head, stage calls, successes and refusals. A change is logged once, with its
 // source.
 //
-// The instances that read it first broadcast that a target is leaving, and that a limit
-// begins, ends or changes by a tenth. Requests for placements carry the limits known to
-// their senders, so that a placer that has just started learns them as well.
+// The instances that read a change first broadcast it if a target is leaving, or if a limit
+// begins, ends or changes by more than a tenth. Requests for placements carry the limits known
+// to their senders, so that a placement owner that has just started learns them as well.
 //
-// An advisory concerns the target that sent it alone: the answer bears the id of a request
+// An advisory concerns only the target that sent it: the answer carries the id of a request
 // that was sent to that target.
 //
 // # Invariants
 //
-//   - A pause is between one target and one instance; it is not broadcast.
-//   - What is known already is not broadcast again.
+//   - A pause holds between one target and one instance, and is not broadcast.
+//   - An advisory that is already known is not broadcast again.
 package advisories
