--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -42,7 +42,7 @@
 	Targets(pool string) []hookhall.Target
 }
 
-// Standing is a rollout and its progress as one process knows it.
+// Standing is a rollout with its phase and age, as one process knows them.
 type Standing struct {
 	hookhall.Rollout
 	Phase rollout.Phase
@@ -51,7 +51,7 @@
 	Age time.Duration
 }
 
-// Orders are the rollouts in force at a revision of the store.
+// Orders holds the rollouts in force at a revision of the store.
 type Orders struct {
 	Revision hookhall.Revision
 	List     []Standing
@@ -315,7 +315,7 @@
 	return list, "", 0
 }
 
-// Use counts one attempt of a request at a target for a rollout. A nil Use counts nothing.
+// Use counts one request at a target for a rollout. A nil Use counts nothing.
 type Use struct {
 	rollouts     *Rollouts
 	rollout      *trackedRollout
