--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -63,7 +63,7 @@
 	// Era returns how often the store was restored from an older copy.
 	Era func() uint64
 	// Tell sends crashes to all other gateways. It must not block.
-	Tell  func(ends []crashes.End)
+	Tell  func(list []crashes.End)
 	Meter Meter // nil counts nothing
 
 	prober  hookhall.Prober
@@ -145,8 +145,8 @@
 
 // Learn merges crashes of a peer or of the store into the ledger, and returns those that are
 // new here or newly cleared.
-func (q *Quarantine) Learn(ends []crashes.End, from string) []crashes.End {
-	fresh := q.Ledger.Learn(ends, clock.Now())
+func (q *Quarantine) Learn(list []crashes.End, from string) []crashes.End {
+	fresh := q.Ledger.Learn(list, clock.Now())
 	if len(fresh) == 0 {
 		return nil
 	}
@@ -177,10 +177,10 @@
 }
 
 // enqueue adds crashes to the next broadcast, which follows within broadcastDelay.
-func (q *Quarantine) enqueue(ends []crashes.End) {
+func (q *Quarantine) enqueue(list []crashes.End) {
 	q.mu.Lock()
 	isFirst := len(q.pending) == 0
-	q.pending = append(q.pending, ends...)
+	q.pending = append(q.pending, list...)
 	q.mu.Unlock()
 	if isFirst {
 		time.AfterFunc(broadcastDelay, q.flush)
@@ -190,10 +190,10 @@
 // flush broadcasts the pending crashes.
 func (q *Quarantine) flush() {
 	q.mu.Lock()
-	ends := q.pending
+	list := q.pending
 	q.pending = nil
 	q.mu.Unlock()
-	q.Tell(ends)
+	q.Tell(list)
 }
 
 // updateRefusals logs which contents are newly refused or no longer refused, sets the
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -54,7 +54,7 @@
 	c.startedAt = time.Now()
 	q = New(p, c, nil, log.New(io.Discard))
 	broadcast = &[]crashes.End{}
-	q.Tell = func(ends []crashes.End) { *broadcast = append(*broadcast, ends...) }
+	q.Tell = func(list []crashes.End) { *broadcast = append(*broadcast, list...) }
 	return q, broadcast
 }
 
@@ -166,14 +166,14 @@
 // its crashes.
 func TestRecordRoundTrip(t *testing.T) {
 	now := time.Now()
-	var ends []crashes.End
+	var list []crashes.End
 	for n := range 3 {
-		ends = append(ends, crashes.End{
+		list = append(list, crashes.End{
 			Content: crashes.Digest{1}, Account: "a", Life: hookhall.Life{ID: "t", Born: int64(n)}, Software: "s v1",
 			Served: n == 0, Cleared: n == 1, At: now.Add(time.Duration(n) * time.Second),
 		})
 	}
-	value, err := json.Marshal(newRecord(ends))
+	value, err := json.Marshal(newRecord(list))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,7 +182,7 @@
 	if err != nil || len(got) != 3 {
 		t.Fatalf("%v, %v", got, err)
 	}
-	for n, e := range ends {
+	for n, e := range list {
 		e.At = later.Add(time.Duration(n-2) * time.Second)
 		if got[n] != e {
 			t.Errorf("%+v became %+v", e, got[n])
@@ -193,7 +193,7 @@
 // TestParseRecord checks that an invalid record is an error and not a crash without a content.
 func TestParseRecord(t *testing.T) {
 	now := time.Now()
-	ends := []crashes.End{{Content: crashes.Digest{1, 2}, Account: "a", Life: hookhall.Life{ID: "t", Born: 5}, Software: "s v1", Cleared: true, At: now}}
+	list := []crashes.End{{Content: crashes.Digest{1, 2}, Account: "a", Life: hookhall.Life{ID: "t", Born: 5}, Software: "s v1", Cleared: true, At: now}}
 	for name, c := range map[string]struct {
 		value string
 		want  bool
@@ -202,12 +202,12 @@
 		"no JSON":        {`{`, false},
 		"no content":     {`{"ends":[{"target":"t"}]}`, false},
 		"a short digest": {`{"content":"0102","ends":[{"target":"t"}]}`, false},
-		"no ends":        {`{"content":"01020000000000000000000000000000"}`, false},
+		"no crashes":     {`{"content":"01020000000000000000000000000000"}`, false},
 		"another type":   {`{"content":"01020000000000000000000000000000","ends":"t"}`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got, err := parseRecord(hookhall.Item{Key: keyPrefix + "x", Value: []byte(c.value)}, now)
-			if (err == nil) != c.want || (c.want && got[0] != ends[0]) {
+			if (err == nil) != c.want || (c.want && got[0] != list[0]) {
 				t.Errorf("%v, %v", got, err)
 			}
 		})
--- a/internal/coordination/quarantine/stored.go
+++ b/internal/coordination/quarantine/stored.go
@@ -23,8 +23,8 @@
 	// store call.
 	minStoreRetryDelay = 100 * time.Millisecond
 	maxStoreRetryDelay = time.Second
-	// minWriteInterval is the minimum time between two writes: the targets that were sent a
-	// content before its refusal crash one by one, and each changes the record.
+	// minWriteInterval is the minimum time between two rounds of writes: the targets that were
+	// sent a content before its refusal crash one by one, and each changes the record.
 	minWriteInterval = 200 * time.Millisecond
 	// writerPollInterval is the maximum time until a process notices that it has become the one
 	// that writes.
@@ -100,13 +100,13 @@
 	}
 	now := clock.Now()
 	for _, i := range items {
-		ends, err := parseRecord(i, now)
+		list, err := parseRecord(i, now)
 		if err != nil {
 			w.log.Error("could not decode record of refused content", "key", i.Key, "error", err.Error())
 			continue
 		}
-		w.Learn(ends, "store")
-		w.noteStored(ends[0].Content, hookhall.Lease{})
+		w.Learn(list, "store")
+		w.noteStored(list[0].Content, hookhall.Lease{})
 	}
 	return nil
 }
@@ -147,8 +147,8 @@
 // writeOne writes the record of one content under a lease of its own. A lease that this
 // process holds for the content is used again.
 func (w *recordWriter) writeOne(ctx context.Context, d crashes.Digest) error {
-	ends := w.Ledger.Of(d)
-	value, err := json.Marshal(newRecord(ends))
+	list := w.Ledger.Of(d)
+	value, err := json.Marshal(newRecord(list))
 	if err != nil {
 		return errors.Wrap(err, "record")
 	}
@@ -180,15 +180,15 @@
 
 // newRecord returns the record of the crashes of one content, of which there is at least
 // one.
-func newRecord(ends []crashes.End) record {
-	r := record{Content: ends[0].Content.String(), Account: ends[0].Account}
-	first := ends[0].At
-	for _, e := range ends {
+func newRecord(list []crashes.End) record {
+	r := record{Content: list[0].Content.String(), Account: list[0].Account}
+	first := list[0].At
+	for _, e := range list {
 		if e.At.Before(first) {
 			first = e.At
 		}
 	}
-	for _, e := range ends {
+	for _, e := range list {
 		r.Crashes = append(r.Crashes, recordedCrash{
 			Target: e.Life.ID, Born: e.Life.Born, Software: e.Software, AfterMS: e.At.Sub(first).Milliseconds(), Served: e.Served, Cleared: e.Cleared,
 		})
@@ -214,13 +214,13 @@
 	for _, e := range r.Crashes {
 		last = max(last, e.AfterMS)
 	}
-	var ends []crashes.End
+	var list []crashes.End
 	for _, e := range r.Crashes {
-		ends = append(ends, crashes.End{
+		list = append(list, crashes.End{
 			Content: content, Account: r.Account, Life: hookhall.Life{ID: e.Target, Born: e.Born},
 			Software: e.Software, Served: e.Served, Cleared: e.Cleared,
 			At: now.Add(-time.Duration(min(last-e.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
 		})
 	}
-	return ends, nil
+	return list, nil
 }
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -116,18 +116,18 @@
 }
 
 // Read applies the items of operators' keys that the store had at a revision, and reports
-// whether any rollout was added, replaced or withdrawn. If whole is set, the items are
-// complete and all other rollouts are withdrawn; otherwise the items are changes. Revisions
-// before the present one are ignored. An item that can't be decoded keeps the previous
-// rollout in force.
-func (r *Rollouts) Read(items []hookhall.Item, at hookhall.Revision, whole bool) bool {
+// whether any rollout was added, replaced or withdrawn. If complete is set, the items are all
+// that the store had, and other rollouts are withdrawn; otherwise they are changes. Revisions
+// before the present one are ignored. A rollout whose item can't be decoded stays in force as
+// it was.
+func (r *Rollouts) Read(items []hookhall.Item, at hookhall.Revision, complete bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at < r.revision {
 		return false
 	}
 	listed := map[string]hookhall.Rollout{}
-	if !whole {
+	if !complete {
 		for service, tracked := range r.rolloutsByService {
 			listed[service] = tracked.Rollout
 		}
