--- a/internal/coordination/quarantine/crashcheck.go
+++ b/internal/coordination/quarantine/crashcheck.go
@@ -37,9 +37,9 @@
 	startedAt time.Time
 }
 
-// Broke records that t's answer to a request content broke off, and starts a check of whether
-// t has crashed; it does not wait for that. The zero digest is ignored: a gateway of an
-// earlier version sends no content.
+// Broke records that t's answer to a request content broke off, and starts a check of
+// whether t has crashed; it does not wait for that. The zero digest is ignored: a gateway of
+// an earlier version sends no content.
 func (q *Quarantine) Broke(content crashes.Digest, account string, t hookhall.Target) {
 	if content == (crashes.Digest{}) {
 		return
@@ -55,9 +55,9 @@
 	}()
 }
 
-// Ended reports whether a target whose answer broke off refuses connections, that is, has
-// crashed. It waits for one probe, at most probeTimeout; a crashed target that has restarted
-// by then goes unnoticed here.
+// Ended reports whether a target whose answer broke off refuses connections, that is,
+// has crashed. It waits for one probe, at most probeTimeout; a crashed target that has
+// restarted by then goes unnoticed here.
 func (q *Quarantine) Ended(t hookhall.Target) bool {
 	check := q.startCheck(t.Life(), t)
 	<-check.probed
--- a/internal/coordination/rollouts/owner.go
+++ b/internal/coordination/rollouts/owner.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Take stores the totals that another process reports to this one as the owner, and returns
-// the progress of the reported rollouts. It leaves out those of which this process knows a
-// later revision.
+// Take stores the totals that another process reports to this one as the owner, and
+// returns the progress of the reported rollouts. It leaves out those of which this process
+// knows a later revision.
 func (r *Rollouts) Take(report Report) []Standing {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -78,8 +78,8 @@
 	Fleet     Fleet
 	Remote    func(address string) Remote // returns the client of a process
 	Directory Directory
-	// Share bounds the share of a service's requests, from 0 to 1, that a version may get
-	// before it is known to be good.
+	// Share bounds the share of a service's requests, from 0 to 1, that a version
+	// may get before it is known to be good.
 	Share float64
 	Log   *log.Logger
 
@@ -159,30 +159,30 @@
 	return r.replaceAll(Orders{at, list}, "store")
 }
 
-// Learn applies the rollouts that a peer knows, unless they are of an earlier revision than
-// those known here. Rollouts that the peer does not list are withdrawn. Revision 0, a peer
-// that has not read the store, is ignored.
-func (r *Rollouts) Learn(o Orders, from string) {
-	if o.Revision == 0 {
+// Learn applies the rollouts that a peer knows, unless they are of an earlier
+// revision than those known here. Rollouts that the peer does not list are withdrawn.
+// Revision 0, that of a peer that has not read the store, is ignored.
+func (r *Rollouts) Learn(latest Orders, from string) {
+	if latest.Revision == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if o.Revision < r.revision {
+	if latest.Revision < r.revision {
 		return
 	}
-	r.replaceAll(o, from)
+	r.replaceAll(latest, from)
 }
 
-// replaceAll makes o the rollouts in force, and reports whether any was added, replaced or
+// replaceAll puts the latest rollouts in force, and reports whether any was added, replaced or
 // withdrawn. r.mu must be held.
-func (r *Rollouts) replaceAll(o Orders, from string) (changed bool) {
-	r.revision = o.Revision
+func (r *Rollouts) replaceAll(latest Orders, from string) (changed bool) {
+	r.revision = latest.Revision
 	if r.rolloutsByService == nil {
 		r.rolloutsByService = map[string]*trackedRollout{}
 	}
 	isListed := map[string]bool{}
-	for _, s := range o.List {
+	for _, s := range latest.List {
 		isListed[s.Service] = true
 		changed = r.merge(s, from) || changed
 	}
@@ -315,7 +315,7 @@
 	return list, "", 0
 }
 
-// Use counts one request at a target for a rollout. A nil Use counts nothing.
+// Use counts one request at a target for a rollout. On nil its methods do nothing.
 type Use struct {
 	rollouts     *Rollouts
 	rollout      *trackedRollout
