--- a/internal/coordination/rollouts/rollouts_test.go
+++ b/internal/coordination/rollouts/rollouts_test.go
@@ -391,9 +391,9 @@
 	})
 }
 
-// TestReadAndLearn checks which rollouts are in force after items of the store and updates of
+// TestRolloutsInForce checks which rollouts are in force after items of the store and updates of
 // peers. It guards against losing a rollout to an older update or to an undecodable item.
-func TestReadAndLearn(t *testing.T) {
+func TestRolloutsInForce(t *testing.T) {
 	r := &Rollouts{Keys: fakeKeys{}, Log: log.New(io.Discard)}
 	item := func(version string, revision hookhall.Revision) hookhall.Item {
 		return hookhall.Item{Key: "order/" + service, Value: []byte(version + " 16"), Revision: revision}
