--- /dev/null
+++ b/internal/coordination/quarantine/crashcheck.go
@@ -0,0 +1,127 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package quarantine
+
+import (
+	"context"
+	"time"
+
+	"github.com/hookhall/hookhall"
+	"github.com/hookhall/hookhall/internal/coordination/retry"
+	"github.com/hookhall/hookhall/internal/state/clock"
+	"github.com/hookhall/hookhall/internal/state/crashes"
+)
+
+const (
+	// probeTimeout bounds the wait for a refused connection. Where a process has ended, the
+	// refusal takes one round trip.
+	probeTimeout = 250 * time.Millisecond
+	// restartTimeout is how long a target whose address accepts connections again may take to
+	// be listed as another incarnation. It lists itself at its start, and a change of the
+	// list reaches every gateway within 1.4 s.
+	restartTimeout = 2 * time.Second
+	// restartPollInterval is the time between two looks at the list meanwhile.
+	restartPollInterval = 100 * time.Millisecond
+	// checkTTL is how long the result of a check is kept. The answers that a crashed
+	// incarnation left unfinished break off within seconds, and share its check.
+	checkTTL = 10 * time.Second
+)
+
+// crashCheck finds out whether one incarnation of a target has crashed.
+type crashCheck struct {
+	probed    chan struct{} // closed after the probe
+	refused   bool          // the probe was refused; set before probed is closed
+	done      chan struct{} // closed after the check
+	crashed   bool          // set before done is closed
+	startedAt time.Time
+}
+
+// Broke records that t's answer to a request content broke off, and starts a check of
+// whether t has crashed; it does not wait for that. The zero digest is ignored: a gateway of
+// an earlier version sends no content.
+func (q *Quarantine) Broke(content crashes.Digest, account string, t hookhall.Target) {
+	if content == (crashes.Digest{}) {
+		return
+	}
+	e := crashes.End{Content: content, Account: account, Life: t.Life(), Software: t.Software(), Served: q.recentlyServed.Has(content, clock.Now())}
+	check := q.startCheck(e.Life, t)
+	go func() {
+		<-check.done
+		if check.crashed {
+			e.At = check.startedAt
+			q.recordCrash(e)
+		}
+	}()
+}
+
+// Ended reports whether a target whose answer broke off refuses connections, that is,
+// has crashed. It waits for one probe, at most probeTimeout; a crashed target that has
+// restarted by then goes unnoticed here.
+func (q *Quarantine) Ended(t hookhall.Target) bool {
+	check := q.startCheck(t.Life(), t)
+	<-check.probed
+	return check.refused
+}
+
+// startCheck starts a check of an incarnation, or returns the one that is running or has
+// found a crash. All answers that break off at one target share one probe.
+func (q *Quarantine) startCheck(l hookhall.Life, t hookhall.Target) *crashCheck {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if check := q.checksByLife[l]; check != nil && (!check.isDone() || check.crashed) {
+		return check
+	}
+	check := &crashCheck{probed: make(chan struct{}), done: make(chan struct{}), startedAt: clock.Now()}
+	q.checksByLife[l] = check
+	go q.runCheck(check, t)
+	return check
+}
+
+// runCheck probes a target and then waits for another incarnation of it to be listed.
+func (q *Quarantine) runCheck(check *crashCheck, t hookhall.Target) {
+	defer close(check.done)
+	check.refused = q.refusesConnection(t.Address)
+	close(check.probed)
+	check.crashed = check.refused || q.isReplaced(t)
+}
+
+// isDone reports whether the check is complete.
+func (c *crashCheck) isDone() bool {
+	select {
+	case <-c.done:
+		return true
+	default:
+		return false
+	}
+}
+
+// isReplaced reports whether t's incarnation is listed as over within restartTimeout.
+func (q *Quarantine) isReplaced(t hookhall.Target) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
+	defer cancel()
+	for !q.catalog.Over(t) {
+		if !retry.Sleep(ctx, restartPollInterval) {
+			return false
+		}
+	}
+	return true
+}
+
+// refusesConnection reports whether an address refuses a connection within probeTimeout.
+func (q *Quarantine) refusesConnection(address string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
+	defer cancel()
+	return q.prober.Refuses(ctx, address)
+}
+
+// expireChecks removes the complete checks that started more than checkTTL before now.
+func (q *Quarantine) expireChecks(now time.Time) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	for l, check := range q.checksByLife {
+		if check.isDone() && now.Sub(check.startedAt) > checkTTL {
+			delete(q.checksByLife, l)
+		}
+	}
+}
