--- a/internal/state/advisory/book.go
+++ b/internal/state/advisory/book.go
@@ -16,7 +16,8 @@
 // small corrections in each response cause no broadcasts.
 const notifyThreshold = 0.1
 
-// Limit is a target's rate limit as last received.
+// Limit is a target's rate limit as last received. Its field names are part of the state that
+// operators read as JSON.
 type Limit struct {
 	// Named is set while the target announces a limit.
 	Named bool
@@ -31,8 +32,8 @@
 	return l.Named != old.Named || math.Abs(l.Rate-old.Rate) > notifyThreshold*old.Rate
 }
 
-// Status is what a target has announced about further requests. The state that operators
-// read as JSON has its fields, and those of Limit, under their Go names.
+// Status is what a target has announced about further requests. Its field names are part of
+// the state that operators read as JSON.
 type Status struct {
 	Leaving bool
 	Limit   Limit
@@ -59,8 +60,8 @@
 // Book stores the advisories of targets by incarnation. It is safe for concurrent use.
 type Book struct {
 	entries sync.Map // hookhall.Life to *entry
-	// restrictedCount is the number of entries with a limit or a pause. While it is 0, a lookup
-	// costs a single atomic load.
+	// restrictedCount is the number of entries with a limit, a recently ended limit or a
+	// pause. While it is 0, a lookup costs a single atomic load.
 	restrictedCount atomic.Int64
 }
 
@@ -71,7 +72,7 @@
 	// shared is the limit that peers know.
 	shared Limit
 	bucket bucket
-	// restricted is set while Book.restrictedCount counts the entry.
+	// restricted is set while Registry.restrictedCount counts the entry.
 	restricted bool
 }
 
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// findRestricted returns the entry of an incarnation if it may have a limit or a pause, or nil.
+// findRestricted returns the entry of an incarnation, or nil if there is none or if no target
+// is restricted.
 func (r *Book) findRestricted(incarnation hookhall.Life) *entry {
 	if r.Idle() {
 		return nil
@@ -91,12 +93,13 @@
 	return r.find(incarnation)
 }
 
+// findOrAdd returns the entry of an incarnation, which it adds if there is none.
 func (r *Book) findOrAdd(incarnation hookhall.Life) *entry {
 	e, _ := r.entries.LoadOrStore(incarnation, &entry{})
 	return e.(*entry)
 }
 
-// setRestricted sets whether Book.restrictedCount counts an entry. e.mu must be held.
+// setRestricted sets whether Registry.restrictedCount counts an entry. e.mu must be held.
 func (r *Book) setRestricted(e *entry, isRestricted bool) {
 	if e.restricted == isRestricted {
 		return
@@ -207,8 +210,8 @@
 	})
 }
 
-// Idle reports whether no target has a limit or a pause, or had a limit until a short while
-// ago.
+// Idle reports whether no target has a limit, a limit that ended less than
+// limitEndReportTime ago, or a pause.
 func (r *Book) Idle() bool { return r.restrictedCount.Load() == 0 }
 
 // later returns the later of two times.
--- a/internal/state/advisory/doc.go
+++ b/internal/state/advisory/doc.go
@@ -6,7 +6,7 @@
 //
 // # Model
 //
-// A Book has one entry for each incarnation of a target that has announced something. A
+// A Registry has one entry for each incarnation of a target that has announced something. A
 // rate limit holds from the response that announces it until the response to a later call
 // announces none. A pause lasts for the time that the target requested and applies to this
 // instance only. A target that is leaving stays so for the rest of its incarnation.
--- a/internal/state/budget/budget.go
+++ b/internal/state/budget/budget.go
@@ -157,7 +157,7 @@
 	Held    float64       // tokens before this retry
 	Most    float64       // tokens that the bucket holds
 	Sharers int           // processes that share the slack, 0 if unknown
-	Age     time.Duration // of this process
+	Age     time.Duration // since the start of this process
 	// fullCount is the bucket's at the time.
 	fullCount uint64
 }
@@ -168,20 +168,20 @@
 	defer b.mu.Unlock()
 	u := b.bucket(service, now)
 	capacity, _ := b.slackPart()
-	a := Account{Held: u.tokens, Most: capacity, Sharers: b.position.Count, Age: now.Sub(b.startedAt), fullCount: u.fullCount}
-	if a.Granted = u.tokens >= 1; a.Granted {
+	d := Account{Held: u.tokens, Most: capacity, Sharers: b.position.Count, Age: now.Sub(b.startedAt), fullCount: u.fullCount}
+	if d.Granted = u.tokens >= 1; d.Granted {
 		u.tokens--
 	}
-	return a
+	return d
 }
 
 // Renew reports whether a retry that Spend granted may still be sent, and spends another
 // token if the bucket has been full since. Between the grant and the attempt a request may
 // repeat its stages for seconds; without this check, retries that were granted over two
 // windows could be sent within one.
-func (b *Budget) Renew(service string, a Account, now time.Time) bool {
+func (b *Budget) Renew(service string, d Account, now time.Time) bool {
 	b.mu.Lock()
-	stillGranted := b.bucket(service, now).fullCount == a.fullCount
+	stillGranted := b.bucket(service, now).fullCount == d.fullCount
 	b.mu.Unlock()
 	return stillGranted || b.Spend(service, now).Granted
 }
--- a/internal/state/budget/budget_test.go
+++ b/internal/state/budget/budget_test.go
@@ -66,18 +66,18 @@
 		})
 		Convey("a grant remains valid while the bucket has not been full", func() {
 			now := start.Add(time.Hour)
-			a := b.Spend("s", now)
-			So(b.Renew("s", a, now.Add(time.Second)), ShouldBeTrue)
+			d := b.Spend("s", now)
+			So(b.Renew("s", d, now.Add(time.Second)), ShouldBeTrue)
 			So(b.Spend("s", now.Add(time.Second)).Held, ShouldAlmostEqual, 5.56)
 		})
 		Convey("a grant from before the bucket was full costs another token", func() {
 			now := start.Add(time.Hour)
-			a := b.Spend("s", now)
+			d := b.Spend("s", now)
 			now = now.Add(window)
-			So(b.Renew("s", a, now), ShouldBeTrue)
+			So(b.Renew("s", d, now), ShouldBeTrue)
 			So(b.Spend("s", now).Held, ShouldAlmostEqual, 5.4)
 			spend(10, now)
-			So(b.Renew("s", a, now), ShouldBeFalse)
+			So(b.Renew("s", d, now), ShouldBeFalse)
 		})
 	})
 	Convey("Given more processes than the slack has whole retries, only the first ones have one", t, func() {
@@ -189,9 +189,9 @@
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "failures") {
-				if a := b.Spend("s", now); a.Granted {
+				if d := b.Spend("s", now); d.Granted {
 					delay := time.Duration(rapid.IntRange(0, int(window/2/step)).Draw(t, "wait")) * step
-					pending = append(pending, pendingRetry{a, now.Add(delay)})
+					pending = append(pending, pendingRetry{d, now.Add(delay)})
 				}
 			}
 			remaining := pending[:0]
--- a/internal/state/rollout/phase.go
+++ b/internal/state/rollout/phase.go
@@ -43,7 +43,7 @@
 	return hookhall.RolloutRunning
 }
 
-// PhaseOf returns the phase for a stored state. A running Rollout is at least in Trial.
+// PhaseOf returns the phase for a stored state. A running Rollout is at least in Canary.
 func PhaseOf(s hookhall.RolloutState) Phase {
 	switch s {
 	case hookhall.RolloutCompleted:
