--- a/internal/coordination/placement/client.go
+++ b/internal/coordination/placement/client.go
@@ -31,9 +31,9 @@
 
 // Remote is a client of the placement owner in another process.
 type Remote interface {
-	// Place is Placer.Place. limits are the rate limits that the caller knows of.
+	// Place calls Owner.Place. limits are the rate limits that the caller knows of.
 	Place(ctx context.Context, ticket, service string, w balance.Wish, limits []advisory.Report) (Choice, error)
-	// Note is Placer.Take.
+	// Note calls Owner.Take.
 	Note(ctx context.Context, notes []Note) error
 }
 
@@ -95,7 +95,7 @@
 	return placement
 }
 
-// Tell reports an event of the request to the placement owner. It does not wait for the
+// Tell sends a note on the request to the placement owner. It does not wait for the
 // delivery, and does nothing if no target was chosen.
 func (p Placement) Tell(k Kind) {
 	if p.Target == "" {
@@ -131,5 +131,5 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
 	defer cancel()
-	_ = c.Remote(address).Note(ctx, notes) // Tidy makes up for lost notes
+	_ = c.Remote(address).Note(ctx, notes) // Owner.Tidy makes up for lost notes
 }
--- a/internal/coordination/placement/owner.go
+++ b/internal/coordination/placement/placer.go
@@ -32,7 +32,7 @@
 	Read Kind = iota
 	// Ended reports that the request ended or will not be sent.
 	Ended
-	// Failed reports that the request failed at the target.
+	// Failed reports that the target could not be reached or did not answer.
 	Failed
 	// Full reports that the target refused the request for lack of capacity.
 	Full
@@ -59,7 +59,7 @@
 	tracker   *balance.Tracker
 	limits    balance.ColdLimits
 	// Grants returns the limiter of the rate-limited targets of a service. It must be set
-	// before the Placer is used.
+	// before the Owner is used.
 	Grants func(service string) advisory.Grants
 
 	mu               sync.Mutex
@@ -72,7 +72,7 @@
 	placedAt time.Time
 }
 
-// NewPlacer returns a Placer without recorded load and without rate limits. Cold targets get
+// NewPlacer returns an Owner without recorded load and without rate limits. Cold targets get
 // no more requests than l allows.
 func NewPlacer(d Directory, l balance.ColdLimits) *Placer {
 	none := advisory.Grants{Book: &advisory.Book{}}
@@ -100,23 +100,23 @@
 
 // Place chooses a target and counts the request there. ticket identifies the request in
 // later notes; it must be unique in the fleet.
-func (p *Placer) Place(ticket, service string, w balance.Wish) Choice {
+func (o *Placer) Place(ticket, service string, w balance.Wish) Choice {
 	now := clock.Now()
-	w.Limiter = p.Grants(service)
-	if table := p.directory.Table(); table != nil {
+	w.Limiter = o.Grants(service)
+	if table := o.directory.Table(); table != nil {
 		if s := table.Service(service); s != nil {
 			w.Spec = s.Engine
-			maxRequests := p.limits.Placer(s)
+			maxRequests := o.limits.Placer(s)
 			w.Cold = func(string) int { return maxRequests }
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	targets := p.directory.Targets(service)
-	t, ok := p.tracker.Choose(targets, w, now)
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	targets := o.directory.Targets(service)
+	t, ok := o.tracker.Choose(targets, w, now)
 	choice := Choice{}
 	if !ok {
-		if t, choice.Wait, ok = p.tracker.Next(targets, w, now); !ok {
+		if t, choice.Wait, ok = o.tracker.Next(targets, w, now); !ok {
 			return choice
 		}
 		if choice.Wait, ok = w.Limiter.Reserve(t.Life(), time.Duration(maxWaitShare*float64(w.Slack)), now); !ok {
@@ -124,7 +124,7 @@
 		}
 	}
 	choice.Target = t.ID
-	p.requestsByTicket[ticket] = &placedRequest{p.tracker.Begin(t, w, now), now}
+	o.requestsByTicket[ticket] = &placedRequest{o.tracker.Begin(t, w, now), now}
 	return choice
 }
 
@@ -138,12 +138,12 @@
 }
 
 // Take records the events that notes report. Notes of unknown tickets are ignored.
-func (p *Placer) Take(notes []Note) {
+func (o *Placer) Take(notes []Note) {
 	now := clock.Now()
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	o.mu.Lock()
+	defer o.mu.Unlock()
 	for _, note := range notes {
-		request := p.requestsByTicket[note.Ticket]
+		request := o.requestsByTicket[note.Ticket]
 		if request == nil {
 			continue
 		}
@@ -158,24 +158,24 @@
 			request.use.Refused(now)
 		}
 		request.use.End()
-		delete(p.requestsByTicket, note.Ticket)
+		delete(o.requestsByTicket, note.Ticket)
 	}
 }
 
 // Tidy drops placements whose notes must have been lost, and the records of targets that
 // current does not report as current incarnations. The process calls it periodically.
-func (p *Placer) Tidy(current func(l hookhall.Life) bool, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for ticket, request := range p.requestsByTicket {
+func (o *Placer) Tidy(current func(l hookhall.Life) bool, now time.Time) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	for ticket, request := range o.requestsByTicket {
 		age := now.Sub(request.placedAt)
 		if age > maxReadTime {
 			request.use.Read()
 		}
 		if age > maxRunTime {
 			request.use.End()
-			delete(p.requestsByTicket, ticket)
+			delete(o.requestsByTicket, ticket)
 		}
 	}
-	p.tracker.Keep(current, now)
+	o.tracker.Keep(current, now)
 }
--- a/internal/coordination/stages/broker.go
+++ b/internal/coordination/stages/broker.go
@@ -134,8 +134,8 @@
 	// End is when the results must exist for the request to be served at all.
 	End     time.Time
 	Urgency int // rank of the request, lower first
-	// Hall is where the inputs are stored or the results will be read, "" for any; Cross
-	// is how many bytes pass between halls if the stage runs in another one.
+	// Hall is where the inputs are stored or the results will be read, "" for any;
+	// Cross is how many bytes pass between halls if the stage runs in another one.
 	Hall  string
 	Cross float64
 	// InputsRead is called once when all inputs were read; from then on they are needed
--- a/internal/coordination/stages/runner.go
+++ b/internal/coordination/stages/runner.go
@@ -33,9 +33,9 @@
 // Remote is a client of the broker in another process. Errors of Run that concern the
 // connection are wrapped by ErrSilent.
 type Remote interface {
-	// Run is Broker.Run.
+	// Run calls Broker.Run.
 	Run(ctx context.Context, w Work) ([]string, error)
-	// Free is Broker.FreeIfCrowded if ifMemoryConstrained is set, else Broker.Free.
+	// Free calls Broker.FreeIfCrowded if ifMemoryConstrained is set, else Broker.Free.
 	Free(ctx context.Context, service string, handles []string, ifMemoryConstrained bool) error
 	// Ping returns nil if the process answers.
 	Ping(ctx context.Context) error
@@ -74,7 +74,8 @@
 	// Content is the digest of the request, and Account its client account.
 	Content crashes.Digest
 	Account string
-	// Answer is how long the answer is expected to take to begin once all stages are done.
+	// Answer is how long the answer is expected to take to begin once all stages
+	// are done.
 	Answer time.Duration
 	// Hall is the hall of the target that should run the request, "" for any.
 	Hall string
@@ -85,8 +86,8 @@
 type Results struct {
 	runner          *Runner
 	handles         []string
-	serviceByHandle map[string]string  // handle to service
-	bytesByHall     map[string]float64 // by hall
+	serviceByHandle map[string]string
+	bytesByHall     map[string]float64
 	releaseOnce     sync.Once
 	isReleased      atomic.Bool
 }
@@ -94,7 +95,8 @@
 // Released reports whether Release was called.
 func (r *Results) Released() bool { return r != nil && r.isReleased.Load() }
 
-// Bytes returns how many bytes the target reads from each hall. The map must not be changed.
+// Bytes returns how many bytes the target reads from each hall. The map must not be
+// changed.
 func (r *Results) Bytes() map[string]float64 {
 	if r == nil {
 		return nil
@@ -171,7 +173,7 @@
 			return handles, err
 		}
 		r.Fleet.Suspect(address, clock.Now())
-		r.Log.Warn("broker does not answer; trying the next one", "request", w.Call, "stage", w.Stage, "service", w.Service, "broker", address, "error", err.Error())
+		r.Log.Warn("broker unreachable; trying the next one", "request", w.Call, "stage", w.Stage, "service", w.Service, "broker", address, "error", err.Error())
 		skip[address] = true
 	}
 	return r.Local.Run(ctx, w)
@@ -181,7 +183,8 @@
 // work.
 var errUnreachable = errors.New("the broker does not answer")
 
-// ErrSilent wraps an error of the connection to a broker, so that the next one is tried.
+// ErrSilent wraps an error of the connection to a broker, so that the next one is
+// tried.
 func ErrSilent(err error) error { return errors.Wrap(errUnreachable, err.Error()) }
 
 // runRemote runs w at another process and pings that one meanwhile, so that a broker that
