--- a/internal/protocol/convert/convert.go
+++ b/internal/protocol/convert/convert.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package convert turns the root package's peer messages into their protobuf
-// form and back. It has one function per message and direction, and no logic
-// but this: times travel as time left, since clocks differ.
+// Package convert converts the root package's peer messages to protobuf messages and
+// back, with one function per message and direction. Points in time are sent as the
+// time left, in milliseconds, since the clocks of two machines differ.
 package convert
 
 import (
@@ -13,7 +13,7 @@
 	pb "github.com/hookhall/hookhall/internal/protocol/peerpb"
 )
 
-// Record to protobuf.
+// Record converts r to protobuf, with its expiry as the time left at now.
 func Record(r hookhall.Record, now time.Time) *pb.Record {
 	return &pb.Record{
 		Key: r.Key, Digest: r.Digest, Origin: r.Origin, Token: r.Token, Sequence: r.Sequence,
@@ -21,7 +21,8 @@
 	}
 }
 
-// FromRecord is the inverse of Record.
+// FromRecord is the inverse of Record for a message received at now. It returns the
+// zero Record for nil.
 func FromRecord(r *pb.Record, now time.Time) hookhall.Record {
 	if r == nil {
 		return hookhall.Record{}
@@ -33,7 +34,7 @@
 	}
 }
 
-// ClaimReply to protobuf.
+// ClaimReply converts r to protobuf at time now.
 func ClaimReply(r hookhall.ClaimReply, now time.Time) *pb.ClaimReply {
 	return &pb.ClaimReply{
 		Outcome: int32(r.Outcome), Epoch: r.Epoch, Record: Record(r.Record, now),
@@ -41,7 +42,7 @@
 	}
 }
 
-// FromClaimReply is the inverse of ClaimReply.
+// FromClaimReply is the inverse of ClaimReply for a message received at now.
 func FromClaimReply(r *pb.ClaimReply, now time.Time) hookhall.ClaimReply {
 	return hookhall.ClaimReply{
 		Outcome: hookhall.ClaimOutcome(r.Outcome), Epoch: r.Epoch, Record: FromRecord(r.Record, now),
@@ -49,33 +50,33 @@
 	}
 }
 
-// FetchReply to protobuf.
+// FetchReply converts r to protobuf at time now.
 func FetchReply(r hookhall.FetchReply, now time.Time) *pb.FetchReply {
 	out := &pb.FetchReply{Epoch: r.Epoch}
 	for _, s := range r.Slots {
-		x := &pb.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
+		slot := &pb.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
 		for _, n := range s.Records {
-			x.Records = append(x.Records, Record(n, now))
+			slot.Records = append(slot.Records, Record(n, now))
 		}
-		out.Slots = append(out.Slots, x)
+		out.Slots = append(out.Slots, slot)
 	}
 	return out
 }
 
-// FromFetchReply is the inverse of FetchReply.
+// FromFetchReply is the inverse of FetchReply for a message received at now.
 func FromFetchReply(r *pb.FetchReply, now time.Time) hookhall.FetchReply {
 	out := hookhall.FetchReply{Epoch: r.Epoch}
 	for _, s := range r.Slots {
-		x := hookhall.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
+		slot := hookhall.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
 		for _, n := range s.Records {
-			x.Records = append(x.Records, FromRecord(n, now))
+			slot.Records = append(slot.Records, FromRecord(n, now))
 		}
-		out.Slots = append(out.Slots, x)
+		out.Slots = append(out.Slots, slot)
 	}
 	return out
 }
 
-// TakeRequest to protobuf.
+// TakeRequest converts t to protobuf.
 func TakeRequest(t hookhall.TakeRequest) *pb.TakeRequest {
 	out := &pb.TakeRequest{From: t.From, Epoch: t.Epoch}
 	for _, w := range t.Wants {
@@ -93,7 +94,7 @@
 	return out
 }
 
-// TakeReply to protobuf.
+// TakeReply converts t to protobuf.
 func TakeReply(t hookhall.TakeReply) *pb.TakeReply {
 	out := &pb.TakeReply{Epoch: t.Epoch}
 	for _, l := range t.Leases {
--- a/internal/protocol/peerpb/doc.go
+++ b/internal/protocol/peerpb/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peerpb is the generated code of the protocol between hookhall's own
-// processes. Make it anew with "make generate"; peer.proto has the comments.
+// Package peerpb contains the generated code of the protocol between entries, which
+// peer.proto documents. Regenerate it with "make generate".
 package peerpb
--- a/internal/protocol/wire/caller.go
+++ b/internal/protocol/wire/caller.go
@@ -17,17 +17,19 @@
 const (
 	// MaxBody is the largest request body in bytes.
 	MaxBody = 1 << 20
-	// MaxKey is the longest idempotency key.
+	// MaxKey is the largest length of an idempotency key in bytes.
 	MaxKey = 200
-	// maxDeadline bounds what a caller may ask for.
+	// maxDeadline is the longest deadline that a caller may request.
 	maxDeadline = 10 * time.Minute
-	// maxTokens bounds what a caller may ask for.
+	// maxTokens is the largest output limit that a caller may request, in tokens.
 	maxTokens = 100_000
 )
 
 // Headers of the callers' interface.
 const (
-	HeaderKey       = "Idempotency-Key"
+	// HeaderKey carries the caller's idempotency key.
+	HeaderKey = "Idempotency-Key"
+	// HeaderRequestID carries the request's id. Stage calls carry it as well.
 	HeaderRequestID = "Hookhall-Request"
 )
 
@@ -37,18 +39,21 @@
 	Input     string `json:"input"`
 	Class     string `json:"class,omitempty"`
 	MaxTokens int    `json:"max_tokens,omitempty"`
-	// DeadlineMS is milliseconds from the request's arrival; 0 takes the
-	// class's or the account's.
+	// DeadlineMS is in milliseconds from the request's arrival. The deadline of the
+	// class, or of the account, applies if DeadlineMS is 0 or later.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
-	// Repeatable is false for work that must run at most once; absent takes
-	// the class's, or true.
+	// Repeatable is false for work that must run at most once. If it is absent,
+	// the value of the class applies, or true without a class. It can't override
+	// a class whose requests must run at most once.
 	Repeatable *bool `json:"repeatable,omitempty"`
-	// Stream asks for the answer piece by piece.
+	// Stream requests an answer that is sent while it is produced, as StreamLines.
 	Stream bool `json:"stream,omitempty"`
 }
 
-// RunAnswer is the answer to POST /v1/run, and the End of a streamed one, which
-// leaves out Output.
+// RunAnswer is the answer to POST /v1/run, and the End of a streamed answer,
+// where Output is empty. Length is in bytes, FirstMS is the time from admission to
+// the first streamed chunk in milliseconds, and Replayed is set for the stored
+// answer of an earlier request with the same idempotency key.
 type RunAnswer struct {
 	RequestID string               `json:"request_id"`
 	Verdict   string               `json:"verdict"`
@@ -63,16 +68,16 @@
 // StreamLine is one line of a streamed answer.
 type StreamLine struct {
 	Text string `json:"text,omitempty"`
-	// Restart: drop all text received so far.
+	// Restart tells the caller to discard all text received so far.
 	Restart bool       `json:"restart,omitempty"`
 	End     *RunAnswer `json:"end,omitempty"`
 	Error   *Problem   `json:"error,omitempty"`
 }
 
-// Checksum is the hex xxhash of an output.
+// Checksum returns the 64-bit xxHash of an output in hexadecimal.
 func Checksum(b []byte) string { return strconv.FormatUint(xxhash.Sum64(b), 16) }
 
-// NewRunAnswer makes the caller's form of an answer.
+// NewRunAnswer converts a to the form that is sent to callers; id is the request's.
 func NewRunAnswer(id string, a *hookhall.Answer) *RunAnswer {
 	return &RunAnswer{
 		RequestID: id, Verdict: hookhall.Ran.String(), Output: string(a.Output),
@@ -81,11 +86,12 @@
 	}
 }
 
-// ReadRunRequest reads and checks a body. Errors are *hookhall.Error.
+// ReadRunRequest reads and validates a request body of at most MaxBody bytes. Errors
+// are of type *hookhall.Error.
 func ReadRunRequest(r io.Reader) (*RunRequest, error) {
 	b, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
 	if err != nil {
-		return nil, bad("the body could not be read: %v", err)
+		return nil, badRequest("the body could not be read: %v", err)
 	}
 	if len(b) > MaxBody {
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTooLarge, "the body is larger than %d bytes", MaxBody)
@@ -94,46 +100,49 @@
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(q); err != nil {
-		return nil, bad("the body is not a run request: %v", err)
+		return nil, badRequest("the body is not a run request: %v", err)
 	}
 	if d.More() {
-		return nil, bad("the body goes on after the run request")
+		return nil, badRequest("the body goes on after the run request")
 	}
-	return q, q.check()
+	return q, q.validate()
 }
 
-func (q *RunRequest) check() error {
+func (q *RunRequest) validate() error {
 	switch {
 	case q.Pipeline == "":
-		return bad("pipeline is missing")
+		return badRequest("pipeline is missing")
 	case q.DeadlineMS < 0 || time.Duration(q.DeadlineMS)*time.Millisecond > maxDeadline:
-		return bad("deadline_ms must be from 0 to %d", maxDeadline.Milliseconds())
+		return badRequest("deadline_ms must be from 0 to %d", maxDeadline.Milliseconds())
 	case q.MaxTokens < 0 || q.MaxTokens > maxTokens:
-		return bad("max_tokens must be from 0 to %d", maxTokens)
+		return badRequest("max_tokens must be from 0 to %d", maxTokens)
 	}
 	return nil
 }
 
-// CheckKey checks an idempotency key.
+// CheckKey returns an error unless key has at most MaxKey bytes and consists of
+// printable ASCII without spaces. An empty key is valid.
 func CheckKey(key string) error {
 	if len(key) > MaxKey {
-		return bad("%s is longer than %d bytes", HeaderKey, MaxKey)
+		return badRequest("%s is longer than %d bytes", HeaderKey, MaxKey)
 	}
 	for _, r := range key {
 		if r < '!' || r > '~' {
-			return bad("%s may hold printable ASCII without spaces only", HeaderKey)
+			return badRequest("%s may hold printable ASCII without spaces only", HeaderKey)
 		}
 	}
 	return nil
 }
 
-func bad(format string, args ...any) error {
+func badRequest(format string, args ...any) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, format, args...)
 }
 
-// Digest identifies what a request asks for, whoever asks and when.
+// Digest returns a hash of the pipeline, class, token limit and input. It is the same
+// for equal requests of different callers, deadlines and times.
 func (q *RunRequest) Digest() uint64 {
 	d := xxhash.New()
+	// Each part follows its length, so that different parts never hash the same bytes.
 	for _, s := range []string{q.Pipeline, q.Class, strconv.Itoa(q.MaxTokens), q.Input} {
 		_, _ = d.WriteString(strconv.Itoa(len(s))) // never fails
 		_, _ = d.WriteString(":" + s)
--- a/internal/protocol/wire/problem.go
+++ b/internal/protocol/wire/problem.go
@@ -13,27 +13,27 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Problem is the problem document of a failure.
+// Problem is the problem document (RFC 9457) of a failure.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail"`
-	// Verdict is not-run, may-have-run or ran.
+	// Verdict states whether the request ran: not-run, may-have-run or ran.
 	Verdict      string `json:"verdict"`
 	Cause        string `json:"cause"`
 	Stage        string `json:"stage,omitempty"`
 	RequestID    string `json:"request_id,omitempty"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
-	// Cost is what was spent all the same, by stage.
+	// Cost is the work spent on the failed request, by stage.
 	Cost []hookhall.StageCost `json:"cost,omitempty"`
 }
 
 // ContentProblem is the media type of a Problem.
 const ContentProblem = "application/problem+json"
 
-// statuses are the HTTP statuses of causes; others are 502.
-var statuses = map[hookhall.Cause]int{
+// statusByCause maps causes to HTTP statuses; other causes are sent as 502.
+var statusByCause = map[hookhall.Cause]int{
 	hookhall.CauseBadRequest:   http.StatusBadRequest,
 	hookhall.CauseUnauthorized: http.StatusUnauthorized,
 	hookhall.CauseTooLarge:     http.StatusRequestEntityTooLarge,
@@ -50,9 +50,9 @@
 	hookhall.CauseUnknown:      http.StatusConflict,
 }
 
-// NewProblem makes the document of an error.
+// NewProblem returns the document for e; id is the request's.
 func NewProblem(id string, e *hookhall.Error) *Problem {
-	status, ok := statuses[e.Cause]
+	status, ok := statusByCause[e.Cause]
 	if !ok {
 		status = http.StatusBadGateway
 	}
@@ -63,7 +63,8 @@
 	}
 }
 
-// Err is the inverse of NewProblem.
+// Err converts the document back to an error. It is the inverse of NewProblem, except
+// that the cost and the request's id are dropped.
 func (p *Problem) Err() *hookhall.Error {
 	return &hookhall.Error{
 		Verdict: hookhall.ParseVerdict(p.Verdict), Cause: hookhall.Cause(p.Cause), Detail: p.Detail,
@@ -71,19 +72,20 @@
 	}
 }
 
-// WriteProblem sends the document; Retry-After is in whole seconds, rounded up.
+// WriteProblem sends p with its status. It sets Retry-After to RetryAfterMS, rounded
+// up to whole seconds, if that is positive.
 func WriteProblem(w http.ResponseWriter, p *Problem) {
 	w.Header().Set("Content-Type", ContentProblem)
 	if p.RetryAfterMS > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryAfterMS)/1000))))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // a caller that went away needs no answer
+	_ = json.NewEncoder(w).Encode(p) // fails only if the caller has disconnected
 }
 
-// WriteJSON sends a document.
+// WriteJSON sends v as JSON.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // as above
+	_ = json.NewEncoder(w).Encode(v) // fails only if the caller has disconnected
 }
--- a/internal/protocol/wire/target.go
+++ b/internal/protocol/wire/target.go
@@ -12,30 +12,34 @@
 	"github.com/pkg/errors"
 )
 
-// Paths of the targets' interface.
+// Paths of the targets' interface: stage calls and load reports.
 const (
 	PathCall = "/v1/call"
 	PathLoad = "/v1/load"
 )
 
-// Headers of a stage call. A target echoes the first four.
+// Headers of a stage call. A target copies the stage, attempt and digest, and
+// HeaderRequestID, into its answer.
 const (
-	HeaderStage     = "Hookhall-Stage"
-	HeaderAttempt   = "Hookhall-Attempt"
-	HeaderDigest    = "Hookhall-Digest"
+	HeaderStage   = "Hookhall-Stage"
+	HeaderAttempt = "Hookhall-Attempt"
+	HeaderDigest  = "Hookhall-Digest"
+	// HeaderTimeout carries the time left until the call's deadline in milliseconds.
 	HeaderTimeout   = "Hookhall-Timeout-Ms"
 	HeaderPriority  = "Hookhall-Priority"
 	HeaderMaxTokens = "Hookhall-Max-Tokens"
-	HeaderEpoch     = "Hookhall-Epoch"
-	HeaderToken     = "Hookhall-Token"
-	// HeaderNotRun is set to "true" by a target that refused before running.
+	// HeaderEpoch and HeaderToken identify the claim of a call with an idempotency key.
+	HeaderEpoch = "Hookhall-Epoch"
+	HeaderToken = "Hookhall-Token"
+	// HeaderNotRun is "true" in the answer of a target that refused the call before
+	// running it.
 	HeaderNotRun = "Hookhall-Not-Run"
-	// HeaderLeaving is set to "true" by a target that is leaving.
+	// HeaderLeaving is "true" in the refusal of a target that is leaving.
 	HeaderLeaving = "Hookhall-Leaving"
 )
 
-// echoed are the headers that tell whose answer it is.
-var echoed = []string{HeaderRequestID, HeaderStage, HeaderAttempt, HeaderDigest}
+// echoedHeaders identify the call that an answer belongs to.
+var echoedHeaders = []string{HeaderRequestID, HeaderStage, HeaderAttempt, HeaderDigest}
 
 // TargetLine is one line of a target's streamed answer. The last one has End
 // set; a unary answer is one line with Text and End.
@@ -44,7 +48,8 @@
 	End  *TargetEnd `json:"end,omitempty"`
 }
 
-// TargetEnd marks a whole answer.
+// TargetEnd marks a complete answer. Length is in bytes, QueueMS and BusyMS are the
+// milliseconds that the call spent waiting and running in the target.
 type TargetEnd struct {
 	Length   int                 `json:"length"`
 	Checksum string              `json:"checksum"`
@@ -54,7 +59,8 @@
 	Load     hookhall.LoadReport `json:"load"`
 }
 
-// SetCall writes a call's headers.
+// SetCall sets the headers of stage call c that is sent at now. The key, epoch and
+// token are set only for calls with an idempotency key.
 func SetCall(h http.Header, c hookhall.StageCall, now time.Time) {
 	h.Set(HeaderRequestID, c.Request)
 	h.Set(HeaderStage, c.Stage)
@@ -70,16 +76,16 @@
 	}
 }
 
-// Echo copies a call's identity into its answer.
+// Echo copies the headers that identify a call into the headers of its answer.
 func Echo(to, from http.Header) {
-	for _, k := range echoed {
+	for _, k := range echoedHeaders {
 		to.Set(k, from.Get(k))
 	}
 }
 
-// CheckEcho tells whether an answer is that of the call.
+// CheckEcho returns an error if the headers of an answer don't identify call.
 func CheckEcho(answer, call http.Header) error {
-	for _, k := range echoed {
+	for _, k := range echoedHeaders {
 		if answer.Get(k) != call.Get(k) {
 			return errors.Errorf("%s is %q, not %q", k, answer.Get(k), call.Get(k))
 		}
