--- a/internal/transport/peers/server.go
+++ b/internal/transport/peers/server.go
@@ -21,26 +21,34 @@
 )
 
 const (
-	// maxKeyLength bounds claim keys: account and idempotency key.
-	maxKeyLength = 512
-	// refusalsLogged a second are logged at most.
-	refusalsLogged = 1
+	// maxKeyBytes is the largest size of a claim's key, which consists of the account
+	// and the idempotency key, in bytes.
+	maxKeyBytes = 512
+	// maxRefusalLogsPerSecond bounds the log lines for refused calls, so that a peer
+	// with wrong settings doesn't fill the log.
+	maxRefusalLogsPerSecond = 1
 )
 
-// Handler is what an entry does with its peers' messages.
+// Handler processes the messages of peers. Each method answers the message of that
+// name in peer.proto, and may be called concurrently.
 type Handler interface {
 	HandleProbe(context.Context, hookhall.Probe) hookhall.ProbeReply
+	// HandleProbeFor reports whether the member at address answers a probe.
 	HandleProbeFor(ctx context.Context, address string) bool
 	HandleClaim(context.Context, hookhall.ClaimRequest) hookhall.ClaimReply
 	HandleCopy(epoch uint64, r hookhall.Record) hookhall.CopyReply
 	HandleSettle(context.Context, hookhall.Settlement) hookhall.CopyReply
 	HandleFetch(hookhall.FetchRequest) hookhall.FetchReply
+	// HandleWhole reports whether this member holds all records of its slots in epoch.
 	HandleWhole(epoch uint64) bool
+	// HandleTake leases shares of accounts' limits.
 	HandleTake(hookhall.TakeRequest) hookhall.TakeReply
+	// HandleTable returns the table in force, or only its version unless that is newer
+	// than have.
 	HandleTable(have uint64) hookhall.TableDocument
 }
 
-// Server answers peers.
+// Server is the gRPC service that passes messages of peers to a Handler.
 type Server struct {
 	pb.UnimplementedPeerServer
 	handler Handler
@@ -50,43 +58,45 @@
 	refused atomic.Int64
 }
 
-// NewServer makes a Server; Register ties it to a gRPC server that was made
-// with its Options.
+// NewServer returns a Server that passes messages to h. Register adds it to a gRPC
+// server, which must use Check as its unary interceptor.
 func NewServer(h Handler, secret string, l *log.Logger) *Server {
-	return &Server{handler: h, secret: secret, log: l, limit: rate.NewLimiter(refusalsLogged, refusalsLogged)}
+	return &Server{handler: h, secret: secret, log: l, limit: rate.NewLimiter(maxRefusalLogsPerSecond, maxRefusalLogsPerSecond)}
 }
 
-// Register ties the server to g.
+// Register adds the service to g.
 func (s *Server) Register(g grpc.ServiceRegistrar) { pb.RegisterPeerServer(g, s) }
 
-// Refused is the number of calls refused.
+// Refused returns the number of refused calls since the start.
 func (s *Server) Refused() int64 { return s.refused.Load() }
 
-// Check is the interceptor that refuses calls of strangers.
+// Check is the interceptor that refuses calls with another protocol version or secret.
 func (s *Server) Check(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := first(md, keyVersion); v != Version {
+	if v := firstValue(md, versionMetadataKey); v != Version {
 		return nil, s.refuse(codes.FailedPrecondition, "protocol version "+v+" instead of "+Version)
 	}
-	if subtle.ConstantTimeCompare([]byte(first(md, keySecret)), []byte(s.secret)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(firstValue(md, secretMetadataKey)), []byte(s.secret)) != 1 {
 		return nil, s.refuse(codes.Unauthenticated, "wrong fleet secret")
 	}
 	return next(ctx, req)
 }
 
-func first(md metadata.MD, key string) string {
+// firstValue returns the first value of key, "" for none.
+func firstValue(md metadata.MD, key string) string {
 	if v := md.Get(key); len(v) > 0 {
 		return v[0]
 	}
 	return ""
 }
 
-func (s *Server) refuse(c codes.Code, why string) error {
+// refuse counts and logs a refused call, and returns the error for its caller.
+func (s *Server) refuse(c codes.Code, reason string) error {
 	s.refused.Add(1)
 	if s.limit.Allow() {
-		s.log.Warn("Refused a peer's call.", "why", why, "refused", s.refused.Load())
+		s.log.Warn("peer call refused", "why", reason, "refused", s.refused.Load())
 	}
-	return status.Error(c, why)
+	return status.Error(c, reason)
 }
 
 // Probe implements pb.PeerServer.
@@ -102,7 +112,7 @@
 
 // Claim implements pb.PeerServer.
 func (s *Server) Claim(ctx context.Context, q *pb.ClaimRequest) (*pb.ClaimReply, error) {
-	if q.Key == "" || len(q.Key) > maxKeyLength || q.Origin == "" {
+	if q.Key == "" || len(q.Key) > maxKeyBytes || q.Origin == "" {
 		return nil, s.refuse(codes.InvalidArgument, "claim without key or origin")
 	}
 	r := s.handler.HandleClaim(ctx, hookhall.ClaimRequest{Epoch: q.Epoch, Key: q.Key, Digest: q.Digest, Origin: q.Origin, Token: q.Token})
@@ -111,7 +121,7 @@
 
 // Copy implements pb.PeerServer.
 func (s *Server) Copy(_ context.Context, q *pb.CopyRequest) (*pb.CopyReply, error) {
-	if q.Record.GetKey() == "" || len(q.Record.GetKey()) > maxKeyLength {
+	if q.Record.GetKey() == "" || len(q.Record.GetKey()) > maxKeyBytes {
 		return nil, s.refuse(codes.InvalidArgument, "copy without key")
 	}
 	r := s.handler.HandleCopy(q.Epoch, convert.FromRecord(q.Record, clock.Now()))
--- a/internal/transport/sockets/sockets.go
+++ b/internal/transport/sockets/sockets.go
@@ -1,20 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package sockets makes connections that don't stay open in silence.
+// Package sockets opens TCP connections that detect an unresponsive peer quickly.
 //
 // # Model
 //
-// A connection whose other end lost power, or that a firewall has forgotten, sends
-// nothing, not even a reset, while new ones work. The system notices by itself
-// only after many minutes. Two options shorten that: written bytes that nobody
-// acknowledges break a connection after userTimeout, and one on which an answer is
-// awaited is probed.
+// If the peer lost power, or a firewall dropped the connection's state, the
+// connection receives nothing, not even a reset, while new connections work. By
+// default the system detects this only after many minutes. Two socket options
+// shorten that: a connection with written but unacknowledged bytes is closed after
+// userTimeout, and an idle connection, such as one that waits for an answer, is
+// probed.
 //
 // # Invariants
 //
-//   - A connection on which bytes wait for an acknowledgement lives for userTimeout
-//     at most.
+//   - A connection with unacknowledged bytes is closed after userTimeout at the
+//     latest.
 package sockets
 
 import (
@@ -24,25 +25,28 @@
 )
 
 const (
-	// userTimeout is after how long unacknowledged bytes break a connection: some
-	// hundred round trips between halls, and several repeats of a lost packet.
+	// userTimeout is how long written bytes may stay unacknowledged before the
+	// connection is closed. It allows some hundred round trips between halls and
+	// several retransmissions of a lost packet.
 	userTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux.
-	tcpUserTimeout = 18
+	// optTCPUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
+	optTCPUserTimeout = 18
 )
 
-// probes find a peer out that has gone silent while an answer is awaited. Linux
-// counts in whole seconds.
-var probes = net.KeepAliveConfig{Enable: true, Idle: 500 * time.Millisecond, Interval: 400 * time.Millisecond, Count: 3}
+// keepAlive detects an unresponsive peer while this side only waits for an answer.
+// The durations are rounded up to whole seconds, the unit of Linux.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 500 * time.Millisecond, Interval: 400 * time.Millisecond, Count: 3}
 
-// Dialer makes such connections; opening one may take limit.
-func Dialer(limit time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: limit, KeepAliveConfig: probes, Control: control}
+// Dialer returns a dialer for such connections. Opening a connection fails after
+// connectTimeout.
+func Dialer(connectTimeout time.Duration) *net.Dialer {
+	return &net.Dialer{Timeout: connectTimeout, KeepAliveConfig: keepAlive, Control: setUserTimeout}
 }
 
-func control(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets the socket option that closes a connection after userTimeout.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Where it is not to be had, keep-alive probes and deadlines remain.
-		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout/time.Millisecond))
+		// Without the option, keep-alive probes and deadlines still end the connection.
+		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, optTCPUserTimeout, int(userTimeout/time.Millisecond))
 	})
 }
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -145,7 +145,7 @@
 			s, err := c.entries[0].state()
 			So(err, ShouldBeNil)
 			So(s.Cost.PeerRefusals, ShouldBeGreaterThanOrEqualTo, 300)
-			So(strings.Count(c.entries[0].logs(), "Refused a peer's call."), ShouldBeLessThan, 60)
+			So(strings.Count(c.entries[0].logs(), "peer call refused"), ShouldBeLessThan, 60)
 		})
 		Convey("garbage and oversize frames, and a view that names itself twice, change nothing", func() {
 			raw, err := net.Dial("tcp", at)
