--- a/internal/transport/fleet/advisories.go
+++ b/internal/transport/fleet/advisories.go
@@ -13,9 +13,10 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// Advisories keeps the advisories of targets.
+// Advisories stores the advisories of targets.
 type Advisories interface {
-	// Merge applies the reports of a peer, and returns those that are new.
+	// Merge applies the reports of a peer, and returns those that are new; from names the
+	// peer in logs.
 	Merge(list []advisory.Report, from string) (fresh []advisory.Report)
 	// All returns reports of all targets that are leaving or limited.
 	All() []advisory.Report
@@ -28,8 +29,8 @@
 
 // relayAdvisories sends reports to the peers below a position in the reporter's tree.
 func (s *Broadcaster) relayAdvisories(reporter string, position int, list []advisory.Report) {
-	s.spread(reporter, position, func(address string, position int) bool {
-		ctx, cancel := context.WithTimeout(context.Background(), shareTime)
+	s.sendToSubtree(reporter, position, func(address string, position int) bool {
+		ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 		defer cancel()
 		m := &pb.Advisories{Reporter: reporter, Position: int32(position), List: wireAdvisories(list, clock.Now())}
 		return s.Clients.Client(address).Advise(ctx, m) == nil
@@ -42,39 +43,40 @@
 	for _, r := range list {
 		out = append(out, &pb.TargetAdvisory{
 			Target: r.Target.ID, Born: r.Target.Born, Service: r.Target.Pool, Leaving: r.Leaving,
-			Limited: r.Limit.Named, Limit: r.Limit.Rate, AgeMs: limitAge(r.Limit, now),
+			Limited: r.Limit.Named, Limit: r.Limit.Rate, AgeMs: limitAgeMS(r.Limit, now),
 		})
 	}
 	return out
 }
 
-// noAge stands for the age of a limit that nobody has heard of.
-const noAge = -1
+// unknownAge is the age that is sent for a limit that no target has announced.
+const unknownAge = -1
 
-func limitAge(l advisory.Limit, now time.Time) int64 {
+// limitAgeMS returns the milliseconds since a limit was announced, or unknownAge.
+func limitAgeMS(l advisory.Limit, now time.Time) int64 {
 	if l.Heard.IsZero() {
-		return noAge
+		return unknownAge
 	}
 	return ageMS(now.Sub(l.Heard))
 }
 
-// readAdvisories converts the reports of a message that came at a time.
-func readAdvisories(list []*pb.TargetAdvisory, came time.Time) []advisory.Report {
+// readAdvisories converts the reports of a message that was received at a time.
+func readAdvisories(list []*pb.TargetAdvisory, receivedAt time.Time) []advisory.Report {
 	out := make([]advisory.Report, 0, len(list))
 	for _, a := range list {
 		r := advisory.Report{Target: hookhall.Target{ID: a.GetTarget(), Born: a.GetBorn(), Pool: a.GetService()}, Leaving: a.GetLeaving()}
 		if a.GetAgeMs() >= 0 {
-			r.Limit = advisory.Limit{Named: a.GetLimited(), Rate: max(a.GetLimit(), 0), Heard: came.Add(-milliseconds(a.GetAgeMs()))}
+			r.Limit = advisory.Limit{Named: a.GetLimited(), Rate: max(a.GetLimit(), 0), Heard: receivedAt.Add(-milliseconds(a.GetAgeMs()))}
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// Advise implements the service.
+// Advise implements pb.FleetServer.
 func (s *Server) Advise(_ context.Context, m *pb.Advisories) (*pb.AdvisoriesReply, error) {
 	b := s.Broadcaster
-	fresh := b.Advisories.Merge(readAdvisories(m.GetList(), clock.Now()), instance(m.GetReporter()))
+	fresh := b.Advisories.Merge(readAdvisories(m.GetList(), clock.Now()), hostOf(m.GetReporter()))
 	if len(fresh) > 0 {
 		b.relayAdvisories(m.GetReporter(), int(m.GetPosition()), fresh)
 	}
@@ -87,6 +89,6 @@
 		return c.err
 	}
 	_, err := c.rpc().Advise(ctx, m)
-	c.note(err)
+	c.checkAfterTimeout(err)
 	return err
 }
--- a/internal/transport/fleet/bootstrap.go
+++ b/internal/transport/fleet/bootstrap.go
@@ -17,56 +17,62 @@
 )
 
 const (
-	// patience is how long a start waits for the store before it asks peers.
-	patience = 400 * time.Millisecond
-	// askEvery is how often it asks the next one.
-	askEvery = 200 * time.Millisecond
-	askTime  = 2 * time.Second
+	// storeTimeout is how long a starting process waits for the store before it asks
+	// peers.
+	storeTimeout = 400 * time.Millisecond
+	// askInterval is the pause before the next peer is asked.
+	askInterval = 200 * time.Millisecond
+	// askTimeout bounds reading the complete state of one peer.
+	askTimeout = 2 * time.Second
 )
 
-// Meeter takes in members that a peer listed.
+// Meeter accepts the members that a peer listed.
 type Meeter interface {
+	// Meet adds the members of a peer's list until the store's own list replaces them.
 	Meet(list []hookhall.Member)
 }
 
-// Starter lets a process start while the store is away: it asks the peers that
-// its settings name for what they believe. Whatever they say counts with its age,
-// and the store's word, once it can be had, takes its place.
+// Starter lets a process start while the store is unavailable: it fetches the state
+// of the peers that its settings name, with its age. What the store returns later
+// replaces that state. The fields are set before the first call.
 type Starter struct {
 	Clients *Clients
 	Catalog *catalog.Catalog
 	Members Meeter
 	Ends    Ends
-	// Advisories takes in what targets said in answers to peers.
+	// Advisories stores the advisories that peers received from targets.
 	Advisories Advisories
 	Log        *log.Logger
 	// Began is when the process started.
 	Began time.Time
 }
 
-// Run asks until the catalog is ready or ctx ends.
+// Run asks the peers at the addresses in seeds in turn, until the catalog has a table
+// and targets or ctx ends.
 func (s *Starter) Run(ctx context.Context, seeds []string) {
-	retry.Sleep(ctx, patience)
+	retry.Sleep(ctx, storeTimeout)
 	for i := 0; len(seeds) > 0 && ctx.Err() == nil && !s.Catalog.Ready(); i++ {
 		s.Ask(ctx, seeds[i%len(seeds)])
-		retry.Sleep(ctx, askEvery)
+		retry.Sleep(ctx, askInterval)
 	}
 }
 
-// Ask asks one peer, unless the store may still be expected to answer.
+// Ask fetches the state of the peer at an address. It does nothing within storeTimeout
+// of the start, while the store may still answer, and once the catalog is ready.
 func (s *Starter) Ask(ctx context.Context, peer string) {
-	if clock.Since(s.Began) < patience || s.Catalog.Ready() {
+	if clock.Since(s.Began) < storeTimeout || s.Catalog.Ready() {
 		return
 	}
-	if err := s.ask(ctx, peer); err != nil {
-		s.Log.Info("A peer could not help with the start.", "peer", peer, "error", err.Error())
+	if err := s.fetchState(ctx, peer); err != nil {
+		s.Log.Info("state not fetched from peer", "peer", peer, "error", err.Error())
 		return
 	}
-	s.Log.Info("A peer told what it believes.", "peer", peer)
+	s.Log.Info("state fetched from peer", "peer", peer)
 }
 
-func (s *Starter) ask(ctx context.Context, seed string) error {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+// fetchState fetches and applies the state of the peer at seed.
+func (s *Starter) fetchState(ctx context.Context, seed string) error {
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	began := clock.Now()
 	b, err := s.Clients.Client(seed).Beliefs(ctx)
@@ -74,22 +80,22 @@
 		return err
 	}
 	if b.GetHallsRevision() > 0 {
-		s.Catalog.LearnHalls(catalog.Halls{Revision: hookhall.Revision(b.GetHallsRevision()), Evacuated: b.GetEvacuated()}, instance(seed))
+		s.Catalog.LearnHalls(catalog.Halls{Revision: hookhall.Revision(b.GetHallsRevision()), Evacuated: b.GetEvacuated()}, hostOf(seed))
 	}
-	s.Ends.Learn(readEnds(b.GetEnds().GetEnds(), clock.Now()), instance(seed))
-	s.Advisories.Merge(readAdvisories(b.GetAdvisories(), began), instance(seed))
-	s.Catalog.LearnPacked(b.GetTable().GetPacked(), hookhall.Revision(b.GetTable().GetRevision()), instance(seed), began)
+	s.Ends.Learn(readCrashes(b.GetEnds().GetEnds(), clock.Now()), hostOf(seed))
+	s.Advisories.Merge(readAdvisories(b.GetAdvisories(), began), hostOf(seed))
+	s.Catalog.LearnPacked(b.GetTable().GetPacked(), hookhall.Revision(b.GetTable().GetRevision()), hostOf(seed), began)
 	r := catalog.Reading{Revision: hookhall.Revision(b.GetTargetsRevision()), Began: began.Add(-milliseconds(b.GetAgeMs()))}
 	if r.Items, _, err = unpackBulk(b.GetTargets()); err != nil {
 		return err
 	}
-	s.Catalog.Learn(r, instance(seed))
-	s.Members.Meet(listed(b.GetMembers()))
+	s.Catalog.Learn(r, hostOf(seed))
+	s.Members.Meet(readMembers(b.GetMembers()))
 	return nil
 }
 
-// listed reads members as they stand in the store.
-func listed(values [][]byte) []hookhall.Member {
+// readMembers decodes members as they are stored. It omits values that are not valid.
+func readMembers(values [][]byte) []hookhall.Member {
 	var list []hookhall.Member
 	for _, v := range values {
 		var m hookhall.Member
@@ -100,13 +106,13 @@
 	return list
 }
 
-// GetBeliefs implements the service.
+// GetBeliefs implements pb.FleetServer.
 func (s *Server) GetBeliefs(context.Context, *pb.BeliefsRequest) (*pb.Beliefs, error) {
 	b := s.Broadcaster
 	packed, revision := b.Catalog.PackedTable()
 	r := b.Catalog.Reading()
 	if revision == 0 || r.Revision == 0 {
-		return nil, errNothingYet
+		return nil, errNoState
 	}
 	out := &pb.Beliefs{
 		Table:           &pb.Table{Packed: packed, Revision: uint64(revision)},
@@ -114,7 +120,7 @@
 	}
 	h := b.Catalog.Halls()
 	out.HallsRevision, out.Evacuated = uint64(h.Revision), h.Evacuated
-	out.Ends = &pb.Ends{Ends: wireEnds(b.Ends.All(), clock.Now())}
+	out.Ends = &pb.Ends{Ends: wireCrashes(b.Ends.All(), clock.Now())}
 	out.Advisories = wireAdvisories(b.Advisories.All(), clock.Now())
 	var err error
 	if out.Targets, err = packBulk(r.Items, nil); err != nil {
@@ -128,10 +134,10 @@
 	return out, nil
 }
 
-// Beliefs reads what the peer believes.
+// Beliefs reads the complete state that the peer knows.
 func (c *Client) Beliefs(ctx context.Context) (*pb.Beliefs, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
-	return c.rpc().GetBeliefs(ctx, &pb.BeliefsRequest{}, largeReply)
+	return c.rpc().GetBeliefs(ctx, &pb.BeliefsRequest{}, allowLargeReply)
 }
--- a/internal/transport/fleet/bulk.go
+++ b/internal/transport/fleet/bulk.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// packBulk compresses targets and members, nil when there are none. Keys of targets
-// are much alike: 3,000 of them with 900 KB take some 100 KB.
+// packBulk compresses targets and members. It returns nil if there are none. Targets have
+// similar keys: 900 KB for 3,000 of them become some 100 KB.
 func packBulk(targets, members []hookhall.Item) ([]byte, error) {
 	if len(targets) == 0 && len(members) == 0 {
 		return nil, nil
--- a/internal/transport/fleet/clients.go
+++ b/internal/transport/fleet/clients.go
@@ -22,74 +22,78 @@
 )
 
 const (
-	// idleTime without a call a connection is closed.
-	idleTime = 20 * time.Second
-	// connectTime bounds opening a connection.
-	connectTime = 700 * time.Millisecond
-	// checkTime is how long a peer may take to answer a ping while it is found out
-	// whether its connection has fallen silent: some hundred round trips between halls.
-	checkTime = 300 * time.Millisecond
-	// checkPause is the least time between two such checks of one peer.
-	checkPause = time.Second
+	// idleTimeout is how long a connection stays open without a call.
+	idleTimeout = 20 * time.Second
+	// connectTimeout bounds opening a connection.
+	connectTimeout = 700 * time.Millisecond
+	// checkTimeout is how long a peer may take to answer a ping while a connection is
+	// checked. It allows some hundred round trips between halls.
+	checkTimeout = 300 * time.Millisecond
+	// minCheckInterval is the minimum time between two checks of a peer's connection.
+	minCheckInterval = time.Second
 )
 
-var reconnect = grpc.ConnectParams{
+// reconnectParams has short delays, so that a peer is used soon after it returns.
+var reconnectParams = grpc.ConnectParams{
 	Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 400 * time.Millisecond},
 	MinConnectTimeout: 300 * time.Millisecond,
 }
 
-// Clients has the connections to peers.
+// Clients keeps one Client per address of a peer. It is safe for concurrent use.
 type Clients struct {
+	// Log receives the warnings and errors of clients.
 	Log *log.Logger
 
-	mu     sync.Mutex
-	byAddr map[string]*Client
+	mu        sync.Mutex
+	byAddress map[string]*Client
 }
 
-// NewClients makes an empty set.
-func NewClients(l *log.Logger) *Clients { return &Clients{Log: l, byAddr: map[string]*Client{}} }
+// NewClients returns Clients without connections.
+func NewClients(l *log.Logger) *Clients { return &Clients{Log: l, byAddress: map[string]*Client{}} }
 
-// Client finds the client of the peer at address.
+// Client returns the client of the peer at address. Its connection is opened by its
+// first call.
 func (c *Clients) Client(address string) *Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.byAddr[address]
+	p := c.byAddress[address]
 	if p == nil {
 		p = newClient(address, c.Log)
-		c.byAddr[address] = p
+		c.byAddress[address] = p
 	}
 	return p
 }
 
-// Keep closes the connections to addresses that are not in use any more.
+// Keep closes the connections to all addresses for which inUse returns false.
 func (c *Clients) Keep(inUse func(address string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for a, p := range c.byAddr {
+	for a, p := range c.byAddress {
 		if !inUse(a) {
 			p.close()
-			delete(c.byAddr, a)
+			delete(c.byAddress, a)
 		}
 	}
 }
 
-// Client is a stages.Remote and a placement.Remote.
+// Client sends calls to one peer. It implements stages.Remote, placement.Remote and
+// rollouts.Remote, and is safe for concurrent use.
 //
-// A connection may fall silent for good while new ones work. So when a call is not
-// answered in time, the peer is pinged on the connection and then on a new one; if
-// only the new one is answered, it takes the other's place.
+// A connection may stop delivering data for good while new ones work. Therefore, when
+// a call is not answered in time, the peer is pinged on the connection and then on a
+// new one, which replaces the old one if the peer answers only there.
 type Client struct {
 	address string
 	log     *log.Logger
-	err     error // the address was no address
+	err     error // set if the address is invalid; all calls return it
 	link    atomic.Pointer[link]
 
-	mu      sync.Mutex
-	checked time.Time // when the connection was last checked
-	closed  bool
+	mu        sync.Mutex
+	lastCheck time.Time // when the last check of the connection began
+	closed    bool      // whether Clients.Keep closed the client
 }
 
-// link is one connection to a peer, opened on first use.
+// link is one connection to a peer, which is opened by its first call.
 type link struct {
 	conn *grpc.ClientConn
 	rpc  pb.FleetClient
@@ -103,12 +107,13 @@
 	return c
 }
 
+// connect returns a link to address, which need not be reachable yet.
 func connect(address string) (*link, error) {
 	conn, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithDisableRetry(),
-		grpc.WithConnectParams(reconnect), grpc.WithIdleTimeout(idleTime), grpc.WithNoProxy(),
+		grpc.WithConnectParams(reconnectParams), grpc.WithIdleTimeout(idleTimeout), grpc.WithNoProxy(),
 		grpc.WithContextDialer(func(ctx context.Context, a string) (net.Conn, error) {
-			return sockets.Dialer(connectTime).DialContext(ctx, "tcp", a)
+			return sockets.Dialer(connectTimeout).DialContext(ctx, "tcp", a)
 		}),
 		grpc.WithDisableServiceConfig(), grpc.WithReadBufferSize(4<<10), grpc.WithWriteBufferSize(4<<10))
 	if err != nil {
@@ -117,7 +122,7 @@
 	return &link{conn, pb.NewFleetClient(conn)}, nil
 }
 
-// rpc is the connection in use.
+// rpc returns the stub of the current connection.
 func (c *Client) rpc() pb.FleetClient { return c.link.Load().rpc }
 
 func (c *Client) close() {
@@ -125,55 +130,59 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	if l := c.link.Load(); l != nil {
-		_ = l.conn.Close() // nothing is sent any more
+		_ = l.conn.Close() // no calls are left that could fail
 	}
 }
 
-// note takes in how a short call ended. One without an answer has the connection
-// checked.
-func (c *Client) note(err error) {
+// checkAfterTimeout is called with the result of each short call. After a call without an
+// answer it starts a check of the connection, at most one per minCheckInterval.
+func (c *Client) checkAfterTimeout(err error) {
 	if status.Code(err) != codes.DeadlineExceeded {
 		return
 	}
 	now := clock.Now()
 	c.mu.Lock()
-	due := !c.closed && now.Sub(c.checked) >= checkPause
+	due := !c.closed && now.Sub(c.lastCheck) >= minCheckInterval
 	if due {
-		c.checked = now
+		c.lastCheck = now
 	}
 	c.mu.Unlock()
 	if due {
-		go c.check(c.link.Load())
+		go c.replaceIfSilent(c.link.Load())
 	}
 }
 
-// check replaces a connection on which the peer does not answer, if it does on a new
-// one. A peer that answers on neither is away, and keeps the old one.
-func (c *Client) check(old *link) {
-	if old.answers() {
+// replaceIfSilent replaces a connection on which the peer does not answer, if the peer
+// answers on a new one. It keeps the old one of a peer that answers on neither, since
+// the peer is then unavailable.
+func (c *Client) replaceIfSilent(old *link) {
+	if old.answersPing() {
 		return
 	}
 	fresh, err := connect(c.address)
 	if err != nil {
-		return // it could be opened once; then the address is one
+		return // doesn't happen: an earlier connection had the same valid address
 	}
-	if !fresh.answers() || !c.replace(old, fresh) {
+	if !fresh.answersPing() || !c.replace(old, fresh) {
 		_ = fresh.conn.Close()
 		return
 	}
-	c.log.Warn("A connection to a peer fell silent; another one takes its place.", "peer", c.address)
-	_ = old.conn.Close() // ends its calls, which would wait for nothing
+	c.log.Warn("unresponsive peer connection replaced", "peer", c.address)
+	_ = old.conn.Close() // ends its calls, which would get no answer
 }
 
+// replace makes fresh the current connection, and reports whether old still was. A closed
+// client is not connected again.
 func (c *Client) replace(old, fresh *link) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.closed && c.link.CompareAndSwap(old, fresh)
 }
 
-// answers tells whether the peer answers a ping on this connection.
-func (l *link) answers() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), checkTime)
+// answersPing reports whether the peer answers a ping on this connection within
+// checkTimeout.
+func (l *link) answersPing() bool {
+	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
 	defer cancel()
 	_, err := l.rpc.Ping(ctx, &pb.PingRequest{})
 	return err == nil
--- a/internal/transport/fleet/clients_test.go
+++ b/internal/transport/fleet/clients_test.go
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc"
 )
 
-// peerServer answers pings.
-func peerServer(t *testing.T) string {
+// startPingServer starts a gateway's server, which answers pings, and returns its address.
+func startPingServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -32,8 +32,9 @@
 	return l.Addr().String()
 }
 
-// pingSoon pings until the peer answers, and tells how long that took.
-func pingSoon(t *testing.T, c *Client) time.Duration {
+// pingUntilAnswered pings until the peer answers, for 10 s at most, and returns how long
+// that took.
+func pingUntilAnswered(t *testing.T, c *Client) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for time.Since(began) < 10*time.Second {
@@ -44,56 +45,58 @@
 			return time.Since(began)
 		}
 	}
-	t.Fatal("the peer is never reached")
+	t.Fatal("the peer did not answer a ping within 10 s")
 	return 0
 }
 
-// TestSilentConnection: a connection to a peer that falls silent is replaced, with no
-// reset from anywhere; one to a peer that is away is not.
-func TestSilentConnection(t *testing.T) {
-	w, err := standin.NewWire(peerServer(t))
+// TestSilentConnectionIsReplaced guards against a peer that stays unreachable because its
+// connection stops delivering data without a reset. Such a connection is replaced. One
+// to a peer that does not answer on a new connection either, and one of a closed
+// client, is kept.
+func TestSilentConnectionIsReplaced(t *testing.T) {
+	w, err := standin.NewWire(startPingServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
 	clients := NewClients(log.New(io.Discard))
 	c := clients.Client(w.Address())
-	pingSoon(t, c)
-	t.Run("silent", func(t *testing.T) {
+	pingUntilAnswered(t, c)
+	t.Run("unresponsive connection", func(t *testing.T) {
 		for range 2 {
 			w.Silence()
-			if took := pingSoon(t, c); took > 3*time.Second {
-				t.Errorf("reached again after %v", took)
+			if took := pingUntilAnswered(t, c); took > 3*time.Second {
+				t.Errorf("the peer answers again only after %v", took)
 			}
 		}
 		if n := w.Opened(); n > 4 {
-			t.Errorf("%d connections were opened", n)
+			t.Errorf("%d connections were opened, want 4 at most", n)
 		}
 	})
-	t.Run("away", func(t *testing.T) {
-		l, err := net.Listen("tcp", "127.0.0.1:0") // accepts, and never answers
+	t.Run("unavailable peer", func(t *testing.T) {
+		l, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer l.Close()
-		away := clients.Client(l.Addr().String())
-		first := away.link.Load()
-		away.check(first)
-		if away.link.Load() != first {
-			t.Error("the connection was replaced by one that is no better")
+		unavailable := clients.Client(l.Addr().String())
+		first := unavailable.link.Load()
+		unavailable.replaceIfSilent(first)
+		if unavailable.link.Load() != first {
+			t.Error("the connection to an unavailable peer was replaced")
 		}
 	})
-	t.Run("closed meanwhile", func(t *testing.T) {
+	t.Run("closed client", func(t *testing.T) {
 		old := c.link.Load()
 		clients.Keep(func(string) bool { return false })
-		c.check(old)
+		c.replaceIfSilent(old)
 		if c.link.Load() != old {
-			t.Error("a client that is not used any more was connected again")
+			t.Error("a closed client got a new connection")
 		}
 	})
 }
 
-// stuckPeer begins each stage and never ends one.
+// stuckPeer begins each stage and never finishes one.
 type stuckPeer struct {
 	pb.UnimplementedFleetServer
 	begun chan struct{}
@@ -105,10 +108,11 @@
 	return stream.Context().Err()
 }
 
-// TestClosedConnectionIsNoCanceledCall: a stage whose broker's connection is closed, since
-// another one takes its place or the peer is gone, has a silent broker; its client has not
-// gone.
-func TestClosedConnectionIsNoCanceledCall(t *testing.T) {
+// TestClosedConnectionIsNotCancellation guards against a stage that fails as cancelled by
+// its client, and is not retried, when the connection to its broker is closed: because
+// another connection replaced it or the peer has left. gRPC cancels the calls of a closed
+// connection. The error must say that the broker was unreachable.
+func TestClosedConnectionIsNotCancellation(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +125,7 @@
 	clients := NewClients(log.New(io.Discard))
 	for name, c := range map[string]struct {
 		end  func(cancel func())
-		gone bool // the client
+		gone bool // whether the client has gone
 	}{
 		"the connection is closed": {func(func()) { clients.Keep(func(string) bool { return false }) }, false},
 		"the client has gone":      {func(cancel func()) { cancel() }, true},
@@ -137,9 +141,9 @@
 			<-peer.begun
 			c.end(cancel)
 			err := <-failed
-			var told *hookhall.Error
-			if gone := errors.As(err, &told) && told.Cause == hookhall.CauseCanceled; gone != c.gone {
-				t.Errorf("the call ended with %v", err)
+			var cause *hookhall.Error
+			if gone := errors.As(err, &cause) && cause.Cause == hookhall.CauseCanceled; gone != c.gone {
+				t.Errorf("the call ended with %v, which has the wrong cause", err)
 			}
 		})
 	}
--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -14,55 +14,59 @@
 )
 
 const (
-	// compareTime bounds reading all ends of a peer: 4,096 contents take some 400 KB.
-	compareTime = time.Second
-	// compareAgain is how long a process waits after a comparison that brought nothing:
-	// two ledgers at their bound may differ for long.
-	compareAgain = 5 * time.Second
+	// compareTimeout bounds reading all crashes of a peer. 4,096 contents take some 400 KB.
+	compareTimeout = time.Second
+	// comparePause is the pause after a comparison that changed neither side. Two full
+	// ledgers may differ for long, and would otherwise be compared at every update.
+	comparePause = 5 * time.Second
 )
 
-// Ends is what a process knows of the ends of targets under requests.
+// Ends stores the crashes of targets under requests.
 type Ends interface {
-	// Learn takes in what a peer told, and returns what was new.
+	// Learn adds the crashes that a peer reported and returns those that were new; from
+	// names the peer in logs.
 	Learn(ends []crashes.End, from string) (fresh []crashes.End)
-	// All lists all ends, and Sum sums them up, 0 for none.
+	// All returns all crashes.
 	All() []crashes.End
+	// Sum returns a checksum of all crashes, 0 for none.
 	Sum(now time.Time) uint64
 }
 
-// Report tells all other gateways of ends that this process found, without waiting for
-// them.
+// Report sends crashes that this process found to all other gateways, without waiting
+// for them.
 func (s *Broadcaster) Report(ends []crashes.End) {
-	s.relayEnds(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireEnds(ends, clock.Now())}, clock.Now())
+	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(ends, clock.Now())}, clock.Now())
 }
 
-// relayEnds passes ends on that came in at a time.
-func (s *Broadcaster) relayEnds(m *pb.Ends, came time.Time) {
-	s.spread(m.GetReporter(), int(m.GetPosition()), func(address string, position int) bool {
-		own := &pb.Ends{Reporter: m.GetReporter(), Position: int32(position), Ends: older(m.GetEnds(), clock.Since(came))}
-		return s.report(address, own)
+// relayCrashes sends crashes that were received at a time to the peers below this
+// process in the tree.
+func (s *Broadcaster) relayCrashes(m *pb.Ends, receivedAt time.Time) {
+	s.sendToSubtree(m.GetReporter(), int(m.GetPosition()), func(address string, position int) bool {
+		own := &pb.Ends{Reporter: m.GetReporter(), Position: int32(position), Ends: addAge(m.GetEnds(), clock.Since(receivedAt))}
+		return s.sendCrashes(address, own)
 	})
 }
 
-// report tells one peer, and whether it answered.
-func (s *Broadcaster) report(address string, m *pb.Ends) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), shareTime)
+// sendCrashes sends crashes to one peer and reports whether it answered.
+func (s *Broadcaster) sendCrashes(address string, m *pb.Ends) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	return s.Clients.Client(address).Report(ctx, m) == nil
 }
 
-// TakeEnds takes in what a peer reported, and passes it on if something was new.
+// TakeEnds adds the crashes that a peer reported and forwards the message if any was
+// new. It does not forward the result of a comparison, which has no reporter.
 func (s *Broadcaster) TakeEnds(m *pb.Ends) {
-	came := clock.Now()
-	if len(s.Ends.Learn(readEnds(m.GetEnds(), came), instance(m.GetReporter()))) > 0 && m.GetReporter() != "" {
-		s.relayEnds(m, came)
+	receivedAt := clock.Now()
+	if len(s.Ends.Learn(readCrashes(m.GetEnds(), receivedAt), hostOf(m.GetReporter()))) > 0 && m.GetReporter() != "" {
+		s.relayCrashes(m, receivedAt)
 	}
 }
 
-// compareEnds has the ends compared with those of a peer whose news sums them up
-// differently.
-func (s *Broadcaster) compareEnds(m *pb.News, now time.Time) {
-	if m.GetFrom() == "" || m.GetEndsSum() == s.Ends.Sum(now) || clock.Stamp(now) < s.compareAt.Load() {
+// compareCrashes starts a comparison with the sender of update m if the checksums of their
+// crashes differ. Only one comparison runs at a time.
+func (s *Broadcaster) compareCrashes(m *pb.News, now time.Time) {
+	if m.GetFrom() == "" || m.GetEndsSum() == s.Ends.Sum(now) || clock.Stamp(now) < s.nextComparison.Load() {
 		return
 	}
 	if !s.comparing.CompareAndSwap(false, true) {
@@ -70,33 +74,33 @@
 	}
 	go func() {
 		defer s.comparing.Store(false)
-		if !s.exchange(m.GetFrom()) {
-			s.compareAt.Store(clock.Stamp(clock.Now().Add(compareAgain)))
+		if !s.exchangeCrashes(m.GetFrom()) {
+			s.nextComparison.Store(clock.Stamp(clock.Now().Add(comparePause)))
 		}
 	}()
 }
 
-// exchange reads all ends that a peer knows of, and tells it those that it lacks. It
-// tells whether either learned anything.
-func (s *Broadcaster) exchange(peer string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), compareTime)
+// exchangeCrashes reads all crashes that a peer knows and sends it those that it lacks. It
+// reports whether either side got new ones, or the call failed.
+func (s *Broadcaster) exchangeCrashes(peer string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), compareTimeout)
 	defer cancel()
 	theirs, err := s.Clients.Client(peer).Ends(ctx)
 	if err != nil {
-		return true // the next news asks again
+		return true // the next update starts another comparison
 	}
 	now := clock.Now()
-	list := readEnds(theirs.GetEnds(), now)
-	fresh := s.Ends.Learn(list, instance(peer))
-	missing := lacking(s.Ends.All(), list)
+	list := readCrashes(theirs.GetEnds(), now)
+	fresh := s.Ends.Learn(list, hostOf(peer))
+	missing := missingFrom(s.Ends.All(), list)
 	if len(missing) > 0 {
-		s.report(peer, &pb.Ends{Ends: wireEnds(missing, now)})
+		s.sendCrashes(peer, &pb.Ends{Ends: wireCrashes(missing, now)})
 	}
 	return len(fresh)+len(missing) > 0
 }
 
-// lacking are those of own that are not in theirs, or not as cleared there.
-func lacking(own, theirs []crashes.End) []crashes.End {
+// missingFrom returns the crashes of own that are not in theirs, or are cleared only in own.
+func missingFrom(own, theirs []crashes.End) []crashes.End {
 	type key struct {
 		content crashes.Digest
 		life    hookhall.Life
@@ -115,8 +119,8 @@
 	return list
 }
 
-// wireEnds are ends as they travel.
-func wireEnds(ends []crashes.End, now time.Time) []*pb.End {
+// wireCrashes converts crashes for a message that is sent at now.
+func wireCrashes(ends []crashes.End, now time.Time) []*pb.End {
 	list := make([]*pb.End, 0, len(ends))
 	for _, e := range ends {
 		list = append(list, &pb.End{
@@ -127,7 +131,8 @@
 	return list
 }
 
-// readDigest reads a digest, the zero one from what is none.
+// readDigest converts a digest of a message. It returns the zero digest for a wrong
+// length.
 func readDigest(b []byte) crashes.Digest {
 	if len(b) != len(crashes.Digest{}) {
 		return crashes.Digest{}
@@ -135,8 +140,9 @@
 	return crashes.Digest(b)
 }
 
-// readEnds reads ends that came in at a time. What is no digest is left out.
-func readEnds(list []*pb.End, came time.Time) []crashes.End {
+// readCrashes converts the crashes of a message that was received at a time. It omits
+// those whose digest has a wrong length, and treats negative ages as 0.
+func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.End {
 	var ends []crashes.End
 	for _, e := range list {
 		if len(e.GetContent()) != len(crashes.Digest{}) {
@@ -144,49 +150,49 @@
 		}
 		ends = append(ends, crashes.End{
 			Content: crashes.Digest(e.GetContent()), Account: e.GetAccount(), Life: hookhall.Life{ID: e.GetTarget(), Born: e.GetBorn()},
-			Software: e.GetSoftware(), Served: e.GetServed(), Cleared: e.GetCleared(), At: came.Add(-milliseconds(max(e.GetAgeMs(), 0))),
+			Software: e.GetSoftware(), Served: e.GetServed(), Cleared: e.GetCleared(), At: receivedAt.Add(-milliseconds(max(e.GetAgeMs(), 0))),
 		})
 	}
 	return ends
 }
 
-// older are ends after a further time here.
-func older(list []*pb.End, held time.Duration) []*pb.End {
+// addAge returns crashes whose ages include the time that this process held them.
+func addAge(list []*pb.End, heldFor time.Duration) []*pb.End {
 	aged := make([]*pb.End, 0, len(list))
 	for _, e := range list {
 		aged = append(aged, &pb.End{
 			Content: e.GetContent(), Account: e.GetAccount(), Target: e.GetTarget(), Born: e.GetBorn(), Software: e.GetSoftware(),
-			Served: e.GetServed(), Cleared: e.GetCleared(), AgeMs: e.GetAgeMs() + ageMS(held),
+			Served: e.GetServed(), Cleared: e.GetCleared(), AgeMs: e.GetAgeMs() + ageMS(heldFor),
 		})
 	}
 	return aged
 }
 
-// Report implements the service.
+// Report implements pb.FleetServer.
 func (s *Server) Report(_ context.Context, m *pb.Ends) (*pb.EndsReply, error) {
 	s.Broadcaster.TakeEnds(m)
 	return &pb.EndsReply{}, nil
 }
 
-// GetEnds implements the service.
+// GetEnds implements pb.FleetServer.
 func (s *Server) GetEnds(context.Context, *pb.EndsRequest) (*pb.Ends, error) {
-	return &pb.Ends{Ends: wireEnds(s.Broadcaster.Ends.All(), clock.Now())}, nil
+	return &pb.Ends{Ends: wireCrashes(s.Broadcaster.Ends.All(), clock.Now())}, nil
 }
 
-// Report tells the peer of ends.
+// Report sends crashes to the peer.
 func (c *Client) Report(ctx context.Context, m *pb.Ends) error {
 	if c.err != nil {
 		return c.err
 	}
 	_, err := c.rpc().Report(ctx, m)
-	c.note(err)
+	c.checkAfterTimeout(err)
 	return err
 }
 
-// Ends reads all ends that the peer knows of.
+// Ends reads all crashes that the peer knows.
 func (c *Client) Ends(ctx context.Context) (*pb.Ends, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
-	return c.rpc().GetEnds(ctx, &pb.EndsRequest{}, largeReply)
+	return c.rpc().GetEnds(ctx, &pb.EndsRequest{}, allowLargeReply)
 }
--- a/internal/transport/fleet/crashes_test.go
+++ b/internal/transport/fleet/crashes_test.go
@@ -12,53 +12,56 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-func endOf(content byte, target string) crashes.End {
+// crashOf returns a crash of a target under the content with the given first byte.
+func crashOf(content byte, target string) crashes.End {
 	return crashes.End{Content: crashes.Digest{content}, Account: "a", Life: hookhall.Life{ID: target, Born: 5}, Software: "s v1", Served: true}
 }
 
-// TestEndsTravel: ends are read as they were written, but for their age on the way, which
-// only grows; what is no digest is left out.
-func TestEndsTravel(t *testing.T) {
+// TestCrashesRoundTrip guards against crashes that change while they are sent. Only their
+// age grows, by the time that they were held. Crashes with an invalid digest are omitted,
+// and a negative age does not place one in the future.
+func TestCrashesRoundTrip(t *testing.T) {
 	now := time.Now()
-	e := endOf(1, "t")
+	e := crashOf(1, "t")
 	e.At = now.Add(-time.Second)
-	wire := append(wireEnds([]crashes.End{e}, now), &pb.End{Content: []byte("short")}, &pb.End{})
-	got := readEnds(older(wire, time.Second), now.Add(time.Second))
+	wire := append(wireCrashes([]crashes.End{e}, now), &pb.End{Content: []byte("short")}, &pb.End{})
+	got := readCrashes(addAge(wire, time.Second), now.Add(time.Second))
 	if len(got) != 1 {
 		t.Fatalf("%+v", got)
 	}
 	if early := e.At.Sub(got[0].At); early < 0 || early > 10*time.Millisecond {
-		t.Errorf("it became %v older", early)
+		t.Errorf("the crash became %v older", early)
 	}
 	got[0].At = e.At
 	if got[0] != e {
-		t.Errorf("%+v became %+v", e, got[0])
+		t.Errorf("%+v was received as %+v", e, got[0])
 	}
-	future := readEnds([]*pb.End{{Content: e.Content[:], AgeMs: -60000}}, now)
+	future := readCrashes([]*pb.End{{Content: e.Content[:], AgeMs: -60000}}, now)
 	if future[0].At.After(now) {
-		t.Error("an end of the future is believed")
+		t.Error("a crash was accepted with a time in the future")
 	}
 }
 
-// TestLacking: a peer is told what it lacks, and nothing else.
-func TestLacking(t *testing.T) {
+// TestMissingFrom guards against ledgers that never agree, or that exchange what both
+// have: a peer is sent the crashes that it lacks and no others.
+func TestMissingFrom(t *testing.T) {
 	clear := func(e crashes.End) crashes.End {
 		e.Cleared = true
 		return e
 	}
-	one, two := endOf(1, "t1"), endOf(1, "t2")
+	one, two := crashOf(1, "t1"), crashOf(1, "t2")
 	for name, c := range map[string]struct {
 		own, theirs []crashes.End
 		want        int
 	}{
-		"the same":                     {[]crashes.End{one, two}, []crashes.End{two, one}, 0},
-		"one is not known there":       {[]crashes.End{one, two}, []crashes.End{one}, 1},
-		"one is not known here":        {[]crashes.End{one}, []crashes.End{one, two}, 0},
-		"one is not cleared there":     {[]crashes.End{clear(one)}, []crashes.End{one}, 1},
-		"one is cleared there already": {[]crashes.End{one}, []crashes.End{clear(one)}, 0},
+		"the same":                        {[]crashes.End{one, two}, []crashes.End{two, one}, 0},
+		"one is unknown to the peer":      {[]crashes.End{one, two}, []crashes.End{one}, 1},
+		"one is unknown here":             {[]crashes.End{one}, []crashes.End{one, two}, 0},
+		"one is cleared only here":        {[]crashes.End{clear(one)}, []crashes.End{one}, 1},
+		"one is cleared only at the peer": {[]crashes.End{one}, []crashes.End{clear(one)}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := lacking(c.own, c.theirs); len(got) != c.want {
+			if got := missingFrom(c.own, c.theirs); len(got) != c.want {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/internal/transport/fleet/fleet.go
+++ b/internal/transport/fleet/fleet.go
@@ -1,21 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet carries stage work and news between gateways over gRPC.
+// Package fleet sends stage work, placements and updates between gateways over gRPC.
 //
 // # Model
 //
-// A Server answers for this process's broker and catalog; Clients keep one
-// connection to each peer, made on first use. An error of the way to a peer is
-// told from an error of the work, since only the first lets the work be asked
-// for elsewhere.
+// A Server serves this process's broker, placements and catalog to its peers. Clients
+// keeps one connection to each peer and opens it on first use. A failure to reach a
+// peer is distinguished from a failure of the work, since only after the first may
+// another peer be asked for the work.
 //
 // # Invariants
 //
-//   - A call is sent once: gRPC's own retries are off.
-//   - A connection on which a peer does not answer is replaced when a new one is
-//     answered.
-//   - Ages travel as durations: clocks of two machines are never compared.
+//   - A call is sent at most once: gRPC's own retries are disabled.
+//   - A connection on which the peer does not answer is replaced if the peer answers
+//     on a new one.
+//   - Ages are sent as durations: clocks of two machines are never compared.
 package fleet
 
 import (
@@ -35,25 +35,29 @@
 )
 
 const (
-	// mostTable bounds an operators' table in bytes.
-	mostTable = 8 << 20
+	// maxTableBytes is the largest size of a reply with an operators' table, or with a
+	// process's complete state.
+	maxTableBytes = 8 << 20
 )
 
-// errNothingYet answers a peer that asks one that has only just started.
-var errNothingYet = status.Error(codes.Unavailable, "nothing is known yet")
+// errNoState is returned to peers before this process has a table and targets.
+var errNoState = status.Error(codes.Unavailable, "nothing is known yet")
 
-// largeReply lets a table through.
-var largeReply = grpc.MaxCallRecvMsgSize(mostTable)
+// allowLargeReply raises gRPC's default size limit of a reply to maxTableBytes.
+var allowLargeReply = grpc.MaxCallRecvMsgSize(maxTableBytes)
 
-// Server answers peers.
+// Server is the gRPC service for peers. Its fields are set before it is registered.
 type Server struct {
 	pb.UnimplementedFleetServer
-	Broker      *stages.Broker
-	Placer      *placement.Placer
+	// Broker runs stages at the targets of the services that this process is broker of.
+	Broker *stages.Broker
+	// Placer chooses targets for the services that this process owns the placement of.
+	Placer *placement.Placer
+	// Broadcaster has the catalog and the other state that peers read and update.
 	Broadcaster *Broadcaster
 }
 
-// RunStage implements the service.
+// RunStage implements pb.FleetServer.
 func (s *Server) RunStage(r *pb.StageRequest, stream pb.Fleet_RunStageServer) error {
 	read := make(chan struct{}, 1)
 	last := make(chan *pb.StageReply, 1)
@@ -70,6 +74,8 @@
 	}
 }
 
+// runStage runs the stage and returns the last reply. It calls inputsRead once all inputs
+// were read.
 func (s *Server) runStage(ctx context.Context, r *pb.StageRequest, inputsRead func()) *pb.StageReply {
 	now := clock.Now()
 	handles, err := s.Broker.Run(ctx, stages.Work{
@@ -86,7 +92,7 @@
 	return &pb.StageReply{Handles: handles}
 }
 
-// Free implements the service.
+// Free implements pb.FleetServer.
 func (s *Server) Free(_ context.Context, r *pb.FreeRequest) (*pb.FreeReply, error) {
 	if r.GetIfCrowded() {
 		s.Broker.FreeIfCrowded(r.GetService(), r.GetHandles())
@@ -96,7 +102,7 @@
 	return &pb.FreeReply{}, nil
 }
 
-// Place implements the service.
+// Place implements pb.FleetServer.
 func (s *Server) Place(_ context.Context, r *pb.PlaceRequest) (*pb.PlaceReply, error) {
 	w := balance.Wish{
 		Engine: !r.GetPlain(), Halls: r.GetHalls(), Shared: r.GetShared(), SharedTokens: int(r.GetSharedTokens()), OwnTokens: int(r.GetOwnTokens()),
@@ -111,11 +117,11 @@
 	return &pb.PlaceReply{Target: c.Target, WaitUs: c.Wait.Microseconds(), RetryAfterUs: c.RetryAfter.Microseconds()}, nil
 }
 
-// Note implements the service.
+// Note implements pb.FleetServer. It ignores notes of unknown kinds.
 func (s *Server) Note(_ context.Context, r *pb.NoteRequest) (*pb.NoteReply, error) {
 	var notes []placement.Note
 	for _, n := range r.GetNotes() {
-		for k, v := range noteKinds {
+		for k, v := range wireNoteKinds {
 			if v == n.GetKind() {
 				notes = append(notes, placement.Note{Ticket: n.GetTicket(), Kind: k})
 			}
@@ -125,22 +131,22 @@
 	return &pb.NoteReply{}, nil
 }
 
-// Ping implements the service.
+// Ping implements pb.FleetServer.
 func (s *Server) Ping(context.Context, *pb.PingRequest) (*pb.PingReply, error) {
 	return &pb.PingReply{}, nil
 }
 
-// Share implements the service.
+// Share implements pb.FleetServer.
 func (s *Server) Share(_ context.Context, n *pb.News) (*pb.NewsReply, error) {
 	s.Broadcaster.Take(n)
 	return &pb.NewsReply{}, nil
 }
 
-// GetTable implements the service.
+// GetTable implements pb.FleetServer.
 func (s *Server) GetTable(context.Context, *pb.TableRequest) (*pb.Table, error) {
 	packed, revision := s.Broadcaster.Catalog.PackedTable()
 	if revision == 0 {
-		return nil, errNothingYet
+		return nil, errNoState
 	}
 	return &pb.Table{Packed: packed, Revision: uint64(revision)}, nil
 }
@@ -164,7 +170,7 @@
 		Content: w.Content[:], Account: w.Account,
 	})
 	if err != nil {
-		return nil, wayError(ctx, err)
+		return nil, transportError(ctx, err)
 	}
 	reply, err := replies.Recv()
 	for err == nil && reply.GetInputsRead() {
@@ -172,7 +178,7 @@
 		reply, err = replies.Recv()
 	}
 	if err != nil {
-		return nil, wayError(ctx, err)
+		return nil, transportError(ctx, err)
 	}
 	if reply.GetReason() != "" || len(reply.GetHandles()) != w.Pieces {
 		return nil, hookhall.Errorf(hookhall.NotRun, replyCause(reply), "%s", reply.GetReason())
@@ -180,7 +186,7 @@
 	return reply.GetHandles(), nil
 }
 
-// replyCause is why a broker could not have a stage made.
+// replyCause returns the cause of a stage that a broker could not run.
 func replyCause(r *pb.StageReply) hookhall.Cause {
 	switch {
 	case r.GetMayRetry():
@@ -193,9 +199,9 @@
 	return hookhall.CauseDeadline
 }
 
-// wayError tells the end of a call by its client from one by the way to the broker. A
-// connection that is closed under its calls cancels them too.
-func wayError(ctx context.Context, err error) error {
+// transportError distinguishes a call that its client ended from one whose broker could
+// not be reached. gRPC's status alone can't: closing a connection cancels its calls too.
+func transportError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "%v", err)
 	}
@@ -211,13 +217,13 @@
 	return err
 }
 
-// Ping implements stages.Remote.
+// Ping implements stages.Remote. A ping that times out starts a check of the connection.
 func (c *Client) Ping(ctx context.Context) error {
 	if c.err != nil {
 		return c.err
 	}
 	_, err := c.rpc().Ping(ctx, &pb.PingRequest{})
-	c.note(err)
+	c.checkAfterTimeout(err)
 	return err
 }
 
@@ -226,7 +232,7 @@
 	if c.err != nil {
 		return placement.Choice{}, c.err
 	}
-	ask := &pb.PlaceRequest{
+	request := &pb.PlaceRequest{
 		Ticket: ticket, Service: service, Shared: w.Shared, SharedTokens: int64(w.SharedTokens), OwnTokens: int64(w.OwnTokens),
 		Parts: w.Parts, Near: w.Near, SlackMs: w.Slack.Milliseconds(),
 		OutTokens: int64(w.OutTokens), Plain: !w.Engine, Halls: w.Halls,
@@ -234,18 +240,18 @@
 		Limits: wireAdvisories(limits, clock.Now()),
 	}
 	for id := range w.Exclude {
-		ask.Exclude = append(ask.Exclude, id)
+		request.Exclude = append(request.Exclude, id)
 	}
-	reply, err := c.rpc().Place(ctx, ask)
-	c.note(err)
+	reply, err := c.rpc().Place(ctx, request)
+	c.checkAfterTimeout(err)
 	if err != nil {
 		return placement.Choice{}, err
 	}
 	return placement.Choice{Target: reply.GetTarget(), Wait: microseconds(reply.GetWaitUs()), RetryAfter: microseconds(reply.GetRetryAfterUs())}, nil
 }
 
-// noteKinds are the kinds of notes as they travel.
-var noteKinds = map[placement.Kind]pb.NoteKind{
+// wireNoteKinds maps the kinds of notes to those of the protocol.
+var wireNoteKinds = map[placement.Kind]pb.NoteKind{
 	placement.Read: pb.NoteKind_NOTE_READ, placement.Ended: pb.NoteKind_NOTE_ENDED,
 	placement.Failed: pb.NoteKind_NOTE_FAILED, placement.Full: pb.NoteKind_NOTE_FULL,
 }
@@ -255,29 +261,29 @@
 	if c.err != nil {
 		return c.err
 	}
-	ask := &pb.NoteRequest{}
+	request := &pb.NoteRequest{}
 	for _, n := range notes {
-		ask.Notes = append(ask.Notes, &pb.PlacedNote{Ticket: n.Ticket, Kind: noteKinds[n.Kind]})
+		request.Notes = append(request.Notes, &pb.PlacedNote{Ticket: n.Ticket, Kind: wireNoteKinds[n.Kind]})
 	}
-	_, err := c.rpc().Note(ctx, ask)
-	c.note(err)
+	_, err := c.rpc().Note(ctx, request)
+	c.checkAfterTimeout(err)
 	return err
 }
 
-// Share passes news on.
+// Share sends update n to the peer.
 func (c *Client) Share(ctx context.Context, n *pb.News) error {
 	if c.err != nil {
 		return c.err
 	}
 	_, err := c.rpc().Share(ctx, n)
-	c.note(err)
+	c.checkAfterTimeout(err)
 	return err
 }
 
-// Table reads the table that the peer has in force.
+// Table reads the operators' table that the peer has in force.
 func (c *Client) Table(ctx context.Context) (*pb.Table, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
-	return c.rpc().GetTable(ctx, &pb.TableRequest{}, largeReply)
+	return c.rpc().GetTable(ctx, &pb.TableRequest{}, allowLargeReply)
 }
--- a/internal/transport/fleet/lostpeers.go
+++ b/internal/transport/fleet/lostpeers.go
@@ -14,53 +14,55 @@
 )
 
 const (
-	// inviteEvery is how often one process is looked for that may miss the others.
-	inviteEvery = 500 * time.Millisecond
-	// remember is for how long a process that was listed is looked for.
-	remember = time.Minute
-	// leaf is a place in the tree with nobody after it.
-	leaf = 1 << 24
+	// notifyInterval is the average pause between two updates to possibly lost peers.
+	notifyInterval = 500 * time.Millisecond
+	// lostRetention is for how long updates are sent to a peer that is no longer listed.
+	lostRetention = time.Minute
+	// leafPosition is a position in the tree that has no children in any fleet, so that
+	// the receiver does not forward the update.
+	leafPosition = 1 << 24
 )
 
-// Inviter tells processes that the store can't tell: one that starts while the
-// store is away, or that the store turns away, knows nobody, but it comes back
-// where it was, and those who still have it on their lists tell it what they
-// believe. Each process looks for one other at a time, drawn at random: among all
-// while the store does not answer it, else among those that were listed within
-// the last minute and are no more.
+// Inviter sends updates to gateways that can't learn of the fleet from the store. A
+// process that starts while the store is unavailable, or refuses it, knows no peers. But
+// it starts at its previous address, which other gateways still know, and their update
+// makes it fetch the state of the sender.
 //
-// For example, while the store is silent a process of a fleet of nine that is
-// started again hears of the others within about half a second.
+// Each process sends to one address at a time, drawn at random: while the store does not
+// answer this process, from all gateways, and else from those that were listed within
+// the last minute and are not listed now. For example, while the store is unavailable, a
+// restarted process of a fleet of nine receives an update within about half a second.
 type Inviter struct {
 	Broadcaster *Broadcaster
 
-	listed map[string]time.Time // address to when it was last listed
+	lastListed map[string]time.Time // address to when it was last listed
 }
 
-// Run looks until ctx ends.
+// Run sends updates until ctx ends.
 func (v *Inviter) Run(ctx context.Context) {
-	v.listed = map[string]time.Time{}
-	for retry.Sleep(ctx, retry.Jitter(inviteEvery)) {
-		if list := v.lost(clock.Now()); len(list) > 0 {
-			go v.Broadcaster.invite(list[rand.IntN(len(list))])
+	v.lastListed = map[string]time.Time{}
+	for retry.Sleep(ctx, retry.Jitter(notifyInterval)) {
+		if list := v.lostAddresses(clock.Now()); len(list) > 0 {
+			go v.Broadcaster.notifyLostPeer(list[rand.IntN(len(list))])
 		}
 	}
 }
 
-// lost lists the addresses of those that may miss the others.
-func (v *Inviter) lost(now time.Time) []string {
+// lostAddresses returns the addresses of gateways that may know no peers. It is called
+// only by Run's goroutine.
+func (v *Inviter) lostAddresses(now time.Time) []string {
 	b := v.Broadcaster
 	for _, m := range b.Peers.All() {
-		v.listed[m.Address] = now
+		v.lastListed[m.Address] = now
 	}
 	if !b.Catalog.Ready() {
 		return nil
 	}
 	var list []string
-	for address, at := range v.listed {
+	for address, at := range v.lastListed {
 		switch {
-		case now.Sub(at) > remember:
-			delete(v.listed, address)
+		case now.Sub(at) > lostRetention:
+			delete(v.lastListed, address)
 		case address == b.Peers.Self().Address:
 		case at.Before(now) || b.Catalog.Failing():
 			list = append(list, address)
@@ -69,22 +71,22 @@
 	return list
 }
 
-// invite tells one process what this one last learned.
-func (s *Broadcaster) invite(address string) {
+// notifyLostPeer sends the current update to one address.
+func (s *Broadcaster) notifyLostPeer(address string) {
 	now := clock.Now()
-	m := s.news(now)
-	s.tell(address, s.copyFor(m, now, leaf))
+	m := s.currentUpdate(now)
+	s.sendUpdate(address, s.updateFor(m, now, leafPosition))
 }
 
-// start takes news in at a process that has nothing to add it to: whoever told it
-// is asked for all that it believes.
-func (s *Broadcaster) start(m *pb.News) {
+// bootstrap handles an update at a process that has no state to apply it to: it fetches
+// the complete state of the sender.
+func (s *Broadcaster) bootstrap(m *pb.News) {
 	if s.Start == nil || m.GetFrom() == "" || !s.starting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer s.starting.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), askTime)
+		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
 		s.Start.Ask(ctx, m.GetFrom())
 	}()
--- a/internal/transport/fleet/lostpeers_test.go
+++ b/internal/transport/fleet/lostpeers_test.go
@@ -20,24 +20,24 @@
 	"github.com/hookhall/hookhall/internal/coordination/members"
 )
 
-// plainPlatform keeps tables as JSON.
-type plainPlatform struct{}
+// jsonPlatform is a platform whose tables are stored as JSON.
+type jsonPlatform struct{}
 
-func (plainPlatform) OperatorPrefix() string { return "op/" }
-func (plainPlatform) RoutingKey() string     { return "op/table" }
-func (plainPlatform) TargetPrefix() string   { return "t/" }
-func (plainPlatform) EvacuatedHall(key string) (string, bool) {
+func (jsonPlatform) OperatorPrefix() string { return "op/" }
+func (jsonPlatform) RoutingKey() string     { return "op/table" }
+func (jsonPlatform) TargetPrefix() string   { return "t/" }
+func (jsonPlatform) EvacuatedHall(key string) (string, bool) {
 	return strings.CutPrefix(key, "op/out/")
 }
-func (plainPlatform) ReadRouting(b []byte) (*hookhall.Routing, error) {
+func (jsonPlatform) ReadRouting(b []byte) (*hookhall.Routing, error) {
 	r := &hookhall.Routing{}
 	return r, json.Unmarshal(b, r)
 }
-func (plainPlatform) ReadTarget(key string, _ []byte) (hookhall.Target, error) {
+func (jsonPlatform) ReadTarget(key string, _ []byte) (hookhall.Target, error) {
 	return hookhall.Target{ID: key[2:], Pool: "pool"}, nil
 }
 
-// silentStore answers nothing.
+// silentStore is a store that is unavailable.
 type silentStore struct{ hookhall.Store }
 
 func (silentStore) RangeStale(context.Context, string) ([]hookhall.Item, hookhall.Revision, error) {
@@ -48,10 +48,10 @@
 	return nil, 0, hookhall.ErrUnavailable
 }
 
-// fixedPeers is a list that the test changes; the first is this process.
+// fixedPeers is a list of gateways that only the test changes. The first is this process.
 type fixedPeers struct{ list []hookhall.Member }
 
-func newPeers(n int) *fixedPeers {
+func newFixedPeers(n int) *fixedPeers {
 	p := &fixedPeers{}
 	for i := range n {
 		p.list = append(p.list, hookhall.Member{Address: fmt.Sprintf("10.0.0.%d:1", i+1)})
@@ -65,10 +65,10 @@
 func (p *fixedPeers) LearnNews(members.News, time.Time) {}
 
 func newCatalog() *catalog.Catalog {
-	return catalog.New(silentStore{}, plainPlatform{}, log.New(io.Discard))
+	return catalog.New(silentStore{}, jsonPlatform{}, log.New(io.Discard))
 }
 
-// readyCatalog has a table and a target.
+// readyCatalog returns a catalog that has a table and a target.
 func readyCatalog(t *testing.T) *catalog.Catalog {
 	t.Helper()
 	c := newCatalog()
@@ -84,64 +84,66 @@
 	return c
 }
 
-// TestLost: who is looked for, and until when.
-func TestLost(t *testing.T) {
+// TestLostAddresses guards against gateways that stay without peers because nobody sends
+// them updates, and against updates without need. Addresses count as lost for lostRetention
+// after they left the list, or while the store does not answer.
+func TestLostAddresses(t *testing.T) {
 	inviter := func(p *fixedPeers, c *catalog.Catalog) *Inviter {
-		return &Inviter{Broadcaster: &Broadcaster{Peers: p, Catalog: c}, listed: map[string]time.Time{}}
+		return &Inviter{Broadcaster: &Broadcaster{Peers: p, Catalog: c}, lastListed: map[string]time.Time{}}
 	}
 	now := time.Now()
-	t.Run("nobody in calm", func(t *testing.T) {
-		if got := inviter(newPeers(4), readyCatalog(t)).lost(now); len(got) != 0 {
+	t.Run("none while all are listed", func(t *testing.T) {
+		if got := inviter(newFixedPeers(4), readyCatalog(t)).lostAddresses(now); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
-	t.Run("one that left the list, for a minute", func(t *testing.T) {
-		p := newPeers(4)
+	t.Run("one that left the list, for lostRetention", func(t *testing.T) {
+		p := newFixedPeers(4)
 		v := inviter(p, readyCatalog(t))
-		v.lost(now)
+		v.lostAddresses(now)
 		gone := p.list[3].Address
 		p.list = p.list[:3]
-		if got := v.lost(now.Add(time.Second)); !slices.Equal(got, []string{gone}) {
-			t.Errorf("%v, not %s", got, gone)
+		if got := v.lostAddresses(now.Add(time.Second)); !slices.Equal(got, []string{gone}) {
+			t.Errorf("lost addresses %v, want %s", got, gone)
 		}
-		if got := v.lost(now.Add(remember + time.Second)); len(got) != 0 {
-			t.Errorf("%v after a minute", got)
+		if got := v.lostAddresses(now.Add(lostRetention + time.Second)); len(got) != 0 {
+			t.Errorf("%v after lostRetention", got)
 		}
 	})
-	t.Run("one that came back is not looked for", func(t *testing.T) {
-		p := newPeers(4)
+	t.Run("none after one is listed again", func(t *testing.T) {
+		p := newFixedPeers(4)
 		v := inviter(p, readyCatalog(t))
-		v.lost(now)
+		v.lostAddresses(now)
 		all := p.list
 		p.list = all[:3]
-		v.lost(now.Add(time.Second))
+		v.lostAddresses(now.Add(time.Second))
 		p.list = all
-		if got := v.lost(now.Add(2 * time.Second)); len(got) != 0 {
+		if got := v.lostAddresses(now.Add(2 * time.Second)); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
-	t.Run("a process that knows nothing looks for nobody", func(t *testing.T) {
-		p := newPeers(4)
+	t.Run("none at a process without state", func(t *testing.T) {
+		p := newFixedPeers(4)
 		v := inviter(p, newCatalog())
-		v.lost(now)
+		v.lostAddresses(now)
 		p.list = p.list[:3]
-		if got := v.lost(now.Add(time.Second)); len(got) != 0 {
+		if got := v.lostAddresses(now.Add(time.Second)); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
-	t.Run("all others while the store is silent", func(t *testing.T) {
+	t.Run("all others while the store does not answer", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			c := readyCatalog(t)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() { c.Run(ctx); close(done) }()
 			time.Sleep(5 * time.Second)
-			got := inviter(newPeers(4), c).lost(time.Now())
+			got := inviter(newFixedPeers(4), c).lostAddresses(time.Now())
 			cancel()
 			<-done
 			slices.Sort(got)
 			if want := []string{"10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}; !slices.Equal(got, want) {
-				t.Errorf("%v, not %v", got, want)
+				t.Errorf("lost addresses %v, want %v", got, want)
 			}
 		})
 	})
--- a/internal/transport/fleet/repair.go
+++ b/internal/transport/fleet/repair.go
@@ -13,46 +13,47 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// repairTime bounds a repair: 100 KB take 0.2 s on the weakest link of 10 Mbit/s that
-// others use as well.
-const repairTime = time.Second
+// repairTimeout bounds reading the differing targets of a peer. 100 KB take 0.2 s on the
+// slowest link, which has 10 Mbit/s and is shared.
+const repairTimeout = time.Second
 
-// repair closes a gap with what the peer that told the news believes, one at a time.
-// Without success this process reads the store when its beliefs have grown old.
-func (s *Broadcaster) repair(peer string) {
+// repairTargets reads the targets that differ from those of the sender of an update. Only
+// one repair runs at a time. If it fails, this process reads the store once its targets
+// are too old.
+func (s *Broadcaster) repairTargets(peer string) {
 	if !s.repairing.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer s.repairing.Store(false)
-		ctx, cancel := context.WithTimeout(context.Background(), repairTime)
+		ctx, cancel := context.WithTimeout(context.Background(), repairTimeout)
 		defer cancel()
 		own := s.Catalog.Digests()
-		came := clock.Now()
+		askedAt := clock.Now()
 		t, err := s.Clients.Client(peer).Targets(ctx, own)
 		if err != nil {
-			return // the store, or the next news, will bring it
+			return // the store or the next update will provide it
 		}
 		items, _, err := unpackBulk(t.GetItems())
 		if err != nil {
-			s.Clients.Log.Error("A peer's list can't be unpacked.", "peer", peer, "error", err.Error())
+			s.Clients.Log.Error("peer target list not readable", "peer", peer, "error", err.Error())
 			return
 		}
-		r := catalog.Repair{Reading: catalog.Reading{Revision: hookhall.Revision(t.GetRevision()), Items: items, Began: came.Add(-milliseconds(t.GetAgeMs()))}, Digest: t.GetDigest()}
+		r := catalog.Repair{Reading: catalog.Reading{Revision: hookhall.Revision(t.GetRevision()), Items: items, Began: askedAt.Add(-milliseconds(t.GetAgeMs()))}, Digest: t.GetDigest()}
 		for _, b := range t.GetBuckets() {
 			r.Buckets = append(r.Buckets, int(b))
 		}
-		s.Catalog.LearnRepair(r, instance(peer))
+		s.Catalog.LearnRepair(r, hostOf(peer))
 	}()
 }
 
-// GetTargets implements the service.
+// GetTargets implements pb.FleetServer.
 func (s *Server) GetTargets(_ context.Context, r *pb.TargetsRequest) (*pb.Targets, error) {
 	var theirs catalog.Digests
 	copy(theirs[:], r.GetDigests())
 	d := s.Broadcaster.Catalog.Differing(theirs)
 	if d.Revision == 0 {
-		return nil, errNothingYet
+		return nil, errNoState
 	}
 	items, err := packBulk(d.Items, nil)
 	if err != nil {
@@ -65,10 +66,10 @@
 	return out, nil
 }
 
-// Targets reads what the peer believes of the buckets that differ from own.
+// Targets reads the peer's targets in the buckets whose digests differ from own.
 func (c *Client) Targets(ctx context.Context, own catalog.Digests) (*pb.Targets, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
-	return c.rpc().GetTargets(ctx, &pb.TargetsRequest{Digests: own[:]}, largeReply)
+	return c.rpc().GetTargets(ctx, &pb.TargetsRequest{Digests: own[:]}, allowLargeReply)
 }
--- a/internal/transport/fleet/repair_test.go
+++ b/internal/transport/fleet/repair_test.go
@@ -19,10 +19,11 @@
 	"google.golang.org/grpc"
 )
 
-// serving is a gateway's server with a catalog that has n targets as of a revision.
-func serving(t *testing.T, n int, revision hookhall.Revision) (*Broadcaster, string) {
+// startServer starts a gateway's server, whose catalog has n targets as of a revision, and
+// returns its broadcaster and address.
+func startServer(t *testing.T, n int, revision hookhall.Revision) (*Broadcaster, string) {
 	t.Helper()
-	b := &Broadcaster{Peers: newPeers(1), Clients: NewClients(log.New(io.Discard)), Catalog: readyCatalog(t), Ends: quarantine.New(nil, nil, nil, log.New(io.Discard)), Rollouts: &rollouts.Rollouts{}}
+	b := &Broadcaster{Peers: newFixedPeers(1), Clients: NewClients(log.New(io.Discard)), Catalog: readyCatalog(t), Ends: quarantine.New(nil, nil, nil, log.New(io.Discard)), Rollouts: &rollouts.Rollouts{}}
 	r := catalog.Reading{Revision: revision, Began: time.Now()}
 	for i := range n {
 		value := fmt.Sprintf(`{"service":"pool","address":"10.0.%d.%d:80","state":"ready"}`, i/250, i%250)
@@ -40,31 +41,32 @@
 	return b, l.Addr().String()
 }
 
-// TestGapIsRepaired: a process that lacks earlier changes asks the one that told it,
-// and has the whole list without a call of the store.
-func TestGapIsRepaired(t *testing.T) {
-	teller, address := serving(t, 3000, 11)
-	other, _ := serving(t, 2900, 10)
+// TestGapIsRepairedByPeer guards against a process that reads the store after each update
+// that it missed. An update whose digest differs makes it read the targets of the sender,
+// after which its list is complete.
+func TestGapIsRepairedByPeer(t *testing.T) {
+	sender, address := startServer(t, 3000, 11)
+	other, _ := startServer(t, 2900, 10)
 	now := time.Now()
-	m := teller.news(now)
+	m := sender.currentUpdate(now)
 	m.From, m.Bulk, m.ConfigRevision = address, nil, 0
 	other.Take(m)
-	want := teller.Catalog.Picture().Digest
+	want := sender.Catalog.Picture().Digest
 	for end := now.Add(10 * time.Second); other.Catalog.Picture().Digest != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the gap stays")
+			t.Fatal("the gap was not repaired within 10 s")
 		}
 	}
 	if n := len(other.Catalog.Reading().Items); n != 3000 {
-		t.Errorf("%d targets are listed", n)
+		t.Errorf("%d targets are listed, want 3000", n)
 	}
 }
 
-// TestBulk: news of many targets is small on its way, and bytes that are none are an
-// error.
+// TestBulk guards against updates that fill the slowest links: 3,000 targets must take at
+// most 100 KB. Bytes that are no bulk must give an error.
 func TestBulk(t *testing.T) {
-	teller, _ := serving(t, 3000, 10)
-	items := teller.Catalog.Reading().Items
+	sender, _ := startServer(t, 3000, 10)
+	items := sender.Catalog.Reading().Items
 	packed, err := packBulk(items, items[:1])
 	if err != nil {
 		t.Fatal(err)
@@ -74,9 +76,9 @@
 		t.Fatalf("%d targets, %d members, %v", len(targets), len(members), err)
 	}
 	if len(packed) > 100<<10 {
-		t.Errorf("%d bytes for %d targets", len(packed), len(items))
+		t.Errorf("%d bytes for %d targets, want 100 KB at most", len(packed), len(items))
 	}
 	if _, _, err := unpackBulk([]byte("no bulk")); err == nil {
-		t.Error("rubbish was taken for news")
+		t.Error("invalid bytes were accepted as a bulk")
 	}
 }
--- a/internal/transport/fleet/rollouts.go
+++ b/internal/transport/fleet/rollouts.go
@@ -13,15 +13,18 @@
 	"github.com/hookhall/hookhall/internal/state/rollout"
 )
 
-// Rollouts is what a process knows of the operators' orders to move services.
+// Rollouts stores the rollouts that operators ordered.
 type Rollouts interface {
+	// Orders returns all known orders, with the store's revision at which they were read.
 	Orders() rollouts.Orders
+	// Learn applies the orders that a peer knows; from names the peer in logs.
 	Learn(o rollouts.Orders, from string)
-	// Take takes in a process's word as the orders' owner.
+	// Take adds the counts of a process, at the owner of the rollouts, and returns the
+	// state of the rollouts that they are for.
 	Take(r rollouts.Report) []rollouts.Standing
 }
 
-// Tally implements the service.
+// Tally implements pb.FleetServer.
 func (s *Server) Tally(_ context.Context, r *pb.RolloutReport) (*pb.RolloutReply, error) {
 	report := rollouts.Report{Reporter: r.GetReporter()}
 	for _, t := range r.GetTallies() {
@@ -35,18 +38,19 @@
 	if c.err != nil {
 		return nil, c.err
 	}
-	ask := &pb.RolloutReport{Reporter: r.Reporter}
+	request := &pb.RolloutReport{Reporter: r.Reporter}
 	for _, t := range r.Tallies {
-		ask.Tallies = append(ask.Tallies, wireTally(t))
+		request.Tallies = append(request.Tallies, wireTally(t))
 	}
-	reply, err := c.rpc().Tally(ctx, ask)
-	c.note(err)
+	reply, err := c.rpc().Tally(ctx, request)
+	c.checkAfterTimeout(err)
 	if err != nil {
 		return nil, err
 	}
 	return readOrders(reply.GetOrders()), nil
 }
 
+// wireOrders converts orders for a message.
 func wireOrders(list []rollouts.Standing) []*pb.RolloutOrder {
 	var out []*pb.RolloutOrder
 	for _, s := range list {
@@ -66,6 +70,8 @@
 	return out
 }
 
+// readOrder converts an order of a message. It limits the phase and the age to valid
+// values.
 func readOrder(o *pb.RolloutOrder) rollouts.Standing {
 	return rollouts.Standing{
 		Rollout: hookhall.Rollout{
@@ -76,6 +82,7 @@
 	}
 }
 
+// wireTally converts a tally for a message.
 func wireTally(t rollouts.Tally) *pb.RolloutTally {
 	out := &pb.RolloutTally{Order: wireOrders([]rollouts.Standing{t.Standing})[0], AtOld: int64(t.AtOld)}
 	for route, v := range t.Evidence {
@@ -88,6 +95,7 @@
 	return &pb.VersionTally{Answers: int64(t.Answers), Bad: int64(t.Bad), TookUs: t.Took.Microseconds()}
 }
 
+// readTally is the inverse of wireTally.
 func readTally(t *pb.RolloutTally) rollouts.Tally {
 	out := rollouts.Tally{Standing: readOrder(t.GetOrder()), AtOld: int(t.GetAtOld()), Evidence: rollout.Evidence{}}
 	for _, v := range t.GetRoutes() {
--- a/internal/transport/fleet/updates.go
+++ b/internal/transport/fleet/updates.go
@@ -21,117 +21,130 @@
 )
 
 const (
-	// shareTime bounds telling one peer.
-	shareTime = 300 * time.Millisecond
-	// skipTime is how long a peer that did not answer is passed over.
-	skipTime = time.Second
-	// fetchTime bounds getting a table from a peer.
-	fetchTime = 3 * time.Second
-	// fanOut is how many peers each process tells.
+	// sendTimeout bounds a call that sends an update, crashes or advisories to one peer.
+	sendTimeout = 300 * time.Millisecond
+	// skipDuration is how long no calls are sent to a peer that did not answer. Its
+	// children in the tree receive the calls directly.
+	skipDuration = time.Second
+	// tableFetchTimeout bounds reading the table of a peer.
+	tableFetchTimeout = 3 * time.Second
+	// fanOut is the number of peers to which each process forwards an update.
 	fanOut = 4
 )
 
-// Peers lists the gateways, this one included, sorted by address.
+// Peers is the list of gateways.
 type Peers interface {
+	// Self returns this process.
 	Self() hookhall.Member
+	// All returns all gateways, including this process, sorted by address.
 	All() []hookhall.Member
+	// News returns the recent changes of the list that this process read from the store,
+	// or the zero value if another process reads the list.
 	News(now time.Time) members.News
+	// LearnNews applies the changes that a peer read.
 	LearnNews(n members.News, now time.Time)
 }
 
-// Broadcaster passes on what this process, or a peer, has read of the store, so
-// that one process reads for all. News goes along a tree: the reader tells a few,
-// and each of them a few more, by the receivers' places after the reader in the
-// sorted list. Processes with different lists miss some; they read for
-// themselves when what they know has grown old.
+// Broadcaster forwards what this process or a peer has read from the store, so that
+// one process reads for all. An update is sent along a tree whose root is the reader:
+// each process sends it to fanOut others, by the receivers' positions after the reader
+// in the sorted list of gateways. Processes with different lists may miss an update;
+// they read the store themselves when their state is too old.
+//
+// The exported fields are set before the first call. All methods are safe for
+// concurrent use.
 type Broadcaster struct {
 	Peers   Peers
 	Clients *Clients
 	Catalog *catalog.Catalog
-	// Ends knows which targets ended while they ran a request.
+	// Ends stores the crashes of targets under requests.
 	Ends Ends
-	// Rollouts knows the operators' orders to move services.
+	// Rollouts stores the rollouts that operators ordered.
 	Rollouts Rollouts
-	// Advisories knows what targets said in answers.
+	// Advisories stores the advisories of targets.
 	Advisories Advisories
-	// Start asks a peer while this process knows nothing; nil never does.
+	// Start fetches the state of a peer while this process has none; nil disables that.
 	Start *Starter
-	// Heard is told when a call of the store began that somebody had an answer to;
-	// nil when nobody asks.
+	// Heard is called for each update that is newer than the known state, with the time
+	// at which the read of the store began that it comes from; nil disables that.
 	Heard func(began time.Time)
 
-	repairing atomic.Bool  // a gap is being repaired
-	starting  atomic.Bool  // a peer is being asked for all that it believes
-	fetching  atomic.Bool  // a table is being fetched
-	silent    sync.Map     // address to when the peer did not answer
-	comparing atomic.Bool  // the ends are being compared with a peer's
-	compareAt atomic.Int64 // no comparison before, as clock.Stamp
+	repairing         atomic.Bool  // whether a gap in the targets is being repaired
+	starting          atomic.Bool  // whether the state of a peer is being fetched
+	fetching          atomic.Bool  // whether a table is being fetched
+	unresponsiveSince sync.Map     // address to the time.Time of the call that failed
+	comparing         atomic.Bool  // whether crashes are being compared with a peer's
+	nextComparison    atomic.Int64 // earliest time of the next comparison, as clock.Stamp
 }
 
-// skipped tells whether a peer did not answer a moment ago.
-func (s *Broadcaster) skipped(address string, now time.Time) bool {
-	at, ok := s.silent.Load(address)
-	if ok && now.Sub(at.(time.Time)) > skipTime {
-		s.silent.Delete(address)
+// recentlyUnresponsive reports whether a peer did not answer within skipDuration before now.
+func (s *Broadcaster) recentlyUnresponsive(address string, now time.Time) bool {
+	at, ok := s.unresponsiveSince.Load(address)
+	if ok && now.Sub(at.(time.Time)) > skipDuration {
+		s.unresponsiveSince.Delete(address)
 		return false
 	}
 	return ok
 }
 
-// Broadcast tells the first peers what this process has read, without waiting for
-// them.
+// Broadcast sends the current update to the peers below the root of the tree, without
+// waiting for them.
 func (s *Broadcaster) Broadcast() {
 	now := clock.Now()
-	s.relay(s.news(now), now)
+	s.relayUpdate(s.currentUpdate(now), now)
 }
 
-// news is what this process last learned.
-func (s *Broadcaster) news(now time.Time) *pb.News {
-	n := s.Catalog.News(now)
+// currentUpdate returns the most recent update that this process knows.
+func (s *Broadcaster) currentUpdate(now time.Time) *pb.News {
+	targets := s.Catalog.News(now)
 	revision, age := s.Catalog.TableAge(now)
 	m := &pb.News{
-		Reader: s.Peers.Self().Address, TargetsRevision: uint64(n.Revision), Digest: n.Digest, Gone: n.Gone,
-		AgeMs: ageMS(now.Sub(n.Began)), ConfigRevision: uint64(revision), ConfigAgeMs: ageMS(age),
+		Reader: s.Peers.Self().Address, TargetsRevision: uint64(targets.Revision), Digest: targets.Digest, Gone: targets.Gone,
+		AgeMs: ageMS(now.Sub(targets.Began)), ConfigRevision: uint64(revision), ConfigAgeMs: ageMS(age),
 	}
-	h := s.Catalog.Halls()
-	m.HallsRevision, m.Evacuated = uint64(h.Revision), h.Evacuated
+	halls := s.Catalog.Halls()
+	m.HallsRevision, m.Evacuated = uint64(halls.Revision), halls.Evacuated
 	m.EndsSum = s.Ends.Sum(now)
-	o := s.Rollouts.Orders()
-	m.RolloutsRevision, m.Rollouts = uint64(o.Revision), wireOrders(o.List)
-	p := s.Peers.News(now)
-	m.MembersRevision, m.MembersDigest, m.MembersGone = uint64(p.Revision), p.Digest, p.Gone
+	orders := s.Rollouts.Orders()
+	m.RolloutsRevision, m.Rollouts = uint64(orders.Revision), wireOrders(orders.List)
+	peers := s.Peers.News(now)
+	m.MembersRevision, m.MembersDigest, m.MembersGone = uint64(peers.Revision), peers.Digest, peers.Gone
 	var err error
-	if m.Bulk, err = packBulk(n.Changed, p.Changed); err != nil {
-		s.Clients.Log.Error("News can't be packed; who lacks it reads for itself.", "error", err.Error())
+	if m.Bulk, err = packBulk(targets.Changed, peers.Changed); err != nil {
+		s.Clients.Log.Error("update not packed; peers have to read the store", "error", err.Error())
 	}
 	return m
 }
 
-// ageMS rounds an age up.
+// ageMS returns an age in milliseconds, rounded up, so that no receiver takes data for
+// newer than it is.
 func ageMS(d time.Duration) int64 { return d.Milliseconds() + 1 }
 
-// relay passes news on that came in at a time.
-func (s *Broadcaster) relay(m *pb.News, came time.Time) {
-	s.spread(m.GetReader(), int(m.GetPosition()), func(address string, position int) bool {
-		return s.tell(address, s.copyFor(m, came, position))
+// relayUpdate forwards an update that was received at a time to the peers below this
+// process in the tree.
+func (s *Broadcaster) relayUpdate(m *pb.News, receivedAt time.Time) {
+	s.sendToSubtree(m.GetReader(), int(m.GetPosition()), func(address string, position int) bool {
+		return s.sendUpdate(address, s.updateFor(m, receivedAt, position))
 	})
 }
 
-// teller tells one peer, whose place in the tree is given, and whether it answered.
-type teller func(address string, position int) bool
+// sendFunc sends a message to the peer at a position in the tree and reports whether it
+// answered.
+type sendFunc func(address string, position int) bool
 
-// spread tells those that come after a place in the tree that a process began.
-func (s *Broadcaster) spread(root string, place int, tell teller) {
+// sendToSubtree sends to the peers below a position in the tree with a root, without
+// waiting for them.
+func (s *Broadcaster) sendToSubtree(root string, parent int, send sendFunc) {
 	all := s.Peers.All()
 	first := sort.Search(len(all), func(i int) bool { return all[i].Address >= root })
-	s.children(root, all, first, place, tell)
+	s.sendToChildren(root, all, first, parent, send)
 }
 
-// children tells those that come after a place in the tree. Those after a peer
-// that does not answer are told in its stead.
-func (s *Broadcaster) children(root string, all []hookhall.Member, first, place int, tell teller) {
+// sendToChildren sends to the children of a position in the tree; first is the root's
+// index in all. The children of a peer that does not answer are sent to directly.
+func (s *Broadcaster) sendToChildren(root string, all []hookhall.Member, first, parent int, send sendFunc) {
 	for i := range fanOut {
-		position := place*fanOut + i + 1
+		position := parent*fanOut + i + 1
 		if position >= len(all) {
 			return
 		}
@@ -139,27 +152,27 @@
 		if to.Address == root {
 			continue
 		}
-		if to.Address == s.Peers.Self().Address || s.skipped(to.Address, clock.Now()) {
-			s.children(root, all, first, position, tell)
+		if to.Address == s.Peers.Self().Address || s.recentlyUnresponsive(to.Address, clock.Now()) {
+			s.sendToChildren(root, all, first, position, send)
 			continue
 		}
 		go func() {
-			if !tell(to.Address, position) {
-				s.silent.Store(to.Address, clock.Now())
-				s.children(root, all, first, position, tell)
+			if !send(to.Address, position) {
+				s.unresponsiveSince.Store(to.Address, clock.Now())
+				s.sendToChildren(root, all, first, position, send)
 			}
 		}()
 	}
 }
 
-// copyFor makes the news for a place in the tree; the time that it was held here
-// is part of its ages.
-func (s *Broadcaster) copyFor(m *pb.News, came time.Time, position int) *pb.News {
-	held := ageMS(clock.Since(came))
+// updateFor returns the update for a position in the tree. Its ages include the time
+// since this process received it.
+func (s *Broadcaster) updateFor(m *pb.News, receivedAt time.Time, position int) *pb.News {
+	heldMS := ageMS(clock.Since(receivedAt))
 	return &pb.News{
 		Reader: m.GetReader(), From: s.Peers.Self().Address, Position: int32(position),
-		ConfigRevision: m.GetConfigRevision(), ConfigAgeMs: m.GetConfigAgeMs() + held,
-		TargetsRevision: m.GetTargetsRevision(), AgeMs: m.GetAgeMs() + held,
+		ConfigRevision: m.GetConfigRevision(), ConfigAgeMs: m.GetConfigAgeMs() + heldMS,
+		TargetsRevision: m.GetTargetsRevision(), AgeMs: m.GetAgeMs() + heldMS,
 		Digest: m.GetDigest(), Bulk: m.GetBulk(), Gone: m.GetGone(),
 		MembersRevision: m.GetMembersRevision(), MembersDigest: m.GetMembersDigest(), MembersGone: m.GetMembersGone(),
 		HallsRevision: m.GetHallsRevision(), Evacuated: m.GetEvacuated(), EndsSum: m.GetEndsSum(),
@@ -167,78 +180,80 @@
 	}
 }
 
-// tell tells one peer, and whether it answered.
-func (s *Broadcaster) tell(address string, n *pb.News) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), shareTime)
+// sendUpdate sends an update to one peer and reports whether it answered.
+func (s *Broadcaster) sendUpdate(address string, n *pb.News) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
 	return s.Clients.Client(address).Share(ctx, n) == nil
 }
 
-// Take takes news in and passes on what was new.
+// Take applies an update of a peer and forwards it if it was newer than the known
+// state. A process without state fetches the sender's state instead.
 func (s *Broadcaster) Take(m *pb.News) {
-	came := clock.Now()
+	receivedAt := clock.Now()
 	if s.Catalog.Picture() == nil {
-		s.start(m)
+		s.bootstrap(m)
 		return
 	}
 	targets, changed, err := unpackBulk(m.GetBulk())
 	if err != nil {
-		s.Clients.Log.Error("A peer's news can't be unpacked.", "peer", m.GetFrom(), "error", err.Error())
+		s.Clients.Log.Error("peer update not readable", "peer", m.GetFrom(), "error", err.Error())
 		return
 	}
 	s.Peers.LearnNews(members.News{
 		Revision: hookhall.Revision(m.GetMembersRevision()), Digest: m.GetMembersDigest(), Changed: changed, Gone: m.GetMembersGone(),
-	}, came)
+	}, receivedAt)
 	n := catalog.News{
-		Revision: hookhall.Revision(m.GetTargetsRevision()), Began: came.Add(-milliseconds(m.GetAgeMs())), Digest: m.GetDigest(),
+		Revision: hookhall.Revision(m.GetTargetsRevision()), Began: receivedAt.Add(-milliseconds(m.GetAgeMs())), Digest: m.GetDigest(),
 		Changed: targets, Gone: m.GetGone(),
 	}
-	from := instance(m.GetReader())
-	// Before the table, which is confirmed by the same news.
+	from := hostOf(m.GetReader())
+	// The halls come before the table, so that a table isn't confirmed while the halls
+	// of the same update are unknown.
 	hallsChanged := m.GetHallsRevision() > 0 && s.Catalog.LearnHalls(catalog.Halls{Revision: hookhall.Revision(m.GetHallsRevision()), Evacuated: m.GetEvacuated()}, from)
 	s.Rollouts.Learn(rollouts.Orders{Revision: hookhall.Revision(m.GetRolloutsRevision()), List: readOrders(m.GetRollouts())}, from)
-	s.compareEnds(m, came)
+	s.compareCrashes(m, receivedAt)
 	fresh, gap := s.Catalog.LearnNews(n, from)
 	if gap && m.GetFrom() != "" {
-		s.repair(m.GetFrom())
+		s.repairTargets(m.GetFrom())
 	}
 	if fresh && s.Heard != nil {
 		s.Heard(n.Began)
 	}
-	told := hookhall.Revision(m.GetConfigRevision())
-	if told > 0 && !s.Catalog.ConfirmTable(told, came.Add(-milliseconds(m.GetConfigAgeMs()))) {
+	configRevision := hookhall.Revision(m.GetConfigRevision())
+	if configRevision > 0 && !s.Catalog.ConfirmTable(configRevision, receivedAt.Add(-milliseconds(m.GetConfigAgeMs()))) {
 		if s.fetching.CompareAndSwap(false, true) {
-			go s.fetch(proto.Clone(m).(*pb.News), came)
+			go s.fetchTable(proto.Clone(m).(*pb.News), receivedAt)
 		}
-		// Those further along are told of the table once it can be had here.
+		// Peers below this process are notified of the table once they can fetch it here.
 		m = proto.Clone(m).(*pb.News)
 		m.ConfigRevision, m.ConfigAgeMs = 0, 0
 	}
 	if fresh || hallsChanged {
-		s.relay(m, came)
+		s.relayUpdate(m, receivedAt)
 	}
 }
 
-// instance shortens an address for the log.
-func instance(address string) string {
+// hostOf returns the host of an address, which is how logs name a peer.
+func hostOf(address string) string {
 	host, _, _ := strings.Cut(address, ":")
 	return host
 }
 
-// fetch gets a table from the peer that told of it, and tells those further along.
-func (s *Broadcaster) fetch(m *pb.News, came time.Time) {
+// fetchTable reads the table from the sender of update m and then forwards m with it.
+func (s *Broadcaster) fetchTable(m *pb.News, receivedAt time.Time) {
 	defer s.fetching.Store(false)
-	ctx, cancel := context.WithTimeout(context.Background(), fetchTime)
+	ctx, cancel := context.WithTimeout(context.Background(), tableFetchTimeout)
 	defer cancel()
 	began := clock.Now()
 	t, err := s.Clients.Client(m.GetFrom()).Table(ctx)
 	if err != nil {
-		return // the store, or the next news, will bring it
+		return // the store or the next update will provide it
 	}
-	if s.Catalog.LearnPacked(t.GetPacked(), hookhall.Revision(t.GetRevision()), instance(m.GetFrom()), began) {
+	if s.Catalog.LearnPacked(t.GetPacked(), hookhall.Revision(t.GetRevision()), hostOf(m.GetFrom()), began) {
 		revision, age := s.Catalog.TableAge(clock.Now())
 		m.ConfigRevision, m.ConfigAgeMs = uint64(revision), ageMS(age)
-		m.AgeMs += ageMS(clock.Since(came))
-		s.relay(m, clock.Now())
+		m.AgeMs += ageMS(clock.Since(receivedAt))
+		s.relayUpdate(m, clock.Now())
 	}
 }
