--- a/internal/protocol/wire/caller.go
+++ b/internal/protocol/wire/caller.go
@@ -35,12 +35,13 @@
 
 // RunRequest is the body of POST /v1/run.
 type RunRequest struct {
-	Pipeline  string `json:"pipeline"`
-	Input     string `json:"input"`
-	Class     string `json:"class,omitempty"`
-	MaxTokens int    `json:"max_tokens,omitempty"`
+	Pipeline string `json:"pipeline"`
+	Input    string `json:"input"`
+	Class    string `json:"class,omitempty"`
+	// MaxTokens bounds the output in tokens.
+	MaxTokens int `json:"max_tokens,omitempty"`
 	// DeadlineMS is in milliseconds from the request's arrival. The deadline of the
-	// class, or of the account, applies if DeadlineMS is 0 or later.
+	// class, or of the account, applies if DeadlineMS is 0 or exceeds it.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
 	// Repeatable is false for work that must run at most once. If it is absent,
 	// the value of the class applies, or true without a class. It can't override
@@ -65,7 +66,7 @@
 	Cost      []hookhall.StageCost `json:"cost"`
 }
 
-// StreamLine is one line of a streamed answer.
+// StreamLine is one line of a streamed answer. Only the last line has End or Error set.
 type StreamLine struct {
 	Text string `json:"text,omitempty"`
 	// Restart tells the caller to discard all text received so far.
--- a/internal/transport/fleet/clients.go
+++ b/internal/transport/fleet/clients.go
@@ -90,7 +90,7 @@
 
 	mu        sync.Mutex
 	lastCheck time.Time // when the last check of the connection began
-	closed    bool      // whether Clients.Keep closed the client
+	closed    bool      // whether the client was closed because its address is unused
 }
 
 // link is one connection to a peer, which is opened by its first call.
--- a/internal/transport/peers/client.go
+++ b/internal/transport/peers/client.go
@@ -35,7 +35,7 @@
 )
 
 const (
-	// Version is the protocol version. The server refuses calls of another version.
+	// Version is the version that each call carries. The server refuses calls of another.
 	Version = "1"
 	// MaxMessage is the largest size of a message in bytes.
 	MaxMessage = 16 << 20
