--- a/internal/protocol/wire/caller.go
+++ b/internal/protocol/wire/caller.go
@@ -87,8 +87,7 @@
 	}
 }
 
-// ReadRunRequest reads and validates a request body of at most MaxBody bytes. Errors
-// are of type *hookhall.Error.
+// ReadRunRequest reads and validates a request body. Errors are of type *hookhall.Error.
 func ReadRunRequest(r io.Reader) (*RunRequest, error) {
 	b, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
 	if err != nil {
@@ -121,7 +120,7 @@
 	return nil
 }
 
-// CheckKey returns an error unless key has at most MaxKey bytes and consists of
+// CheckKey returns an error unless key is at most MaxKey long and consists of
 // printable ASCII without spaces. An empty key is valid.
 func CheckKey(key string) error {
 	if len(key) > MaxKey {
--- a/internal/protocol/wire/target.go
+++ b/internal/protocol/wire/target.go
@@ -59,8 +59,8 @@
 	Load     hookhall.LoadReport `json:"load"`
 }
 
-// SetCall sets the headers of stage call c that is sent at now. The key, epoch and
-// token are set only for calls with an idempotency key.
+// SetCall sets the headers of stage call c that is sent at now. The key, epoch
+// and token are set only for calls with an idempotency key.
 func SetCall(h http.Header, c hookhall.StageCall, now time.Time) {
 	h.Set(HeaderRequestID, c.Request)
 	h.Set(HeaderStage, c.Stage)
--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -32,8 +32,8 @@
 	Sum(now time.Time) uint64
 }
 
-// Report sends crashes that this process found to all other gateways, without waiting
-// for them.
+// Report sends crashes that this process found to all other gateways, without
+// waiting for them.
 func (s *Broadcaster) Report(ends []crashes.End) {
 	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(ends, clock.Now())}, clock.Now())
 }
@@ -54,8 +54,8 @@
 	return s.Clients.Client(address).Report(ctx, m) == nil
 }
 
-// TakeEnds adds the crashes that a peer reported and forwards the message if any was
-// new. It does not forward the result of a comparison, which has no reporter.
+// TakeEnds adds the crashes that a peer reported and forwards the message if any
+// was new. It does not forward the result of a comparison, which has no reporter.
 func (s *Broadcaster) TakeEnds(m *pb.Ends) {
 	receivedAt := clock.Now()
 	if len(s.Ends.Learn(readCrashes(m.GetEnds(), receivedAt), hostOf(m.GetReporter()))) > 0 && m.GetReporter() != "" {
--- a/internal/transport/fleet/fleet.go
+++ b/internal/transport/fleet/fleet.go
@@ -51,7 +51,7 @@
 	pb.UnimplementedFleetServer
 	// Broker runs stages at the targets of the services that this process is broker of.
 	Broker *stages.Broker
-	// Placer chooses targets for the services that this process owns the placement of.
+	// Placer chooses targets for the services whose placement this process owns.
 	Placer *placement.Placer
 	// Broadcaster has the catalog and the other state that peers read and update.
 	Broadcaster *Broadcaster
--- a/internal/transport/fleet/lostpeers.go
+++ b/internal/transport/fleet/lostpeers.go
@@ -23,8 +23,8 @@
 	leafPosition = 1 << 24
 )
 
-// Inviter sends updates to gateways that can't learn of the fleet from the store. A
-// process that starts while the store is unavailable, or refuses it, knows no peers. But
+// Inviter sends updates to gateways that can't learn of the fleet from the store.
+// A process that starts while the store is unavailable, or refuses it, knows no peers. But
 // it starts at its previous address, which other gateways still know, and their update
 // makes it fetch the state of the sender.
 //
--- a/internal/transport/fleet/updates.go
+++ b/internal/transport/fleet/updates.go
@@ -63,10 +63,12 @@
 	Rollouts Rollouts
 	// Advisories stores the advisories of targets.
 	Advisories Advisories
-	// Start fetches the state of a peer while this process has none; nil disables that.
+	// Start fetches the state of a peer while this process has none; nil
+	// disables that.
 	Start *Starter
-	// Heard is called for each update that is newer than the known state, with the time
-	// at which the read of the store began that it comes from; nil disables that.
+	// Heard is called for each update that is newer than the known state, with
+	// the time at which the read of the store began that it comes from; nil
+	// disables that.
 	Heard func(began time.Time)
 
 	repairing         atomic.Bool  // whether a gap in the targets is being repaired
@@ -187,8 +189,8 @@
 	return s.Clients.Client(address).Share(ctx, n) == nil
 }
 
-// Take applies an update of a peer and forwards it if it was newer than the known
-// state. A process without state fetches the sender's state instead.
+// Take applies an update of a peer and forwards it if it was newer than the
+// known state. A process without state fetches the sender's state instead.
 func (s *Broadcaster) Take(m *pb.News) {
 	receivedAt := clock.Now()
 	if s.Catalog.Picture() == nil {
--- a/internal/transport/peers/client.go
+++ b/internal/transport/peers/client.go
@@ -7,8 +7,8 @@
 // # Model
 //
 // Every call carries the protocol version and the fleet's secret. The server
-// refuses a call with other values before it processes the message. Messages have
-// at most MaxMessage bytes. Clients keeps one connection per address and opens it
+// refuses a call with other values before it processes the message. A message is
+// at most MaxMessage long. Clients keeps one connection per address and opens it
 // on first use.
 //
 // # Invariants
@@ -35,7 +35,8 @@
 )
 
 const (
-	// Version is the version that each call carries. The server refuses calls of another.
+	// Version is the version that each call carries. The server refuses calls
+	// of another version.
 	Version = "1"
 	// MaxMessage is the largest size of a message in bytes.
 	MaxMessage = 16 << 20
@@ -72,7 +73,7 @@
 }
 
 // Peer implements hookhall.Peers. It returns the client of address, whose connection
-// stays until Keep or Close closes it.
+// stays until it is closed because the address is unused, or with all others.
 func (c *Clients) Peer(address string) hookhall.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,8 +100,8 @@
 // Close closes all connections.
 func (c *Clients) Close() { c.Keep(func(string) bool { return false }) }
 
-// Bytes returns the number of bytes sent and received over all connections since
-// NewClients, without TCP and IP headers.
+// Bytes returns the number of bytes sent and received over all connections
+// since NewClients, without TCP and IP headers.
 func (c *Clients) Bytes() int64 { return c.bytes.Load() }
 
 // countingConn adds the bytes read and written on a connection to a counter.
--- a/internal/transport/peers/server.go
+++ b/internal/transport/peers/server.go
@@ -70,7 +70,8 @@
 // Refused returns the number of refused calls since the start.
 func (s *Server) Refused() int64 { return s.refused.Load() }
 
-// Check is the interceptor that refuses calls with another protocol version or secret.
+// Check is the interceptor that refuses calls with another protocol version
+// or secret.
 func (s *Server) Check(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := firstValue(md, versionMetadataKey); v != Version {
