--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -25,7 +25,7 @@
 type Ends interface {
 	// Learn adds the crashes that a peer reported and returns those that were new; from
 	// names the peer in logs.
-	Learn(ends []crashes.End, from string) (fresh []crashes.End)
+	Learn(list []crashes.End, from string) (fresh []crashes.End)
 	// All returns all crashes.
 	All() []crashes.End
 	// Sum returns a checksum of all crashes, 0 for none.
@@ -34,8 +34,8 @@
 
 // Report sends crashes that this process found to all other gateways, without
 // waiting for them.
-func (s *Broadcaster) Report(ends []crashes.End) {
-	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(ends, clock.Now())}, clock.Now())
+func (s *Broadcaster) Report(list []crashes.End) {
+	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(list, clock.Now())}, clock.Now())
 }
 
 // relayCrashes sends crashes that were received at a time to the peers below this
@@ -102,33 +102,33 @@
 // missingFrom returns the crashes of own that are not in theirs, or are cleared only in own.
 func missingFrom(own, theirs []crashes.End) []crashes.End {
 	type key struct {
-		content crashes.Digest
-		life    hookhall.Life
-		cleared bool
+		content     crashes.Digest
+		incarnation hookhall.Life
+		cleared     bool
 	}
 	known := map[key]bool{}
 	for _, e := range theirs {
 		known[key{e.Content, e.Life, e.Cleared}] = true
 	}
-	var list []crashes.End
+	var missing []crashes.End
 	for _, e := range own {
 		if !known[key{e.Content, e.Life, e.Cleared}] && !known[key{e.Content, e.Life, true}] {
-			list = append(list, e)
+			missing = append(missing, e)
 		}
 	}
-	return list
+	return missing
 }
 
 // wireCrashes converts crashes for a message that is sent at now.
-func wireCrashes(ends []crashes.End, now time.Time) []*pb.End {
-	list := make([]*pb.End, 0, len(ends))
-	for _, e := range ends {
-		list = append(list, &pb.End{
+func wireCrashes(list []crashes.End, now time.Time) []*pb.End {
+	out := make([]*pb.End, 0, len(list))
+	for _, e := range list {
+		out = append(out, &pb.End{
 			Content: e.Content[:], Account: e.Account, Target: e.Life.ID, Born: e.Life.Born, Software: e.Software,
 			Served: e.Served, Cleared: e.Cleared, AgeMs: ageMS(now.Sub(e.At)),
 		})
 	}
-	return list
+	return out
 }
 
 // readDigest converts a digest of a message. It returns the zero digest for a wrong
@@ -143,17 +143,17 @@
 // readCrashes converts the crashes of a message that was received at a time. It omits
 // those whose digest has a wrong length, and treats negative ages as 0.
 func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.End {
-	var ends []crashes.End
+	var out []crashes.End
 	for _, e := range list {
 		if len(e.GetContent()) != len(crashes.Digest{}) {
 			continue
 		}
-		ends = append(ends, crashes.End{
+		out = append(out, crashes.End{
 			Content: crashes.Digest(e.GetContent()), Account: e.GetAccount(), Life: hookhall.Life{ID: e.GetTarget(), Born: e.GetBorn()},
 			Software: e.GetSoftware(), Served: e.GetServed(), Cleared: e.GetCleared(), At: receivedAt.Add(-milliseconds(max(e.GetAgeMs(), 0))),
 		})
 	}
-	return ends
+	return out
 }
 
 // addAge returns crashes whose ages include the time that this process held them.
