--- /dev/null
+++ b/internal/transport/fleet/crashes.go
@@ -0,0 +1,198 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package fleet
+
+import (
+	"context"
+	"time"
+
+	"github.com/hookhall/hookhall"
+	pb "github.com/hookhall/hookhall/internal/protocol/fleetpb"
+	"github.com/hookhall/hookhall/internal/state/clock"
+	"github.com/hookhall/hookhall/internal/state/crashes"
+)
+
+const (
+	// compareTimeout bounds reading all crashes of a peer. 4,096 contents take some 400 KB.
+	compareTimeout = time.Second
+	// comparePause is the pause after a comparison that changed neither side. Two full
+	// ledgers may differ for long, and would otherwise be compared at every update.
+	comparePause = 5 * time.Second
+)
+
+// Ends stores the crashes of targets under requests.
+type Ends interface {
+	// Learn adds the crashes that a peer reported and returns those that were new; from
+	// names the peer in logs.
+	Learn(list []crashes.End, from string) (fresh []crashes.End)
+	// All returns all crashes.
+	All() []crashes.End
+	// Sum returns a checksum of all crashes, 0 for none.
+	Sum(now time.Time) uint64
+}
+
+// Report sends crashes that this process found to all other gateways, without
+// waiting for them.
+func (s *Broadcaster) Report(list []crashes.End) {
+	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(list, clock.Now())}, clock.Now())
+}
+
+// relayCrashes sends crashes that were received at a time to the peers below this
+// process in the tree.
+func (s *Broadcaster) relayCrashes(m *pb.Ends, receivedAt time.Time) {
+	s.sendToSubtree(m.GetReporter(), int(m.GetPosition()), func(address string, position int) bool {
+		own := &pb.Ends{Reporter: m.GetReporter(), Position: int32(position), Ends: addAge(m.GetEnds(), clock.Since(receivedAt))}
+		return s.sendCrashes(address, own)
+	})
+}
+
+// sendCrashes sends crashes to one peer and reports whether it answered.
+func (s *Broadcaster) sendCrashes(address string, m *pb.Ends) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
+	defer cancel()
+	return s.Clients.Client(address).Report(ctx, m) == nil
+}
+
+// TakeEnds adds the crashes that a peer reported and forwards the message if any
+// was new. It does not forward the result of a comparison, which has no reporter.
+func (s *Broadcaster) TakeEnds(m *pb.Ends) {
+	receivedAt := clock.Now()
+	if len(s.Ends.Learn(readCrashes(m.GetEnds(), receivedAt), hostOf(m.GetReporter()))) > 0 && m.GetReporter() != "" {
+		s.relayCrashes(m, receivedAt)
+	}
+}
+
+// compareCrashes starts a comparison with the sender of update m if the checksums of their
+// crashes differ. Only one comparison runs at a time.
+func (s *Broadcaster) compareCrashes(m *pb.News, now time.Time) {
+	if m.GetFrom() == "" || m.GetEndsSum() == s.Ends.Sum(now) || clock.Stamp(now) < s.nextComparison.Load() {
+		return
+	}
+	if !s.comparing.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		defer s.comparing.Store(false)
+		if !s.exchangeCrashes(m.GetFrom()) {
+			s.nextComparison.Store(clock.Stamp(clock.Now().Add(comparePause)))
+		}
+	}()
+}
+
+// exchangeCrashes reads all crashes that a peer knows and sends it those that it lacks. It
+// reports whether either side got new ones, or the call failed.
+func (s *Broadcaster) exchangeCrashes(peer string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), compareTimeout)
+	defer cancel()
+	theirs, err := s.Clients.Client(peer).Ends(ctx)
+	if err != nil {
+		return true // the next update starts another comparison
+	}
+	now := clock.Now()
+	list := readCrashes(theirs.GetEnds(), now)
+	fresh := s.Ends.Learn(list, hostOf(peer))
+	missing := missingFrom(s.Ends.All(), list)
+	if len(missing) > 0 {
+		s.sendCrashes(peer, &pb.Ends{Ends: wireCrashes(missing, now)})
+	}
+	return len(fresh)+len(missing) > 0
+}
+
+// missingFrom returns the crashes of own that are not in theirs, or are cleared only in own.
+func missingFrom(own, theirs []crashes.End) []crashes.End {
+	type key struct {
+		content     crashes.Digest
+		incarnation hookhall.Life
+		cleared     bool
+	}
+	known := map[key]bool{}
+	for _, e := range theirs {
+		known[key{e.Content, e.Life, e.Cleared}] = true
+	}
+	var missing []crashes.End
+	for _, e := range own {
+		if !known[key{e.Content, e.Life, e.Cleared}] && !known[key{e.Content, e.Life, true}] {
+			missing = append(missing, e)
+		}
+	}
+	return missing
+}
+
+// wireCrashes converts crashes for a message that is sent at now.
+func wireCrashes(list []crashes.End, now time.Time) []*pb.End {
+	out := make([]*pb.End, 0, len(list))
+	for _, e := range list {
+		out = append(out, &pb.End{
+			Content: e.Content[:], Account: e.Account, Target: e.Life.ID, Born: e.Life.Born, Software: e.Software,
+			Served: e.Served, Cleared: e.Cleared, AgeMs: ageMS(now.Sub(e.At)),
+		})
+	}
+	return out
+}
+
+// readDigest converts a digest of a message. It returns the zero digest for a wrong
+// length.
+func readDigest(b []byte) crashes.Digest {
+	if len(b) != len(crashes.Digest{}) {
+		return crashes.Digest{}
+	}
+	return crashes.Digest(b)
+}
+
+// readCrashes converts the crashes of a message that was received at a time. It omits
+// those whose digest has a wrong length, and treats negative ages as 0.
+func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.End {
+	var out []crashes.End
+	for _, e := range list {
+		if len(e.GetContent()) != len(crashes.Digest{}) {
+			continue
+		}
+		out = append(out, crashes.End{
+			Content: crashes.Digest(e.GetContent()), Account: e.GetAccount(), Life: hookhall.Life{ID: e.GetTarget(), Born: e.GetBorn()},
+			Software: e.GetSoftware(), Served: e.GetServed(), Cleared: e.GetCleared(), At: receivedAt.Add(-milliseconds(max(e.GetAgeMs(), 0))),
+		})
+	}
+	return out
+}
+
+// addAge returns crashes whose ages include the time that this process held them.
+func addAge(list []*pb.End, heldFor time.Duration) []*pb.End {
+	aged := make([]*pb.End, 0, len(list))
+	for _, e := range list {
+		aged = append(aged, &pb.End{
+			Content: e.GetContent(), Account: e.GetAccount(), Target: e.GetTarget(), Born: e.GetBorn(), Software: e.GetSoftware(),
+			Served: e.GetServed(), Cleared: e.GetCleared(), AgeMs: e.GetAgeMs() + ageMS(heldFor),
+		})
+	}
+	return aged
+}
+
+// Report implements pb.FleetServer.
+func (s *Server) Report(_ context.Context, m *pb.Ends) (*pb.EndsReply, error) {
+	s.Broadcaster.TakeEnds(m)
+	return &pb.EndsReply{}, nil
+}
+
+// GetEnds implements pb.FleetServer.
+func (s *Server) GetEnds(context.Context, *pb.EndsRequest) (*pb.Ends, error) {
+	return &pb.Ends{Ends: wireCrashes(s.Broadcaster.Ends.All(), clock.Now())}, nil
+}
+
+// Report sends crashes to the peer.
+func (c *Client) Report(ctx context.Context, m *pb.Ends) error {
+	if c.err != nil {
+		return c.err
+	}
+	_, err := c.rpc().Report(ctx, m)
+	c.checkAfterTimeout(err)
+	return err
+}
+
+// Ends reads all crashes that the peer knows.
+func (c *Client) Ends(ctx context.Context) (*pb.Ends, error) {
+	if c.err != nil {
+		return nil, c.err
+	}
+	return c.rpc().GetEnds(ctx, &pb.EndsRequest{}, allowLargeReply)
+}
--- /dev/null
+++ b/internal/transport/fleet/lostpeers.go
@@ -0,0 +1,93 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package fleet
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/hookhall/hookhall/internal/coordination/retry"
+	pb "github.com/hookhall/hookhall/internal/protocol/fleetpb"
+	"github.com/hookhall/hookhall/internal/state/clock"
+)
+
+const (
+	// notifyInterval is the average pause between two updates to possibly lost peers.
+	notifyInterval = 500 * time.Millisecond
+	// lostRetention is for how long updates are sent to a peer that is no longer listed.
+	lostRetention = time.Minute
+	// leafPosition is a position in the tree that has no children in any fleet, so that
+	// the receiver does not forward the update.
+	leafPosition = 1 << 24
+)
+
+// Inviter sends updates to gateways that can't learn of the fleet from the store.
+// A process that starts while the store is unavailable, or refuses it, knows no peers. But
+// it starts at its previous address, which other gateways still know, and their update
+// makes it fetch the state of the sender.
+//
+// Each process sends to one address at a time, drawn at random: while the store does not
+// answer this process, from all gateways, and else from those that were listed within
+// the last minute and are not listed now. For example, while the store is unavailable, a
+// restarted process of a fleet of nine receives an update within about half a second.
+type Inviter struct {
+	Broadcaster *Broadcaster
+
+	lastListed map[string]time.Time // address to when it was last listed
+}
+
+// Run sends updates until ctx ends.
+func (v *Inviter) Run(ctx context.Context) {
+	v.lastListed = map[string]time.Time{}
+	for retry.Sleep(ctx, retry.Jitter(notifyInterval)) {
+		if list := v.lostAddresses(clock.Now()); len(list) > 0 {
+			go v.Broadcaster.notifyLostPeer(list[rand.IntN(len(list))])
+		}
+	}
+}
+
+// lostAddresses returns the addresses of gateways that may know no peers. It is called
+// only by Run's goroutine.
+func (v *Inviter) lostAddresses(now time.Time) []string {
+	b := v.Broadcaster
+	for _, m := range b.Peers.All() {
+		v.lastListed[m.Address] = now
+	}
+	if !b.Catalog.Ready() {
+		return nil
+	}
+	var list []string
+	for address, at := range v.lastListed {
+		switch {
+		case now.Sub(at) > lostRetention:
+			delete(v.lastListed, address)
+		case address == b.Peers.Self().Address:
+		case at.Before(now) || b.Catalog.Failing():
+			list = append(list, address)
+		}
+	}
+	return list
+}
+
+// notifyLostPeer sends the current update to one address.
+func (s *Broadcaster) notifyLostPeer(address string) {
+	now := clock.Now()
+	m := s.currentUpdate(now)
+	s.sendUpdate(address, s.updateFor(m, now, leafPosition))
+}
+
+// bootstrap handles an update at a process that has no state to apply it to: it fetches
+// the complete state of the sender.
+func (s *Broadcaster) bootstrap(m *pb.News) {
+	if s.Start == nil || m.GetFrom() == "" || !s.starting.CompareAndSwap(false, true) {
+		return
+	}
+	go func() {
+		defer s.starting.Store(false)
+		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+		defer cancel()
+		s.Start.Ask(ctx, m.GetFrom())
+	}()
+}
