--- a/internal/transport/backend/backend.go
+++ b/internal/transport/backend/backend.go
@@ -5,16 +5,18 @@
 //
 // # Model
 //
-// A call is one POST of the input; the identity of the call is in headers,
-// which the target echoes. The answer is JSON lines, the last of which has the
-// length and checksum of the output.
+// A call is one POST with the input as its body. Headers identify the call, and
+// the target echoes them. The answer consists of JSON lines, the last of which
+// holds the length and checksum of the output.
 //
 // # Verdicts
 //
-// NotRun: no connection was made; or the target answered with a status of 400
-// or more and the header Hookhall-Not-Run, whose meaning is documented.
-// Ran: the whole answer came and is the call's own. Everything else, a cut, a
-// truncated or foreign answer, is MayHaveRun.
+// NotRun: no connection was established; or the target answered with a status
+// of 400 or more, the echoed headers of the call and the header
+// Hookhall-Not-Run: true.
+// Ran: the complete answer was received and its headers match the call.
+// Any other outcome (lost connection, truncated answer, answer to another call)
+// is MayHaveRun.
 package backend
 
 import (
@@ -33,35 +35,40 @@
 )
 
 const (
-	dialTime = 300 * time.Millisecond
-	idleTime = 30 * time.Second
-	// idlePerTarget is how many connections to a target are kept.
-	idlePerTarget = 64
-	// maxOutput bounds a target's answer.
-	maxOutput = 16 << 20
-	// maxDetail bounds what is quoted of a target's error.
-	maxDetail = 200
+	// dialTimeout bounds a connection attempt. It is shorter than the second after
+	// which the kernel retransmits a lost SYN.
+	dialTimeout = 300 * time.Millisecond
+	// idleConnTimeout is how long an unused connection to a target stays open.
+	idleConnTimeout = 30 * time.Second
+	// maxIdlePerTarget bounds the idle connections to one target; connections
+	// beyond it are closed after their call.
+	maxIdlePerTarget = 64
+	// maxAnswerBytes bounds the answer of a target, JSON framing included. A
+	// longer answer counts as truncated.
+	maxAnswerBytes = 16 << 20
+	// maxDetailBytes bounds the part of a target's error text that is quoted.
+	maxDetailBytes = 200
 )
 
-// HTTP is a hookhall.Backend.
+// HTTP is a hookhall.Backend that calls targets over HTTP/1.1.
 type HTTP struct{ client *http.Client }
 
-// New makes a backend with its own connections.
+// New returns an HTTP with its own connection pool.
 func New() *HTTP {
-	dialer := &net.Dialer{Timeout: dialTime}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &HTTP{client: &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConnsPerHost: idlePerTarget,
-		IdleConnTimeout:     idleTime,
+		MaxIdleConnsPerHost: maxIdlePerTarget,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}}}
 }
 
-// Call implements hookhall.Backend.
+// Call implements hookhall.Backend. It sends the call once and never retries.
 func (b *HTTP) Call(ctx context.Context, t hookhall.Target, c hookhall.StageCall, emit func([]byte) error) (hookhall.StageResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // an answer that is not read to its end is canceled at the target
-	req, err := b.request(ctx, t, c)
+	defer cancel() // cancels the call at the target if its answer was not read to the end
+	req, err := b.newRequest(ctx, t, c)
 	if err != nil {
 		return hookhall.StageResult{}, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTarget, "%v", err)
 	}
@@ -71,18 +78,20 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return hookhall.StageResult{}, refusal(resp, req.Header)
+		return hookhall.StageResult{}, statusError(resp, req.Header)
 	}
 	if err := wire.CheckEcho(resp.Header, req.Header); err != nil {
 		return hookhall.StageResult{}, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseMisdirected, "target %s: %v", t.ID, err)
 	}
-	return read(resp.Body, emit)
+	return readAnswer(resp.Body, emit)
 }
 
-func (b *HTTP) request(ctx context.Context, t hookhall.Target, c hookhall.StageCall) (*http.Request, error) {
-	// A body that the client can't rewind: with one that it can, or an empty
-	// one, it would by itself send a call with an idempotency key again when a
-	// kept connection breaks. Only the pipeline decides on retries.
+// newRequest returns the HTTP request of a call.
+func (b *HTTP) newRequest(ctx context.Context, t hookhall.Target, c hookhall.StageCall) (*http.Request, error) {
+	// The wrapper hides the type of the body, so that the client can't rewind it.
+	// With a rewindable or an empty body, net/http itself resends a request with an
+	// idempotency key when a kept connection breaks; only the pipeline may decide
+	// on retries.
 	body := struct{ io.Reader }{bytes.NewReader(c.Input)}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.Address+wire.PathCall, body)
 	if err != nil {
@@ -93,19 +102,21 @@
 	return req, nil
 }
 
-// connectionError: a failed dial proves that nothing was sent.
+// connectionError returns the error of a call without an answer. A failed dial proves
+// that nothing was sent, so its verdict is NotRun; any other failure is MayHaveRun.
 func connectionError(err error) error {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
-		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseConnection, "no connection: %v", op.Err)
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
+		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseConnection, "no connection: %v", opErr.Err)
 	}
 	return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseConnection, "connection lost: %v", err)
 }
 
-// refusal reads an error answer; only the header, on an answer that is the
-// call's own, proves that nothing ran.
-func refusal(resp *http.Response, call http.Header) error {
-	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+// statusError returns the error for an answer with a status other than 200. Only the
+// header Hookhall-Not-Run, in an answer that echoes the identity of the call, proves
+// that nothing ran.
+func statusError(resp *http.Response, call http.Header) error {
+	detail, err := io.ReadAll(io.LimitReader(resp.Body, maxDetailBytes))
 	if err != nil {
 		detail = []byte("no detail")
 	}
@@ -117,53 +128,56 @@
 	return e
 }
 
-// read takes in the lines of an answer up to its end.
-func read(body io.Reader, emit func([]byte) error) (hookhall.StageResult, error) {
-	var r hookhall.StageResult
-	d := json.NewDecoder(io.LimitReader(body, maxOutput))
+// readAnswer reads the lines of an answer up to its end line, and passes the text of
+// each to emit.
+func readAnswer(body io.Reader, emit func([]byte) error) (hookhall.StageResult, error) {
+	var result hookhall.StageResult
+	decoder := json.NewDecoder(io.LimitReader(body, maxAnswerBytes))
 	for {
 		var line wire.TargetLine
-		if err := d.Decode(&line); err != nil {
-			return r, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer broke off after %d bytes: %v", len(r.Output), err)
+		if err := decoder.Decode(&line); err != nil {
+			return result, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer broke off after %d bytes: %v", len(result.Output), err)
 		}
 		if line.Text != "" {
-			r.Output = append(r.Output, line.Text...)
-			r.Tokens++
+			result.Output = append(result.Output, line.Text...)
+			result.Tokens++
 			if err := emit([]byte(line.Text)); err != nil {
-				return r, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseCanceled, "the caller went away: %v", err)
+				return result, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseCanceled, "the caller went away: %v", err)
 			}
 		}
 		if line.End != nil {
-			return whole(r, line.End)
+			return checkResult(result, line.End)
 		}
 	}
 }
 
-func whole(r hookhall.StageResult, end *wire.TargetEnd) (hookhall.StageResult, error) {
-	if end.Length != len(r.Output) || end.Checksum != wire.Checksum(r.Output) {
-		return r, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer has %d bytes and should have %d", len(r.Output), end.Length)
+// checkResult compares the output with the length and checksum of the end line, and
+// returns the result with the measurements of the target filled in.
+func checkResult(result hookhall.StageResult, end *wire.TargetEnd) (hookhall.StageResult, error) {
+	if end.Length != len(result.Output) || end.Checksum != wire.Checksum(result.Output) {
+		return result, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer has %d bytes and should have %d", len(result.Output), end.Length)
 	}
-	r.Tokens = end.Tokens
-	r.Queue = time.Duration(end.QueueMS * float64(time.Millisecond))
-	r.Busy = time.Duration(end.BusyMS * float64(time.Millisecond))
-	r.Load = end.Load
-	return r, nil
+	result.Tokens = end.Tokens
+	result.Queue = time.Duration(end.QueueMS * float64(time.Millisecond))
+	result.Busy = time.Duration(end.BusyMS * float64(time.Millisecond))
+	result.Load = end.Load
+	return result, nil
 }
 
-// Load implements hookhall.Backend.
+// Load implements hookhall.Backend. A report is read up to 4096 bytes.
 func (b *HTTP) Load(ctx context.Context, t hookhall.Target) (hookhall.LoadReport, error) {
-	var r hookhall.LoadReport
+	var report hookhall.LoadReport
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.Address+wire.PathLoad, nil)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	resp, err := b.client.Do(req)
 	if err != nil {
-		return r, err
+		return report, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return r, errors.Errorf("load report: status %d", resp.StatusCode)
+		return report, errors.Errorf("load report: status %d", resp.StatusCode)
 	}
-	return r, json.NewDecoder(io.LimitReader(resp.Body, 4096)).Decode(&r)
+	return report, json.NewDecoder(io.LimitReader(resp.Body, 4096)).Decode(&report)
 }
