--- a/internal/transport/callers/callers.go
+++ b/internal/transport/callers/callers.go
@@ -5,16 +5,17 @@
 //
 // # Model
 //
-// POST /v1/run takes a wire.RunRequest from an account that shows its key as a
-// bearer token, and answers with one JSON document, or with JSON lines when a
-// stream was asked for. GET /readyz tells the balancer whether to send work;
-// GET /healthz whether the process runs.
+// POST /v1/run accepts a wire.RunRequest from an account that presents its key as
+// a bearer token. It answers with one JSON document, or with JSON lines if the
+// request asks for a stream. GET /readyz reports to the load balancer whether this
+// entry accepts new requests; GET /healthz whether the process runs.
 //
 // # Invariants
 //
 //   - A streamed answer always ends with an end or an error line, unless the
-//     connection broke: a caller never takes a part for the whole.
-//   - A refusal is sent the moment it is known.
+//     connection broke, so that a caller can't mistake a partial answer for a
+//     complete one.
+//   - A refusal is sent as soon as its cause is found, before further processing.
 package callers
 
 import (
@@ -35,32 +36,35 @@
 	"github.com/hookhall/hookhall/internal/state/table"
 )
 
-// Paths of the callers' interface.
+// Paths of the callers' HTTP interface.
 const (
 	PathRun    = "/v1/run"
 	PathReady  = "/readyz"
 	PathHealth = "/healthz"
 )
 
-// stopRetry is when to come back to another entry while this one stops.
-const stopRetry = 100 * time.Millisecond
+// stopRetryDelay is the delay after which a caller should retry at another entry while
+// this one stops.
+const stopRetryDelay = 100 * time.Millisecond
 
-// Service is what the interface stands on.
+// Service runs the requests that a Handler reads.
 type Service interface {
-	// Table is the table in force.
+	// Table returns the table currently applied.
 	Table() *table.Snapshot
-	// Ready tells whether new work should come here.
+	// Ready reports whether the load balancer should send new requests here.
 	Ready() bool
-	// Accepting tells whether new work is still taken, with the cause if not.
+	// Accepting reports whether new requests are still accepted, and the cause if
+	// they are not.
 	Accepting() (bool, hookhall.Cause)
-	// Run runs a request.
-	Run(ctx context.Context, q *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error)
+	// Run runs a request and returns its answer. emit receives each chunk of the
+	// output; nil if the answer is not streamed.
+	Run(ctx context.Context, request *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error)
 }
 
-// Handler serves callers.
+// Handler serves the HTTP requests of callers.
 type Handler struct{ service Service }
 
-// New makes a Handler.
+// New returns a Handler that runs requests by s.
 func New(s Service) *Handler { return &Handler{s} }
 
 // Run serves POST /v1/run.
@@ -69,15 +73,15 @@
 	id := uuid.NewString()
 	w.Header().Set(wire.HeaderRequestID, id)
 	if !h.service.Ready() {
-		w.Header().Set("Connection", "close") // come back through the balancer
+		w.Header().Set("Connection", "close") // the next request goes through the load balancer
 	}
-	q, body, err := h.read(r, id, now)
+	request, body, err := h.readRequest(r, id, now)
 	if err != nil {
 		wire.WriteProblem(w, wire.NewProblem(id, hookhall.AsError(err)))
 		return
 	}
 	if !body.Stream {
-		answer, err := h.service.Run(r.Context(), q, nil)
+		answer, err := h.service.Run(r.Context(), request, nil)
 		if err != nil {
 			wire.WriteProblem(w, wire.NewProblem(id, hookhall.AsError(err)))
 			return
@@ -86,18 +90,19 @@
 		return
 	}
 	s := &stream{w: w, encoder: json.NewEncoder(w)}
-	answer, err := h.service.Run(r.Context(), q, s.emit)
-	s.end(id, answer, hookhall.AsError(err))
+	answer, err := h.service.Run(r.Context(), request, s.emit)
+	s.finish(id, answer, hookhall.AsError(err))
 }
 
-// read checks everything that can be checked without running anything.
-func (h *Handler) read(r *http.Request, id string, now time.Time) (*hookhall.Request, *wire.RunRequest, error) {
+// readRequest reads and checks the request r that arrived at now. It makes every check
+// that needs no stage call.
+func (h *Handler) readRequest(r *http.Request, id string, now time.Time) (*hookhall.Request, *wire.RunRequest, error) {
 	if r.Method != http.MethodPost {
 		return nil, nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "use POST")
 	}
 	key := r.Header.Get(wire.HeaderKey)
 	if ok, cause := h.service.Accepting(); !ok {
-		return nil, nil, closed(key, cause)
+		return nil, nil, notAccepting(key, cause)
 	}
 	t := h.service.Table()
 	account, err := authenticate(t, r)
@@ -111,66 +116,68 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	q, err := newRequest(t, account, body, now)
+	request, err := newRequest(t, account, body, now)
 	if err != nil {
 		return nil, nil, err
 	}
-	q.ID, q.Key = id, key
-	return q, body, nil
+	request.ID, request.Key = id, key
+	return request, body, nil
 }
 
-// closed refuses everything. An earlier submission with the same key may have
-// run through another entry, and this one does not look.
-func closed(key string, cause hookhall.Cause) error {
-	v := hookhall.NotRun
+// notAccepting returns the refusal of a request while this entry accepts none. With an
+// idempotency key the verdict is MayHaveRun, because an earlier submission with the
+// same key may have run through another entry and this one does not look it up.
+func notAccepting(key string, cause hookhall.Cause) error {
+	verdict := hookhall.NotRun
 	if key != "" {
-		v = hookhall.MayHaveRun
+		verdict = hookhall.MayHaveRun
 	}
-	return hookhall.Errorf(v, cause, "this entry takes no new work").After(stopRetry)
+	return hookhall.Errorf(verdict, cause, "this entry takes no new work").After(stopRetryDelay)
 }
 
-// authenticate finds the account of the bearer token.
+// authenticate returns the account whose key the request presents as bearer token.
 func authenticate(t *table.Snapshot, r *http.Request) (*hookhall.Account, error) {
 	token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || token == "" {
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseUnauthorized, "the account's key is missing: Authorization: Bearer KEY")
 	}
 	sum := sha256.Sum256([]byte(token))
-	a := t.AccountByKey(hex.EncodeToString(sum[:]))
-	if a == nil {
+	account := t.AccountByKey(hex.EncodeToString(sum[:]))
+	if account == nil {
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseUnauthorized, "no account has this key")
 	}
-	return a, nil
+	return account, nil
 }
 
-// newRequest fills in what the table says for what the caller left open.
-func newRequest(t *table.Snapshot, a *hookhall.Account, b *wire.RunRequest, now time.Time) (*hookhall.Request, error) {
-	class := t.Classes[b.Class]
-	if b.Class != "" && class == nil {
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "there is no class %q", b.Class)
+// newRequest returns the request of body. Fields that the caller left out come from the
+// table: the deadline from the class, or from the account if the class has none.
+func newRequest(t *table.Snapshot, account *hookhall.Account, body *wire.RunRequest, now time.Time) (*hookhall.Request, error) {
+	class := t.Classes[body.Class]
+	if body.Class != "" && class == nil {
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "there is no class %q", body.Class)
 	}
-	longest := a.Deadline
+	timeout := account.Deadline
 	repeatable := true
 	if class != nil {
 		repeatable = class.Repeatable
 		if class.Deadline > 0 {
-			longest = class.Deadline
+			timeout = class.Deadline
 		}
 	}
-	if b.Repeatable != nil {
-		// A caller may be more careful than its class, never less.
-		repeatable = repeatable && *b.Repeatable
+	if body.Repeatable != nil {
+		// A caller may forbid retries that its class allows, not the reverse.
+		repeatable = repeatable && *body.Repeatable
 	}
-	if d := time.Duration(b.DeadlineMS) * time.Millisecond; d > 0 && d < longest {
-		longest = d
+	if d := time.Duration(body.DeadlineMS) * time.Millisecond; d > 0 && d < timeout {
+		timeout = d
 	}
 	return &hookhall.Request{
-		Account: a.Name, Pipeline: b.Pipeline, Class: b.Class, Input: []byte(b.Input),
-		MaxTokens: b.MaxTokens, Deadline: now.Add(longest), Repeatable: repeatable, Digest: b.Digest(),
+		Account: account.Name, Pipeline: body.Pipeline, Class: body.Class, Input: []byte(body.Input),
+		MaxTokens: body.MaxTokens, Deadline: now.Add(timeout), Repeatable: repeatable, Digest: body.Digest(),
 	}, nil
 }
 
-// Ready serves GET /readyz.
+// Ready serves GET /readyz: 200 if new requests should be sent here, else 503.
 func (h *Handler) Ready(w http.ResponseWriter, _ *http.Request) {
 	if !h.service.Ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -179,53 +186,56 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// Health serves GET /healthz.
+// Health serves GET /healthz: always 200.
 func Health(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) }
 
-// stream writes JSON lines.
+// stream writes a streamed answer as JSON lines.
 type stream struct {
-	w       http.ResponseWriter
-	encoder *json.Encoder
-	begun   sync.Once
+	w          http.ResponseWriter
+	encoder    *json.Encoder
+	headerOnce sync.Once
 }
 
-func (s *stream) begin() {
-	s.begun.Do(func() {
+// writeHeader sends the header of the answer before its first line.
+func (s *stream) writeHeader() {
+	s.headerOnce.Do(func() {
 		s.w.Header().Set("Content-Type", "application/x-ndjson")
 		s.w.WriteHeader(http.StatusOK)
 	})
 }
 
+// emit writes the line of a pipeline event. It is a pipeline.Emit.
 func (s *stream) emit(e pipeline.Event) error {
 	return s.write(wire.StreamLine{Text: string(e.Text), Restart: e.Restart})
 }
 
+// write sends a line, and the header before the first one.
 func (s *stream) write(l wire.StreamLine) error {
-	s.begin()
+	s.writeHeader()
 	if err := s.encoder.Encode(l); err != nil {
 		return err
 	}
 	return http.NewResponseController(s.w).Flush()
 }
 
-// end writes the last line. A failure before the first line is a plain problem
-// document with its own status.
-func (s *stream) end(id string, a *hookhall.Answer, failure *hookhall.Error) {
+// finish writes the last line: an error line if failure is set, else the end line. A
+// failure before the first line is sent as a problem document with its own status.
+func (s *stream) finish(id string, a *hookhall.Answer, failure *hookhall.Error) {
 	if failure != nil {
-		p := wire.NewProblem(id, failure)
-		begun := true
-		s.begun.Do(func() { begun = false })
-		if !begun {
-			wire.WriteProblem(s.w, p)
+		problem := wire.NewProblem(id, failure)
+		headerSent := true
+		s.headerOnce.Do(func() { headerSent = false })
+		if !headerSent {
+			wire.WriteProblem(s.w, problem)
 			return
 		}
-		_ = s.write(wire.StreamLine{Error: p}) // the caller may be gone
+		_ = s.write(wire.StreamLine{Error: problem}) // fails if the caller has disconnected
 		return
 	}
 	end := wire.NewRunAnswer(id, a)
 	if a.Replayed {
-		_ = s.write(wire.StreamLine{Text: end.Output}) // as above
+		_ = s.write(wire.StreamLine{Text: end.Output}) // fails if the caller has disconnected
 	}
 	end.Output = ""
-	_ = s.write(wire.StreamLine{End: end}) // as above
+	_ = s.write(wire.StreamLine{End: end}) // fails if the caller has disconnected
 }
