--- a/internal/transport/front/drain.go
+++ b/internal/transport/front/drain.go
@@ -15,101 +15,107 @@
 )
 
 const (
-	// drainLook is how often a drain looks.
-	drainLook = 10 * time.Millisecond
-	// stopRetry is when a client should come back, to another instance.
-	stopRetry = 50 * time.Millisecond
+	// drainPollInterval is how often a drain checks for requests in progress.
+	drainPollInterval = 10 * time.Millisecond
+	// stopRetryDelay is the delay after which a client should retry at another
+	// instance.
+	stopRetryDelay = 50 * time.Millisecond
 )
 
-// Drain stops a server without cutting a request off.
+// Drain is an http.Handler that stops a server without cutting off a request.
 //
-// net/http's own stop closes connections that it holds to be idle; one whose
-// request has just been read, but is not yet counted as active, is closed too,
-// and its request runs without an answer. A Drain closes no connection: it stops
-// accepting, asks clients to close behind their answers, and soon refuses what
-// still comes on kept connections, so that nothing is begun that the process
-// could not end.
+// http.Server.Shutdown closes connections that it considers idle. This includes one
+// whose request has just been read but is not yet counted as active: the request runs
+// and its client gets no answer. A Drain closes no connection. It asks clients to close
+// their connections after the next answer, then refuses the requests that still arrive
+// on kept connections, so that no request starts that the process could not finish. The
+// caller stops its Listener from accepting.
 type Drain struct {
-	next     http.Handler
-	ending   context.Context // ends when requests have to
-	end      context.CancelFunc
-	refuse   func(w http.ResponseWriter, e *hookhall.Error)
-	inflight atomic.Int64
-	closing  atomic.Bool // answers ask the client to close
-	refusing atomic.Bool // nothing is passed on any more
+	next        http.Handler
+	abort       context.Context // done when the requests in progress must be answered at once
+	cancelAbort context.CancelFunc
+	refuse      func(w http.ResponseWriter, e *hookhall.Error) // writes a refusal
+	inFlight    atomic.Int64
+	closing     atomic.Bool // answers carry Connection: close
+	refusing    atomic.Bool // new requests are refused
 }
 
-// NewDrain puts a Drain before next. refuse answers what comes in the end.
+// NewDrain returns a Drain that passes requests to next. refuse writes the answer to a
+// refused request.
 func NewDrain(next http.Handler, refuse func(w http.ResponseWriter, e *hookhall.Error)) *Drain {
 	d := &Drain{next: next, refuse: refuse}
-	d.ending, d.end = context.WithCancel(context.Background())
+	d.abort, d.cancelAbort = context.WithCancel(context.Background())
 	return d
 }
 
-// InFlight is how many requests are in progress.
-func (d *Drain) InFlight() int64 { return d.inflight.Load() }
+// InFlight returns the number of requests in progress.
+func (d *Drain) InFlight() int64 { return d.inFlight.Load() }
 
 // ServeHTTP implements http.Handler.
 func (d *Drain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	d.inflight.Add(1)
-	defer d.inflight.Add(-1)
+	d.inFlight.Add(1)
+	defer d.inFlight.Add(-1)
 	if d.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	// The count above comes first: whoever sets refusing and then sees no
-	// request in flight knows that none is passed on.
+	// The request is counted before refusing is read: if refusing is set and no
+	// request is in flight, no further request can be passed on.
 	if d.refusing.Load() {
-		d.refuse(w, hookhall.Errorf(hookhall.NotRun, hookhall.CauseStopping, "this instance stops").After(stopRetry))
+		d.refuse(w, hookhall.Errorf(hookhall.NotRun, hookhall.CauseStopping, "this instance stops").After(stopRetryDelay))
 		return
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	stop := context.AfterFunc(d.ending, func() { cancel(hookhall.ErrStopping) })
+	stop := context.AfterFunc(d.abort, func() { cancel(hookhall.ErrStopping) })
 	defer stop()
 	d.next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// Close asks clients to close behind their answers, from now on.
+// Close makes all further answers carry Connection: close, so that clients close their
+// connections after them. It does not wait.
 func (d *Drain) Close() { d.closing.Store(true) }
 
-// Finish refuses what comes from now on and waits until nothing is in progress,
-// or until ctx ends. It returns how many requests are left.
+// Finish refuses all further requests and waits until none is in progress or ctx ends.
+// It returns the number of requests still in progress.
 func (d *Drain) Finish(ctx context.Context) int64 {
 	d.refusing.Store(true)
-	return d.wait(ctx)
+	return d.waitIdle(ctx)
 }
 
-// End has what is in progress answered now, as far as it is not an answer that has begun:
-// a request that waits has not run, and its client can go elsewhere. It waits for that
-// until ctx ends, and returns how many requests are left.
+// End cancels the requests in progress with hookhall.ErrStopping, so that those whose
+// answer has not begun are answered now: a request that still waits has not run, and its
+// client can retry elsewhere. It waits until none is in progress or ctx ends, and returns
+// the number of requests still in progress.
 func (d *Drain) End(ctx context.Context) int64 {
-	d.end()
-	return d.wait(ctx)
+	d.cancelAbort()
+	return d.waitIdle(ctx)
 }
 
-// wait waits until nothing is in progress, or until ctx ends.
-func (d *Drain) wait(ctx context.Context) int64 {
-	tick := time.NewTicker(drainLook)
-	defer tick.Stop()
-	for ctx.Err() == nil && d.inflight.Load() > 0 {
+// waitIdle waits until no request is in progress or ctx ends, and returns the number of
+// requests still in progress.
+func (d *Drain) waitIdle(ctx context.Context) int64 {
+	ticker := time.NewTicker(drainPollInterval)
+	defer ticker.Stop()
+	for ctx.Err() == nil && d.inFlight.Load() > 0 {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 		}
 	}
-	return d.inflight.Load()
+	return d.inFlight.Load()
 }
 
-// Listener can stop accepting without ending the server that accepts from it.
+// Listener is a net.Listener that can stop accepting without ending the server that
+// accepts from it.
 type Listener struct {
 	net.Listener
-	stopped chan struct{}
-	closed  chan struct{}
-	once    sync.Once
-	end     sync.Once
+	stopped   chan struct{} // closed by StopAccepting
+	closed    chan struct{} // closed by Close
+	stopOnce  sync.Once
+	closeOnce sync.Once
 }
 
-// Listen listens at an IP number and port.
+// Listen listens on a TCP address given as IP address and port.
 func Listen(address string) (*Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -118,15 +124,17 @@
 	return &Listener{Listener: l, stopped: make(chan struct{}), closed: make(chan struct{})}, nil
 }
 
-// StopAccepting refuses new connections.
+// StopAccepting closes the socket, so that new connections are refused. Connections
+// already accepted stay open.
 func (l *Listener) StopAccepting() {
-	l.once.Do(func() {
+	l.stopOnce.Do(func() {
 		close(l.stopped)
-		_ = l.Listener.Close() // open connections are not concerned
+		_ = l.Listener.Close() // accepted connections stay open
 	})
 }
 
-// Accept implements net.Listener; after StopAccepting it waits for Close.
+// Accept implements net.Listener. After StopAccepting it blocks until Close is called,
+// because a server ends when Accept returns an error.
 func (l *Listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
@@ -141,9 +149,9 @@
 	}
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It also stops accepting.
 func (l *Listener) Close() error {
 	l.StopAccepting()
-	l.end.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
--- a/internal/transport/front/drain_state_test.go
+++ b/internal/transport/front/drain_state_test.go
@@ -16,12 +16,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestDrainStates: whenever requests come and however long they take, a stop cuts
-// none off that ends within its time, begins none after it has begun to refuse,
-// and counts those that are left.
+// TestDrainStates checks a stop against random arrival times and durations of requests:
+// no request that ends within the grace period is cut off, none starts once the Drain
+// refuses, and the number of those still in progress is returned.
 func TestDrainStates(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		type arrival struct{ at, lasts time.Duration }
+		type arrival struct{ at, duration time.Duration }
 		var arrivals []arrival
 		for range rapid.IntRange(1, 20).Draw(rt, "requests") {
 			arrivals = append(arrivals, arrival{
@@ -29,59 +29,59 @@
 				time.Duration(rapid.IntRange(1, 6000).Draw(rt, "lasts")) * time.Millisecond,
 			})
 		}
-		// Half a millisecond more, so that nothing falls on the same moment.
+		// Half a millisecond more, so that no arrival coincides with it.
 		refuseAt := time.Duration(rapid.IntRange(0, 5000).Draw(rt, "refuses at"))*time.Millisecond + time.Millisecond/2
 		grace := time.Duration(rapid.IntRange(100, 4000).Draw(rt, "grace")) * time.Millisecond
 		synctest.Test(t, func(*testing.T) {
-			began := time.Now()
-			d := NewDrain(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				lasts, _ := time.ParseDuration(r.Header.Get("Lasts"))
-				time.Sleep(lasts)
+			start := time.Now()
+			drain := NewDrain(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				duration, _ := time.ParseDuration(r.Header.Get("Lasts"))
+				time.Sleep(duration)
 				w.WriteHeader(http.StatusOK)
 			}), func(w http.ResponseWriter, e *hookhall.Error) {
 				if e.Verdict != hookhall.NotRun || e.RetryAfter <= 0 {
-					rt.Errorf("refused as %v, to come back in %v", e.Verdict, e.RetryAfter)
+					rt.Errorf("refused with verdict %v and retry delay %v", e.Verdict, e.RetryAfter)
 				}
 				w.WriteHeader(http.StatusServiceUnavailable)
 			})
-			var all sync.WaitGroup
+			var requests sync.WaitGroup
 			for _, a := range arrivals {
-				all.Add(1)
+				requests.Add(1)
 				go func() {
-					defer all.Done()
+					defer requests.Done()
 					time.Sleep(a.at)
 					r := httptest.NewRequest(http.MethodGet, "/", nil)
-					r.Header.Set("Lasts", a.lasts.String())
+					r.Header.Set("Lasts", a.duration.String())
 					w := httptest.NewRecorder()
-					d.ServeHTTP(w, r)
+					drain.ServeHTTP(w, r)
 					switch {
 					case a.at < refuseAt && w.Code != http.StatusOK:
-						rt.Errorf("one that came at %v, before %v, got %d", a.at, refuseAt, w.Code)
+						rt.Errorf("request arrived at %v, before the refusal at %v: status %d", a.at, refuseAt, w.Code)
 					case a.at > refuseAt && w.Code != http.StatusServiceUnavailable:
-						rt.Errorf("one that came at %v, after %v, got %d", a.at, refuseAt, w.Code)
-					case a.at > refuseAt && time.Since(began) != a.at:
-						rt.Errorf("one that came at %v was refused at %v", a.at, time.Since(began))
+						rt.Errorf("request arrived at %v, after the refusal at %v: status %d", a.at, refuseAt, w.Code)
+					case a.at > refuseAt && time.Since(start) != a.at:
+						rt.Errorf("request arrived at %v was refused only at %v", a.at, time.Since(start))
 					}
 				}()
 			}
 			time.Sleep(refuseAt)
 			ctx, cancel := context.WithTimeout(context.Background(), grace)
-			left := d.Finish(ctx)
+			remaining := drain.Finish(ctx)
 			cancel()
 			running := int64(0)
-			now := time.Since(began)
+			now := time.Since(start)
 			for _, a := range arrivals {
-				if a.at < refuseAt && a.at+a.lasts > now {
+				if a.at < refuseAt && a.at+a.duration > now {
 					running++
 				}
 			}
-			if left > 0 && now < refuseAt+grace {
-				rt.Errorf("it gave up %d requests after %v of %v", left, now-refuseAt, grace)
+			if remaining > 0 && now < refuseAt+grace {
+				rt.Errorf("the drain gave up %d requests after %v of %v", remaining, now-refuseAt, grace)
 			}
-			if left != running {
-				rt.Errorf("it counts %d requests that are left, not %d", left, running)
+			if remaining != running {
+				rt.Errorf("the drain counts %d requests in progress, not %d", remaining, running)
 			}
-			all.Wait()
+			requests.Wait()
 		})
 	})
 }
--- a/internal/transport/front/drain_test.go
+++ b/internal/transport/front/drain_test.go
@@ -18,14 +18,14 @@
 	"github.com/hookhall/hookhall/internal/state/buffer"
 )
 
-// plainDialect reads nothing and writes Retry-After.
+// plainDialect reads no header fields and writes Retry-After as a Go duration.
 type plainDialect struct{ hookhall.Dialect }
 
 func (plainDialect) Read(http.Header) (hookhall.CallInfo, error) {
 	return hookhall.CallInfo{ID: "1"}, nil
 }
 
-// newTestHandler makes a Handler with room for a megabyte of bodies.
+// newTestHandler returns a Handler with a body budget of one megabyte.
 func newTestHandler(s Service) *Handler {
 	return NewHandler(s, plainDialect{}, buffer.NewBudget(1<<20), log.New(io.Discard))
 }
@@ -36,7 +36,7 @@
 	h.Set("Retry-After", after.String())
 }
 
-// serviceFunc is a Service.
+// serviceFunc is a Service that accepts bodies of up to 100 bytes.
 type serviceFunc func(ctx context.Context, c *hookhall.Call, a hookhall.AnswerWriter) error
 
 func (f serviceFunc) Serve(ctx context.Context, c *hookhall.Call, a hookhall.AnswerWriter) error {
@@ -44,13 +44,14 @@
 }
 func (serviceFunc) MaxBody() int { return 100 }
 
-// eventListener calls an event when the bytes of a second request were read, and
-// before the server has seen them.
+// eventListener calls event after the bytes of the second request on a connection were
+// read and before the server receives them.
 type eventListener struct {
 	*Listener
 	event func()
 }
 
+// eventConn is a connection of an eventListener.
 type eventConn struct {
 	net.Conn
 	reads int
@@ -75,74 +76,76 @@
 	return n, err
 }
 
-// TestStopBetweenReadAndServe: a kept connection's next request has been read when
-// the stop comes. With net/http's SetKeepAlivesEnabled and Shutdown in place of the
-// Drain, the service runs and the client gets nothing.
+// TestStopBetweenReadAndServe guards against a request that runs without an answer. The
+// stop comes when the next request on a kept connection has been read and is not yet
+// served; with net/http's SetKeepAlivesEnabled and Shutdown in place of the Drain, the
+// service runs and the client gets no answer.
 func TestStopBetweenReadAndServe(t *testing.T) {
 	var served atomic.Int64
-	h := newTestHandler(serviceFunc(func(_ context.Context, _ *hookhall.Call, a hookhall.AnswerWriter) error {
+	handler := newTestHandler(serviceFunc(func(_ context.Context, _ *hookhall.Call, a hookhall.AnswerWriter) error {
 		served.Add(1)
 		a.Begin(http.StatusOK, http.Header{})
 		return a.Chunk([]byte("whole"))
 	}))
-	d := NewDrain(h, h.Refuse)
-	l, err := Listen("127.0.0.1:0")
+	drain := NewDrain(handler, handler.Refuse)
+	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &http.Server{Handler: d}
+	server := &http.Server{Handler: drain}
 	go func() {
-		_ = s.Serve(eventListener{l, func() { d.Close(); l.StopAccepting() }}) // ends with the test
+		_ = server.Serve(eventListener{listener, func() { drain.Close(); listener.StopAccepting() }}) // ends with the test
 	}()
-	c, err := net.Dial("tcp", l.Addr().String())
+	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	r := bufio.NewReader(c)
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	for i := range 2 {
-		if _, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("request %d: served %d times, and no answer: %v", i, served.Load(), err)
+			t.Fatalf("request %d: served %d times, but got no answer: %v", i, served.Load(), err)
 		}
 		if b, err := io.ReadAll(resp.Body); err != nil || string(b) != "whole" {
-			t.Fatalf("%q %v", b, err)
+			t.Fatalf("body %q, error %v", b, err)
 		}
 		if i == 1 && !resp.Close {
-			t.Fatal("the answer does not ask the client to close")
+			t.Fatal("the answer has no Connection: close")
 		}
 	}
-	if left := d.Finish(t.Context()); left != 0 {
-		t.Fatalf("%d requests left", left)
+	if left := drain.Finish(t.Context()); left != 0 {
+		t.Fatalf("%d requests still in progress", left)
 	}
-	if err := s.Close(); err != nil {
+	if err := server.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestDrainRefusesInTheEnd: what comes in the end is refused, not served. A request
-// taken on a kept connection 6.6 s after the signal, of 8 s in all, is cut off.
-func TestDrainRefusesInTheEnd(t *testing.T) {
-	h := newTestHandler(serviceFunc(func(context.Context, *hookhall.Call, hookhall.AnswerWriter) error {
-		t.Error("served after the drain")
+// TestDrainRefusesNewRequests guards against a request that starts too late in a stop to
+// be finished. One accepted on a kept connection 6.6 s after the signal, when the process
+// had 8 s in all, was cut off; once the Drain refuses, new requests must not be served.
+func TestDrainRefusesNewRequests(t *testing.T) {
+	handler := newTestHandler(serviceFunc(func(context.Context, *hookhall.Call, hookhall.AnswerWriter) error {
+		t.Error("request served once the drain refuses")
 		return nil
 	}))
-	d := NewDrain(h, h.Refuse)
+	drain := NewDrain(handler, handler.Refuse)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	d.Finish(ctx)
+	drain.Finish(ctx)
 	w := newRecorder()
 	r, _ := http.NewRequest(http.MethodGet, "/", http.NoBody)
-	d.ServeHTTP(w, r)
+	drain.ServeHTTP(w, r)
 	if w.status != http.StatusServiceUnavailable || w.header.Get("Retry-After") == "" {
 		t.Fatalf("status %d, header %v", w.status, w.header)
 	}
 }
 
-// recorder is an http.ResponseWriter.
+// recorder is an http.ResponseWriter that keeps the answer.
 type recorder struct {
 	header http.Header
 	status int
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -5,16 +5,16 @@
 //
 // # Model
 //
-// A Handler reads a whole request, marks included, hands it to a Service and
-// writes what comes back. A refusal becomes a status by its verdict and cause:
-// 429 and 503 only for what has not run and never will; 502 and 504 for what
-// may have run.
+// A Handler reads a complete request with the header fields of the platform's
+// protocol, passes it to a Service and writes the answer. The verdict and cause
+// of a refusal determine its status: 429 and 503 only if the request has not run
+// and never will; 502 and 504 if it may have run.
 //
 // # Invariants
 //
-//   - An answer that ends early is cut visibly: its connection is closed
-//     without the framing's end.
-//   - A refusal never bears a target's fields.
+//   - A client can detect a truncated answer: its connection is closed without
+//     the end of the framing.
+//   - A refusal never carries header fields of a target.
 package front
 
 import (
@@ -30,45 +30,49 @@
 	"github.com/pkg/errors"
 )
 
-// Service answers calls.
+// Service answers the calls that a Handler reads.
 type Service interface {
-	// Serve answers c. A *hookhall.Error means that nothing was written.
+	// Serve writes the answer to c. It returns a *hookhall.Error only if nothing was
+	// written yet; any other error cuts the connection.
 	Serve(ctx context.Context, c *hookhall.Call, a hookhall.AnswerWriter) error
-	// MaxBody bounds a request's body in bytes; 0 for no bound.
+	// MaxBody returns the maximum size of a request's body in bytes, or 0 for the
+	// default of this package.
 	MaxBody() int
 }
 
 const (
-	// bodyMost is the bound on bodies when the service has none, in bytes.
-	bodyMost = 64 << 20
-	// roomBack is when a client should come back for whose body there is no room.
-	roomBack = time.Second
+	// defaultMaxBodyBytes bounds a request's body if the service has no bound.
+	defaultMaxBodyBytes = 64 << 20
+	// bodyRetryDelay is the delay after which a client should retry whose body did not
+	// fit into the shared budget.
+	bodyRetryDelay = time.Second
 )
 
-// Handler is an http.Handler.
+// Handler is an http.Handler that passes requests to a Service.
 type Handler struct {
-	service Service
-	dialect hookhall.Dialect
-	bodies  *buffer.Budget
-	log     *log.Logger
+	service    Service
+	dialect    hookhall.Dialect
+	bodyBudget *buffer.Budget
+	log        *log.Logger
 }
 
-// NewHandler makes a Handler. The bodies of all requests in progress share a budget.
-func NewHandler(s Service, d hookhall.Dialect, bodies *buffer.Budget, l *log.Logger) *Handler {
-	return &Handler{s, d, bodies, l}
+// NewHandler returns a Handler. bodies is the memory budget that the bodies of all
+// requests in progress share.
+func NewHandler(service Service, dialect hookhall.Dialect, bodies *buffer.Budget, logger *log.Logger) *Handler {
+	return &Handler{service, dialect, bodies, logger}
 }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body := h.bodies.New(h.maxBody() + 1)
+	body := h.bodyBudget.New(h.maxBody() + 1)
 	defer body.Release()
-	c, e := h.read(w, r, body)
-	if e != nil {
-		h.logUnread(r, e)
-		h.Refuse(w, e)
+	call, failure := h.read(w, r, body)
+	if failure != nil {
+		h.logRejected(r, failure)
+		h.Refuse(w, failure)
 		return
 	}
-	err := h.service.Serve(r.Context(), c, &answer{w, h.dialect})
+	err := h.service.Serve(r.Context(), call, &answerWriter{w, h.dialect})
 	if err == nil {
 		return
 	}
@@ -77,57 +81,60 @@
 		h.Refuse(w, refusal)
 		return
 	}
-	// Tells net/http to close the connection without an end.
+	// Makes net/http close the connection without the end of the framing.
 	panic(http.ErrAbortHandler)
 }
 
+// maxBody returns the maximum size of a body in bytes.
 func (h *Handler) maxBody() int {
 	if limit := h.service.MaxBody(); limit > 0 {
 		return limit
 	}
-	return bodyMost
+	return defaultMaxBodyBytes
 }
 
-// read reads a request whole. Its body lies in the buffer, and is valid until that is
-// released.
+// read reads a complete request. Its body lies in the given buffer and is valid until
+// the buffer is released.
 func (h *Handler) read(w http.ResponseWriter, r *http.Request, body *buffer.Buffer) (*hookhall.Call, *hookhall.Error) {
-	more, err := body.Fill(http.MaxBytesReader(w, r.Body, int64(h.maxBody())))
-	var large *http.MaxBytesError
+	bufferFull, err := body.Fill(http.MaxBytesReader(w, r.Body, int64(h.maxBody())))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTooLarge, "the body has more than %d bytes", large.Limit)
+	case errors.As(err, &tooLarge):
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTooLarge, "the body has more than %d bytes", tooLarge.Limit)
 	case err != nil:
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "the body did not come whole: %v", err)
-	case more:
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload, "no room is left for the body").After(roomBack)
+	case bufferFull:
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload, "no room is left for the body").After(bodyRetryDelay)
 	}
-	marks, err := h.dialect.Read(r.Header)
+	info, err := h.dialect.Read(r.Header)
 	if err != nil {
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "%v", err)
 	}
 	return &hookhall.Call{
-		Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: EndToEnd(r.Header, h.dialect.EndToEnd), Body: body.Bytes(), CallInfo: marks,
+		Method: r.Method, URI: r.RequestURI, Host: r.Host, Header: EndToEnd(r.Header, h.dialect.EndToEnd), Body: body.Bytes(), CallInfo: info,
 	}, nil
 }
 
-// logUnread writes a line on a request that is refused before it was read whole.
-func (h *Handler) logUnread(r *http.Request, e *hookhall.Error) {
-	marks, _ := h.dialect.Read(r.Header) // what can be read of wrong marks is told
-	h.log.Warn("A request was not read.", "request", marks.ID, "uri", r.RequestURI, "bytes", r.ContentLength,
-		"cause", string(e.Cause), "detail", e.Detail, "body_bytes", h.bodies.Held())
+// logRejected logs a request that is refused before it was read completely.
+func (h *Handler) logRejected(r *http.Request, e *hookhall.Error) {
+	info, _ := h.dialect.Read(r.Header) // of invalid header fields, the readable part is logged
+	h.log.Warn("request not read", "request", info.ID, "uri", r.RequestURI, "bytes", r.ContentLength,
+		"cause", string(e.Cause), "detail", e.Detail, "body_bytes", h.bodyBudget.Held())
 }
 
-// Refuse writes the final answer of a request that gets no target's.
+// Refuse writes the answer to a request that is not passed on or got no answer from a
+// target.
 func (h *Handler) Refuse(w http.ResponseWriter, e *hookhall.Error) {
 	if e.RetryAfter > 0 {
 		h.dialect.Refusal(w.Header(), e.RetryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(Status(e))
-	_, _ = io.WriteString(w, string(e.Cause)+": "+e.Detail+"\n") // the client may have gone
+	_, _ = io.WriteString(w, string(e.Cause)+": "+e.Detail+"\n") // fails if the client has disconnected
 }
 
-// Status is the status of a refusal.
+// Status returns the HTTP status of a refusal. 503 is the default for a request that
+// has not run.
 func Status(e *hookhall.Error) int {
 	if e.Verdict == hookhall.MayHaveRun {
 		if e.Cause == hookhall.CauseDeadline {
@@ -145,72 +152,74 @@
 	case hookhall.CauseTooLarge:
 		return http.StatusRequestEntityTooLarge
 	case hookhall.CauseCrashes:
-		// Clients come back after a 503, and this content is not served then either.
+		// Clients retry after a 503, and this request content is refused then as well.
 		return http.StatusBadGateway
 	}
 	return http.StatusServiceUnavailable
 }
 
-// hopByHop are the fields that concern one connection only.
-var hopByHop = []string{
+// hopByHopFields are the header fields that apply to one connection only.
+var hopByHopFields = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of h without the fields of one connection: the usual
-// ones, and those that Connection names unless keep holds them back.
+// EndToEnd returns a copy of h without the fields that apply to one connection: the
+// standard ones, and those that Connection names unless keep returns true for them.
 func EndToEnd(h http.Header, keep func(name string) bool) http.Header {
-	c := h.Clone()
+	copied := h.Clone()
 	for _, list := range h.Values("Connection") {
 		for _, name := range strings.Split(list, ",") {
 			if name = strings.TrimSpace(name); !keep(name) {
-				c.Del(name)
+				copied.Del(name)
 			}
 		}
 	}
-	for _, name := range hopByHop {
-		c.Del(name)
+	for _, name := range hopByHopFields {
+		copied.Del(name)
 	}
-	return c
+	return copied
 }
 
-// answer is an AnswerWriter over HTTP.
-type answer struct {
+// answerWriter is a hookhall.AnswerWriter that writes to a client over HTTP.
+type answerWriter struct {
 	w       http.ResponseWriter
 	dialect hookhall.Dialect
 }
 
-// Begin implements hookhall.AnswerWriter.
-func (a *answer) Begin(status int, h http.Header) {
-	to := a.w.Header()
+// Begin implements hookhall.AnswerWriter. Hop-by-hop fields of h are dropped.
+func (a *answerWriter) Begin(status int, h http.Header) {
+	header := a.w.Header()
 	for k, v := range EndToEnd(h, a.dialect.EndToEnd) {
-		to[k] = v
+		header[k] = v
 	}
-	if len(to["Content-Type"]) == 0 {
-		to["Content-Type"] = nil // else net/http would guess one
+	if len(header["Content-Type"]) == 0 {
+		header["Content-Type"] = nil // keeps net/http from setting a detected type
 	}
 	a.w.WriteHeader(status)
 }
 
 const (
-	// writeTimeout bounds one write to a client that does not read.
+	// writeTimeout bounds one write to a client that does not read; after it the
+	// connection is closed.
 	writeTimeout = 10 * time.Second
-	// writeSize is how many bytes are written at a time: a client that reads a kilobyte a
-	// second reads as many within writeTimeout.
-	writeSize = 8 << 10
+	// maxWriteBytes is how many bytes are written at a time. A client that reads one
+	// kilobyte per second reads them within writeTimeout.
+	maxWriteBytes = 8 << 10
 )
 
-// Chunk implements hookhall.AnswerWriter.
-func (a *answer) Chunk(b []byte) error {
-	rc := http.NewResponseController(a.w)
+// Chunk implements hookhall.AnswerWriter. Each part of maxWriteBytes must be written
+// within writeTimeout.
+func (a *answerWriter) Chunk(b []byte) error {
+	controller := http.NewResponseController(a.w)
 	for len(b) > 0 {
-		// Deadlines of connections are those of Go's own timers.
-		_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout)) // not to be had in tests
-		n, err := a.w.Write(b[:min(len(b), writeSize)])
+		// Connection deadlines are compared with time.Now, not with package clock.
+		_ = controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // the recorders of tests have no deadlines
+		n, err := a.w.Write(b[:min(len(b), maxWriteBytes)])
 		if err != nil {
 			return errors.Wrap(err, "client")
 		}
 		b = b[n:]
 	}
-	return errors.Wrap(rc.Flush(), "client")
+	return errors.Wrap(controller.Flush(), "client")
 }
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -13,43 +13,44 @@
 	"github.com/hookhall/hookhall"
 )
 
-// unboundedService has no bound on bodies of its own.
+// unboundedService is a Service without its own bound on bodies.
 type unboundedService struct{ serviceFunc }
 
 func (unboundedService) MaxBody() int { return 0 }
 
-// TestBodyWithoutRoom: a body that the budget has no room for is refused as not run, its
-// service never sees it, and its room is free again afterwards.
+// TestBodyWithoutRoom guards against running out of memory for request bodies. A body
+// that exceeds the shared budget is refused as not run, never reaches the service, and
+// its memory is free again afterwards.
 func TestBodyWithoutRoom(t *testing.T) {
 	served := 0
-	h := newTestHandler(unboundedService{func(_ context.Context, _ *hookhall.Call, a hookhall.AnswerWriter) error {
+	handler := newTestHandler(unboundedService{func(_ context.Context, _ *hookhall.Call, a hookhall.AnswerWriter) error {
 		served++
 		a.Begin(http.StatusOK, nil)
 		return nil
 	}})
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		bytes  int
 		status int
 	}{
-		{"a large one", 3 << 20, http.StatusServiceUnavailable},
-		{"a small one after it", 100, http.StatusOK},
-		{"one that fits", 1 << 19, http.StatusOK},
-		{"the same again", 1 << 19, http.StatusOK},
+		{"body larger than the budget", 3 << 20, http.StatusServiceUnavailable},
+		{"small body after it", 100, http.StatusOK},
+		{"body of half the budget", 1 << 19, http.StatusOK},
+		{"body of the same size again", 1 << 19, http.StatusOK},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			before := served
 			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(make([]byte, c.bytes))))
-			if w.Code != c.status {
-				t.Errorf("status %d, not %d", w.Code, c.status)
+			handler.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/", bytes.NewReader(make([]byte, test.bytes))))
+			if w.Code != test.status {
+				t.Errorf("status %d, not %d", w.Code, test.status)
 			}
-			refused := c.status != http.StatusOK
+			refused := test.status != http.StatusOK
 			if (w.Header().Get("Retry-After") != "") != refused || (served == before) != refused {
 				t.Errorf("Retry-After %q, served %d times", w.Header().Get("Retry-After"), served-before)
 			}
-			if held := h.bodies.Held(); held != 0 {
-				t.Errorf("%d bytes are held by nobody", held)
+			if held := handler.bodyBudget.Held(); held != 0 {
+				t.Errorf("%d bytes still held", held)
 			}
 		})
 	}
--- a/internal/transport/instances/instances.go
+++ b/internal/transport/instances/instances.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	callTime = 2 * time.Second
-	maxList  = 8 << 20
+	callTimeout  = 2 * time.Second
+	maxListBytes = 8 << 20
 )
 
 // Path is where the list is.
@@ -32,18 +32,18 @@
 
 // Client is a hookhall.InstanceList.
 type Client struct {
-	url    string
-	client *http.Client
-	bytes  atomic.Int64
+	url       string
+	client    *http.Client
+	bytesRead atomic.Int64
 
-	mu   sync.Mutex
-	tag  string
-	last []hookhall.Instance
+	mu       sync.Mutex
+	etag     string
+	lastList []hookhall.Instance
 }
 
 // New makes a client of the list at address, an IP number and a port.
 func New(address string) *Client {
-	return &Client{url: "http://" + address + Path, client: &http.Client{Timeout: callTime}}
+	return &Client{url: "http://" + address + Path, client: &http.Client{Timeout: callTimeout}}
 }
 
 // List implements hookhall.InstanceList.
@@ -54,8 +54,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tag != "" {
-		req.Header.Set("If-None-Match", c.tag)
+	if c.etag != "" {
+		req.Header.Set("If-None-Match", c.etag)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
@@ -63,8 +63,8 @@
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && c.tag != "":
-		return c.last, nil
+	case resp.StatusCode == http.StatusNotModified && c.etag != "":
+		return c.lastList, nil
 	case resp.StatusCode != http.StatusOK:
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: status %d", resp.StatusCode)
 	}
@@ -73,18 +73,18 @@
 
 // read takes in a whole list; c.mu is held.
 func (c *Client) read(resp *http.Response) ([]hookhall.Instance, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: %v", err)
 	}
-	c.bytes.Add(int64(len(body)))
+	c.bytesRead.Add(int64(len(body)))
 	var list []hookhall.Instance
 	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: %v", err)
 	}
-	c.tag, c.last = resp.Header.Get("ETag"), list
+	c.etag, c.lastList = resp.Header.Get("ETag"), list
 	return list, nil
 }
 
 // Bytes is the sum of the lists read.
-func (c *Client) Bytes() int64 { return c.bytes.Load() }
+func (c *Client) Bytes() int64 { return c.bytesRead.Load() }
--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -41,29 +41,29 @@
 const MaxValue = 1 << 20
 
 const (
-	callTime = 2 * time.Second
-	// watchSlack is how much longer than asked a watch may take.
-	watchSlack = 3 * time.Second
-	// callsPerSecond and callBurst bound this process's calls. A burst covers
+	callTimeout = 2 * time.Second
+	// watchTimeoutMargin is how much longer than asked a watch may take.
+	watchTimeoutMargin = 3 * time.Second
+	// maxCallsPerSecond and maxCallBurst bound this process's calls. A burst covers
 	// reading all chunks of a table.
-	callsPerSecond = 20
-	callBurst      = 200
+	maxCallsPerSecond = 20
+	maxCallBurst      = 200
 )
 
 // Client is a hookhall.KeyValue.
 type Client struct {
-	base   string
-	client *http.Client
-	budget *rate.Limiter
-	calls  atomic.Int64
-	bytes  atomic.Int64
+	baseURL          string
+	client           *http.Client
+	limiter          *rate.Limiter
+	calls            atomic.Int64
+	bytesTransferred atomic.Int64
 }
 
 // New makes a client of the service at address, an IP number and a port.
 func New(address string) *Client {
 	return &Client{
-		base: "http://" + address + "/v1/kv/", client: &http.Client{},
-		budget: rate.NewLimiter(callsPerSecond, callBurst),
+		baseURL: "http://" + address + "/v1/kv/", client: &http.Client{},
+		limiter: rate.NewLimiter(maxCallsPerSecond, maxCallBurst),
 	}
 }
 
@@ -71,7 +71,7 @@
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
 // Bytes is the sum of the values read and written.
-func (c *Client) Bytes() int64 { return c.bytes.Load() }
+func (c *Client) Bytes() int64 { return c.bytesTransferred.Load() }
 
 // pair is the service's form of an entry.
 type pair struct {
@@ -81,7 +81,7 @@
 
 // Get implements hookhall.KeyValue.
 func (c *Client) Get(ctx context.Context, key string) (hookhall.Entry, error) {
-	return c.read(ctx, key, nil, callTime)
+	return c.readPair(ctx, key, nil, callTimeout)
 }
 
 // Watch implements hookhall.KeyValue.
@@ -93,11 +93,11 @@
 		}
 	}
 	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {fmt.Sprintf("%dms", wait.Milliseconds())}}
-	return c.read(ctx, key, q, wait+watchSlack)
+	return c.readPair(ctx, key, q, wait+watchTimeoutMargin)
 }
 
-func (c *Client) read(ctx context.Context, key string, q url.Values, limit time.Duration) (hookhall.Entry, error) {
-	status, body, err := c.do(ctx, http.MethodGet, key, q, nil, limit)
+func (c *Client) readPair(ctx context.Context, key string, q url.Values, limit time.Duration) (hookhall.Entry, error) {
+	status, body, err := c.call(ctx, http.MethodGet, key, q, nil, limit)
 	if err != nil || status == http.StatusNotFound {
 		return hookhall.Entry{}, err
 	}
@@ -114,23 +114,23 @@
 		return false, errors.Errorf("key %s: %d bytes are more than the service holds (%d)", key, len(value), MaxValue)
 	}
 	q := url.Values{"cas": {strconv.FormatUint(index, 10)}}
-	_, body, err := c.do(ctx, http.MethodPut, key, q, value, callTime)
+	_, body, err := c.call(ctx, http.MethodPut, key, q, value, callTimeout)
 	return err == nil && strings.TrimSpace(string(body)) == "true", err
 }
 
 // Delete implements hookhall.KeyValue.
 func (c *Client) Delete(ctx context.Context, key string) error {
-	_, _, err := c.do(ctx, http.MethodDelete, key, nil, nil, callTime)
+	_, _, err := c.call(ctx, http.MethodDelete, key, nil, nil, callTimeout)
 	return err
 }
 
-func (c *Client) do(ctx context.Context, method, key string, q url.Values, value []byte, limit time.Duration) (int, []byte, error) {
-	if err := c.budget.Wait(ctx); err != nil {
+func (c *Client) call(ctx context.Context, method, key string, q url.Values, value []byte, limit time.Duration) (int, []byte, error) {
+	if err := c.limiter.Wait(ctx); err != nil {
 		return 0, nil, errors.Wrap(hookhall.ErrUnavailable, "call budget")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	address := c.base + key
+	address := c.baseURL + key
 	if len(q) > 0 {
 		address += "?" + q.Encode()
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: %v", method, key, err)
 	}
-	c.bytes.Add(int64(len(body) + len(value)))
+	c.bytesTransferred.Add(int64(len(body) + len(value)))
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusNotFound {
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: status %d", method, key, resp.StatusCode)
 	}
--- a/internal/transport/operators/operators.go
+++ b/internal/transport/operators/operators.go
@@ -41,9 +41,9 @@
 	PathMetrics = "/metrics"
 )
 
-// maxEdits bounds the body of one edit request: an import of 8,200 accounts
+// maxEditBytes bounds the body of one edit request: an import of 8,200 accounts
 // with all cells is some 6 MB.
-const maxEdits = 32 << 20
+const maxEditBytes = 32 << 20
 
 // EditRequest is the body of POST /v1/table/edits.
 type EditRequest struct {
@@ -92,8 +92,8 @@
 
 // Tables serves the table.
 type Tables struct {
-	editor *tables.Editor
-	accept time.Duration
+	editor  *tables.Editor
+	timeout time.Duration
 }
 
 // NewTables makes a Tables; an edit is tried for accept.
@@ -101,11 +101,11 @@
 
 // Get serves GET /v1/table?sheet=SHEET.
 func (t *Tables) Get(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), t.accept)
+	ctx, cancel := context.WithTimeout(r.Context(), t.timeout)
 	defer cancel()
 	doc, _, err := t.editor.Read(ctx)
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	a := TableAnswer{Version: doc.Root.Version, Rows: []hookhall.Row{}, Edits: doc.Root.Edits}
@@ -121,7 +121,7 @@
 // Edit serves POST /v1/table/edits.
 func (t *Tables) Edit(w http.ResponseWriter, r *http.Request) {
 	var q EditRequest
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEdits))
+	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEditBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&q); err != nil {
 		wire.WriteJSON(w, http.StatusBadRequest, EditFailure{Detail: "not an edit request: " + err.Error(), Verdict: hookhall.NotRun.String()})
@@ -133,18 +133,18 @@
 	}
 	// An edit goes on when its operator goes away: its outcome should not
 	// depend on a connection.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), t.accept)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), t.timeout)
 	defer cancel()
 	out, err := t.editor.Apply(ctx, q.ID, q.Edits)
 	if err != nil {
-		fail(w, err)
+		writeFailure(w, err)
 		return
 	}
 	wire.WriteJSON(w, http.StatusOK, out)
 }
 
 // fail answers with what is known of an edit that was not accepted.
-func fail(w http.ResponseWriter, err error) {
+func writeFailure(w http.ResponseWriter, err error) {
 	f := EditFailure{Detail: err.Error(), Verdict: hookhall.NotRun.String()}
 	status := http.StatusServiceUnavailable
 	switch {
--- a/internal/transport/upstream/conn_test.go
+++ b/internal/transport/upstream/conn_test.go
@@ -33,35 +33,35 @@
 	close bool                   // it closes behind that
 	// whole tells that the caller should get the whole body, and kept that the
 	// connection may serve another request then.
-	whole, kept bool
-	keep        time.Duration // as named by the target, 0 for none
+	complete, kept bool
+	idleTimeout    time.Duration // as named by the target, 0 for none
 }
 
-func plain(id, more string) string {
+func fixedLengthAnswer(id, more string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n%sContent-Length: %d\r\n\r\nfor %s", id, more, len("for "+id), id)
 }
 
 var replies = []reply{
-	{name: "whole", whole: true, kept: true, raw: func(id string) string { return plain(id, "") }},
-	{name: "chunked", whole: true, kept: true, raw: func(id string) string {
+	{name: "whole", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer(id, "") }},
+	{name: "chunked", complete: true, kept: true, raw: func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\nfor %s\r\n0\r\n\r\n", id, len("for "+id), id)
 	}},
-	{name: "keeps three seconds", whole: true, kept: true, keep: 3 * time.Second, raw: func(id string) string { return plain(id, "Keep-Alive: timeout=3\r\n") }},
-	{name: "asks to close", whole: true, raw: func(id string) string { return plain(id, "Connection: close\r\n") }},
-	{name: "ends with its connection", whole: true, close: true, raw: func(id string) string {
+	{name: "keeps three seconds", complete: true, kept: true, idleTimeout: 3 * time.Second, raw: func(id string) string { return fixedLengthAnswer(id, "Keep-Alive: timeout=3\r\n") }},
+	{name: "asks to close", complete: true, raw: func(id string) string { return fixedLengthAnswer(id, "Connection: close\r\n") }},
+	{name: "ends with its connection", complete: true, close: true, raw: func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n\r\nfor %s", id, id)
 	}},
-	{name: "surplus bytes", whole: true, raw: func(id string) string { return plain(id, "") + plain("other", "") }},
-	{name: "another's answer first", whole: true, kept: true, raw: func(id string) string { return plain("late", "") + plain(id, "") }},
-	{name: "only another's answer", close: true, raw: func(string) string { return plain("late", "") }},
-	{name: "cut in the body", close: true, raw: func(id string) string { return strings.TrimSuffix(plain(id, ""), id) }},
-	{name: "cut in the head", close: true, raw: func(id string) string { return plain(id, "")[:20] }},
+	{name: "surplus bytes", complete: true, raw: func(id string) string { return fixedLengthAnswer(id, "") + fixedLengthAnswer("other", "") }},
+	{name: "another's answer first", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer("late", "") + fixedLengthAnswer(id, "") }},
+	{name: "only another's answer", close: true, raw: func(string) string { return fixedLengthAnswer("late", "") }},
+	{name: "cut in the body", close: true, raw: func(id string) string { return strings.TrimSuffix(fixedLengthAnswer(id, ""), id) }},
+	{name: "cut in the head", close: true, raw: func(id string) string { return fixedLengthAnswer(id, "")[:20] }},
 	{name: "no answer", close: true, raw: func(string) string { return "" }},
 	{name: "bytes that are no answer", close: true, raw: func(string) string { return "\x00\x01garbage\r\n\r\n" }},
 }
 
 // pair is a connection whose target answers each request by the next reply.
-func pair(answers <-chan reply) *conn {
+func newTestConn(answers <-chan reply) *conn {
 	ours, theirs := net.Pipe()
 	go func() {
 		defer func() { _ = theirs.Close() }()
@@ -85,7 +85,7 @@
 	return newConn(ours, address)
 }
 
-func request(id string) Request {
+func newTestRequest(id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{callField: {id}},
 		Belongs: func(_ int, h http.Header) bool { return h.Get(callField) == id },
@@ -100,11 +100,11 @@
 				answers := make(chan reply, 1)
 				answers <- a
 				p := NewPool()
-				whole := read(t, p, pair(answers), "1")
-				if whole != a.whole {
-					t.Errorf("whole %v, not %v", whole, a.whole)
+				whole := exchangeAndRead(t, p, newTestConn(answers), "1")
+				if whole != a.complete {
+					t.Errorf("whole %v, not %v", whole, a.complete)
 				}
-				kept := p.take(address, time.Now())
+				kept := p.takeIdle(address, time.Now())
 				if (kept != nil) != a.kept {
 					t.Errorf("kept %v, not %v", kept != nil, a.kept)
 				}
@@ -117,12 +117,12 @@
 }
 
 // read makes one exchange, and tells whether the whole answer came.
-func read(t interface {
+func exchangeAndRead(t interface {
 	Helper()
 	Errorf(string, ...any)
 }, p *Pool, c *conn, id string) bool {
 	t.Helper()
-	resp, err := p.exchange(context.Background(), c, request(id))
+	resp, err := p.exchange(context.Background(), c, newTestRequest(id))
 	if err != nil {
 		if v := hookhall.AsError(err).Verdict; v == hookhall.NotRun {
 			t.Errorf("a request that was written is said not to have run")
@@ -154,23 +154,23 @@
 			var keep time.Duration // of the connection that should be kept, 0 for none
 			for i, s := range steps {
 				a := replies[s]
-				c := p.take(address, time.Now())
+				c := p.takeIdle(address, time.Now())
 				if may := keep > 0 && time.Since(idle) < keep; (c != nil) != may {
 					rt.Fatalf("step %d: a connection is used again: %v, not %v (idle %v of %v)", i, c != nil, may, time.Since(idle), keep)
 				}
 				if c == nil {
-					c = pair(answers)
+					c = newTestConn(answers)
 				}
 				answers <- a
-				if got := read(rt, p, c, fmt.Sprint(i)); got != a.whole {
-					rt.Fatalf("step %d, %s: whole %v, not %v", i, a.name, got, a.whole)
+				if got := exchangeAndRead(rt, p, c, fmt.Sprint(i)); got != a.complete {
+					rt.Fatalf("step %d, %s: whole %v, not %v", i, a.name, got, a.complete)
 				}
 				keep, idle = 0, time.Now()
 				if a.kept {
-					keep = keepDefault
+					keep = defaultIdleTimeout
 				}
-				if a.kept && a.keep > 0 {
-					keep = a.keep - keepMargin
+				if a.kept && a.idleTimeout > 0 {
+					keep = a.idleTimeout - idleTimeoutMargin
 				}
 				time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 				if rapid.Bool().Draw(rt, "swept") {
@@ -188,7 +188,7 @@
 	t.Run("closed before a byte was written", func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		_ = theirs.Close()
-		_, err := NewPool().exchange(t.Context(), newConn(ours, address), request("1"))
+		_, err := NewPool().exchange(t.Context(), newConn(ours, address), newTestRequest("1"))
 		if v := hookhall.AsError(err).Verdict; v != hookhall.NotRun {
 			t.Errorf("verdict %v", v)
 		}
@@ -200,7 +200,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
 			began := time.Now()
-			_, err := NewPool().exchange(ctx, pair(answers), request("1"))
+			_, err := NewPool().exchange(ctx, newTestConn(answers), newTestRequest("1"))
 			e := hookhall.AsError(err)
 			if e == nil || e.Verdict != hookhall.MayHaveRun || e.Cause != hookhall.CauseCanceled {
 				t.Errorf("%v", err)
@@ -215,21 +215,21 @@
 			answers := make(chan reply, 1)
 			answers <- replies[0]
 			p := NewPool()
-			resp, err := p.exchange(t.Context(), pair(answers), request("1"))
+			resp, err := p.exchange(t.Context(), newTestConn(answers), newTestRequest("1"))
 			if err != nil {
 				t.Fatal(err)
 			}
 			_ = resp.Body.Close()
-			if p.take(address, time.Now()) != nil {
+			if p.takeIdle(address, time.Now()) != nil {
 				t.Error("its connection is used again")
 			}
 		})
 	})
 }
 
-// TestDialTime: a target that takes no connection costs a request a quarter of a
+// TestDialTimeout: a target that takes no connection costs a request a quarter of a
 // second, and the proof that it has not run.
-func TestDialTime(t *testing.T) {
+func TestDialTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -257,7 +257,7 @@
 	if e := hookhall.AsError(err); err == nil || e.Verdict != hookhall.NotRun {
 		t.Fatalf("%v", err)
 	}
-	if took := time.Since(began); took < dialTime || took > dialTime+300*time.Millisecond {
+	if took := time.Since(began); took < dialTimeout || took > dialTimeout+300*time.Millisecond {
 		t.Errorf("it took %v", took)
 	}
 }
--- a/internal/transport/upstream/resets_test.go
+++ b/internal/transport/upstream/resets_test.go
@@ -18,24 +18,24 @@
 	"github.com/hookhall/hookhall/internal/state/quota"
 )
 
-// scarceTarget takes so many connections and resets others as soon as they are open.
-type scarceTarget struct {
-	address string
-	most    atomic.Int64
-	open    atomic.Int64
-	resets  atomic.Int64
-	served  atomic.Int64
+// limitedTarget takes so many connections and resets others as soon as they are open.
+type limitedTarget struct {
+	address   string
+	maxConns  atomic.Int64
+	openConns atomic.Int64
+	resets    atomic.Int64
+	served    atomic.Int64
 }
 
-func newScarceTarget(t *testing.T, most int) *scarceTarget {
+func newLimitedTarget(t *testing.T, most int) *limitedTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	s := &scarceTarget{address: l.Addr().String()}
-	s.most.Store(int64(most))
+	s := &limitedTarget{address: l.Addr().String()}
+	s.maxConns.Store(int64(most))
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -48,16 +48,16 @@
 	return s
 }
 
-func (s *scarceTarget) accept(c *net.TCPConn) {
-	if s.open.Add(1) > s.most.Load() {
-		s.open.Add(-1)
+func (s *limitedTarget) accept(c *net.TCPConn) {
+	if s.openConns.Add(1) > s.maxConns.Load() {
+		s.openConns.Add(-1)
 		s.resets.Add(1)
 		_ = c.SetLinger(0)
 		_ = c.Close()
 		return
 	}
 	go func() {
-		defer func() { _ = c.Close(); s.open.Add(-1) }()
+		defer func() { _ = c.Close(); s.openConns.Add(-1) }()
 		in := bufio.NewReader(c)
 		for {
 			r, err := http.ReadRequest(in)
@@ -67,7 +67,7 @@
 			_, _ = io.Copy(io.Discard, r.Body)
 			time.Sleep(2 * time.Millisecond)
 			s.served.Add(1)
-			if _, err := io.WriteString(c, plain(r.Header.Get(callField), "")); err != nil {
+			if _, err := io.WriteString(c, fixedLengthAnswer(r.Header.Get(callField), "")); err != nil {
 				return
 			}
 		}
@@ -77,7 +77,7 @@
 // send makes one request and reads its answer.
 func send(t *testing.T, p *Pool, address, id string, fresh bool) error {
 	t.Helper()
-	r := request(id)
+	r := newTestRequest(id)
 	r.Address, r.Fresh = address, fresh
 	resp, err := p.Do(t.Context(), r)
 	if err != nil {
@@ -93,9 +93,9 @@
 // connections alone would fill all places without parts.
 func TestConnectionsOfAFleet(t *testing.T) {
 	const gateways, most, bursts, atOnce = 60, 100, 4, 3
-	var targets []*scarceTarget
+	var targets []*limitedTarget
 	for range 3 {
-		targets = append(targets, newScarceTarget(t, most))
+		targets = append(targets, newLimitedTarget(t, most))
 	}
 	running := make(chan struct{}, 40) // requests in progress, of all gateways
 	var wg sync.WaitGroup
@@ -128,16 +128,16 @@
 	}
 }
 
-// TestTurnedAway: once a target has reset a new connection, a request for which it has
+// TestResetBeforeRequest: once a target has reset a new connection, a request for which it has
 // no place is known not to have run.
-func TestTurnedAway(t *testing.T) {
-	s := newScarceTarget(t, 0)
+func TestResetBeforeRequest(t *testing.T) {
+	s := newLimitedTarget(t, 0)
 	p := NewPool()
 	if err := send(t, p, s.address, "first", true); err == nil {
 		t.Fatal("a target without places served a request")
 	}
-	if !p.scarceAt(s.address, time.Now()) {
-		p.noteScarce(s.address, time.Now()) // the first reset came before the request
+	if !p.recentlyReset(s.address, time.Now()) {
+		p.recordReset(s.address, time.Now()) // the first reset came before the request
 	}
 	for n := range 20 {
 		err := send(t, p, s.address, fmt.Sprint(n), true)
@@ -146,20 +146,20 @@
 		}
 	}
 	t.Run("a place that has come free is used", func(t *testing.T) {
-		s.most.Store(1)
+		s.maxConns.Store(1)
 		if err := send(t, p, s.address, "last", true); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestResting: connections rest only while somebody asks for kept ones, and within the
+// TestIdleLimit: connections rest only while somebody asks for kept ones, and within the
 // process's part.
-func TestResting(t *testing.T) {
+func TestIdleLimit(t *testing.T) {
 	resting := func(p *Pool, address string) int {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		return len(p.idle[address])
+		return len(p.idleByAddress[address])
 	}
 	for _, c := range []struct {
 		name  string
@@ -174,7 +174,7 @@
 		{"no part", 0, []bool{false, true, false}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newScarceTarget(t, 100)
+			s := newLimitedTarget(t, 100)
 			p := NewPool()
 			p.Resting = func(string) int { return c.part }
 			defer p.Sweep(time.Now().Add(time.Hour))
