--- a/internal/transport/instances/instances.go
+++ b/internal/transport/instances/instances.go
@@ -3,10 +3,11 @@
 
 // Package instances reads the platform's instance list over HTTP.
 //
-// GET /v1/instances gives a JSON array of hookhall.Instance. The list lags and
-// may fail; callers keep the last one they read. If the service marks its answers
-// with an ETag, an unchanged list is not sent again: a thousand instances are some
-// 180 KB, which every entry would else read every two seconds.
+// GET /v1/instances returns a JSON array of hookhall.Instance. The list lags behind
+// the platform and a read may fail; callers keep the last list they read. If the
+// service sends an ETag, an unchanged list is not transferred again: for a thousand
+// instances it has about 180 KB, which every entry would otherwise read every two
+// seconds.
 package instances
 
 import (
@@ -23,30 +24,35 @@
 )
 
 const (
-	callTimeout  = 2 * time.Second
+	// callTimeout bounds one read of the list, body included.
+	callTimeout = 2 * time.Second
+	// maxListBytes bounds the body of a list: more than forty times that of a thousand
+	// instances. A longer one is cut and fails as invalid JSON.
 	maxListBytes = 8 << 20
 )
 
-// Path is where the list is.
+// Path is the path of the list at the service.
 const Path = "/v1/instances"
 
-// Client is a hookhall.InstanceList.
+// Client is a hookhall.InstanceList. Its methods may be called concurrently.
 type Client struct {
 	url       string
 	client    *http.Client
 	bytesRead atomic.Int64
 
+	// mu is held for a whole read, so that reads don't overlap.
 	mu       sync.Mutex
 	etag     string
 	lastList []hookhall.Instance
 }
 
-// New makes a client of the list at address, an IP number and a port.
+// New returns a Client of the service at address, an IP address and port.
 func New(address string) *Client {
 	return &Client{url: "http://" + address + Path, client: &http.Client{Timeout: callTimeout}}
 }
 
-// List implements hookhall.InstanceList.
+// List implements hookhall.InstanceList. The returned slice is shared and must not be
+// changed. Errors wrap hookhall.ErrUnavailable.
 func (c *Client) List(ctx context.Context) ([]hookhall.Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -71,7 +77,7 @@
 	return c.read(resp)
 }
 
-// read takes in a whole list; c.mu is held.
+// read reads a list and keeps it with its ETag. c.mu must be held.
 func (c *Client) read(resp *http.Response) ([]hookhall.Instance, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
@@ -86,5 +92,5 @@
 	return list, nil
 }
 
-// Bytes is the sum of the lists read.
+// Bytes returns the total size of all lists read, in bytes.
 func (c *Client) Bytes() int64 { return c.bytesRead.Load() }
