--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -1,16 +1,15 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package keyvalue speaks to the platform's key-value service.
+// Package keyvalue is a client of the platform's key-value service.
 //
 // # Model
 //
-// The service is met through the published HTTP interface that such services
-// share: GET and PUT of /v1/kv/KEY, a modification index per key, ?cas=INDEX
-// for a compare-and-swap and ?index=N&wait=T for a read that waits. Each HTTP
-// call counts at the service, a waiting one too; Calls tells how many this
-// process has made, and a budget keeps it from flooding the service when
-// everything fails at once.
+// The service has the HTTP interface that is common to such services: GET and PUT
+// of /v1/kv/KEY, a modification index per key, ?cas=INDEX for a compare-and-swap
+// and ?index=N&wait=T for a blocking read. Every HTTP call, a blocking read too,
+// counts against the quota of the service. A Client counts its calls, and a rate
+// limit keeps a process from flooding the service when everything fails at once.
 //
 // # Invariants
 //
@@ -37,20 +36,22 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxValue is the service's bound on a value.
+// MaxValue is the maximum size of a value at the service, in bytes.
 const MaxValue = 1 << 20
 
 const (
+	// callTimeout bounds one call other than a watch.
 	callTimeout = 2 * time.Second
-	// watchTimeoutMargin is how much longer than asked a watch may take.
+	// watchTimeoutMargin is how much longer than its wait time a watch may take.
 	watchTimeoutMargin = 3 * time.Second
-	// maxCallsPerSecond and maxCallBurst bound this process's calls. A burst covers
-	// reading all chunks of a table.
+	// maxCallsPerSecond and maxCallBurst bound the rate of this process's calls. A
+	// burst covers reading all chunks of a table.
 	maxCallsPerSecond = 20
 	maxCallBurst      = 200
 )
 
-// Client is a hookhall.KeyValue.
+// Client is a hookhall.KeyValue. Its methods may be called concurrently. A call waits
+// while the rate limit is reached.
 type Client struct {
 	baseURL          string
 	client           *http.Client
@@ -59,7 +60,7 @@
 	bytesTransferred atomic.Int64
 }
 
-// New makes a client of the service at address, an IP number and a port.
+// New returns a Client of the service at address, an IP address and port.
 func New(address string) *Client {
 	return &Client{
 		baseURL: "http://" + address + "/v1/kv/", client: &http.Client{},
@@ -67,13 +68,13 @@
 	}
 }
 
-// Calls is how many calls this process has made, Bytes what it has read.
+// Calls returns the number of HTTP calls made so far, failed ones included.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Bytes is the sum of the values read and written.
+// Bytes returns the total size of the answers read and the values written, in bytes.
 func (c *Client) Bytes() int64 { return c.bytesTransferred.Load() }
 
-// pair is the service's form of an entry.
+// pair is an entry as the service encodes it.
 type pair struct {
 	Value       []byte // base64 in JSON
 	ModifyIndex uint64
@@ -84,37 +85,40 @@
 	return c.readPair(ctx, key, nil, callTimeout)
 }
 
-// Watch implements hookhall.KeyValue.
+// Watch implements hookhall.KeyValue. With index 0, a key that exists is returned at
+// once.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.Entry, error) {
 	if index == 0 {
-		e, err := c.Get(ctx, key)
-		if err != nil || e.Index > 0 {
-			return e, err
+		entry, err := c.Get(ctx, key)
+		if err != nil || entry.Index > 0 {
+			return entry, err
 		}
 	}
-	q := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {fmt.Sprintf("%dms", wait.Milliseconds())}}
-	return c.readPair(ctx, key, q, wait+watchTimeoutMargin)
+	query := url.Values{"index": {strconv.FormatUint(index, 10)}, "wait": {fmt.Sprintf("%dms", wait.Milliseconds())}}
+	return c.readPair(ctx, key, query, wait+watchTimeoutMargin)
 }
 
-func (c *Client) readPair(ctx context.Context, key string, q url.Values, limit time.Duration) (hookhall.Entry, error) {
-	status, body, err := c.call(ctx, http.MethodGet, key, q, nil, limit)
+// readPair reads a key. A missing key is a zero Entry.
+func (c *Client) readPair(ctx context.Context, key string, query url.Values, timeout time.Duration) (hookhall.Entry, error) {
+	status, body, err := c.call(ctx, http.MethodGet, key, query, nil, timeout)
 	if err != nil || status == http.StatusNotFound {
 		return hookhall.Entry{}, err
 	}
 	var pairs []pair
 	if err := json.Unmarshal(body, &pairs); err != nil || len(pairs) != 1 {
-		return hookhall.Entry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: not a pair", key)
+		return hookhall.Entry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: the answer is not a list of one pair", key)
 	}
 	return hookhall.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
 }
 
-// CompareAndSwap implements hookhall.KeyValue.
+// CompareAndSwap implements hookhall.KeyValue. A value of more than MaxValue bytes is an
+// error without a call.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	if len(value) > MaxValue {
-		return false, errors.Errorf("key %s: %d bytes are more than the service holds (%d)", key, len(value), MaxValue)
+		return false, errors.Errorf("key %s: value has %d bytes, the limit of the service is %d", key, len(value), MaxValue)
 	}
-	q := url.Values{"cas": {strconv.FormatUint(index, 10)}}
-	_, body, err := c.call(ctx, http.MethodPut, key, q, value, callTimeout)
+	query := url.Values{"cas": {strconv.FormatUint(index, 10)}}
+	_, body, err := c.call(ctx, http.MethodPut, key, query, value, callTimeout)
 	return err == nil && strings.TrimSpace(string(body)) == "true", err
 }
 
@@ -124,15 +128,17 @@
 	return err
 }
 
-func (c *Client) call(ctx context.Context, method, key string, q url.Values, value []byte, limit time.Duration) (int, []byte, error) {
+// call makes one HTTP call, which may take timeout after the rate limit admits it. It
+// returns the status, which is 200 or 404, and the body.
+func (c *Client) call(ctx context.Context, method, key string, query url.Values, value []byte, timeout time.Duration) (int, []byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return 0, nil, errors.Wrap(hookhall.ErrUnavailable, "call budget")
+		return 0, nil, errors.Wrap(hookhall.ErrUnavailable, "waiting for the call rate limit")
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	address := c.baseURL + key
-	if len(q) > 0 {
-		address += "?" + q.Encode()
+	if len(query) > 0 {
+		address += "?" + query.Encode()
 	}
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(value))
 	if err != nil {
