--- a/internal/transport/operators/operators.go
+++ b/internal/transport/operators/operators.go
@@ -1,19 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package operators is the HTTP interface for operators: of the admin, on the
-// table, and of each entry, on its state.
+// Package operators is the HTTP interface for operators: the admin serves the
+// table, each entry its state.
 //
 // # Model
 //
-// Every request shows the operators' token. An edit request carries an id
-// chosen by its sender; sent again with the same id it is applied once.
+// Every request must present the operators' token. An edit request carries an ID
+// chosen by its sender; an edit that is sent again with the same ID is applied
+// only once.
 //
 // # Invariants
 //
-//   - Nothing here is reachable with a client account's key.
-//   - An edit is answered with 200 only when it is accepted (package tables);
-//     409 lists conflicts, 422 wrong cells, 503 an edit whose outcome is open.
+//   - The key of a client account gives no access.
+//   - An edit is answered with 200 only if it is accepted (package tables); 409
+//     lists conflicts, 422 invalid cells, 503 stands for an edit whose outcome is
+//     unknown.
 package operators
 
 import (
@@ -31,7 +33,7 @@
 	"github.com/pkg/errors"
 )
 
-// Paths of the operators' interface.
+// Paths of the operators' HTTP interface.
 const (
 	PathTable   = "/v1/table"
 	PathEdits   = "/v1/table/edits"
@@ -42,19 +44,20 @@
 )
 
 // maxEditBytes bounds the body of one edit request: an import of 8,200 accounts
-// with all cells is some 6 MB.
+// with all cells has about 6 MB.
 const maxEditBytes = 32 << 20
 
 // EditRequest is the body of POST /v1/table/edits.
 type EditRequest struct {
+	// ID is chosen by the sender and identifies retries of the same request.
 	ID    string          `json:"id"`
 	Edits []hookhall.Edit `json:"edits"`
 }
 
-// EditFailure is the body of a refused edit request.
+// EditFailure is the body of the answer to a request that failed.
 type EditFailure struct {
 	Detail string `json:"detail"`
-	// Verdict is not-run when nothing was changed.
+	// Verdict is not-run if nothing was changed, else may-have-run.
 	Verdict   string          `json:"verdict"`
 	Conflicts table.Conflicts `json:"conflicts,omitempty"`
 	Cells     table.Errors    `json:"cells,omitempty"`
@@ -67,7 +70,8 @@
 	Edits   []table.EditMark `json:"edits"`
 }
 
-// Guard lets requests with the operators' token through.
+// Guard returns a handler that passes requests with the operators' token to next and
+// refuses others.
 func Guard(token string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -80,80 +84,82 @@
 	}
 }
 
-// JSON serves what f returns.
+// JSON returns a handler that serves the value f returns as indented JSON.
 func JSON(f func(r *http.Request) any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		e := json.NewEncoder(w)
-		e.SetIndent("", "  ")
-		_ = e.Encode(f(r)) // an operator who went away needs no answer
+		encoder := json.NewEncoder(w)
+		encoder.SetIndent("", "  ")
+		_ = encoder.Encode(f(r)) // fails if the client has disconnected
 	}
 }
 
-// Tables serves the table.
+// Tables serves the requests that read and edit the table.
 type Tables struct {
 	editor  *tables.Editor
 	timeout time.Duration
 }
 
-// NewTables makes a Tables; an edit is tried for accept.
-func NewTables(e *tables.Editor, accept time.Duration) *Tables { return &Tables{e, accept} }
+// NewTables returns a Tables that reads and edits the table by editor. timeout bounds
+// each read and each edit.
+func NewTables(editor *tables.Editor, timeout time.Duration) *Tables { return &Tables{editor, timeout} }
 
-// Get serves GET /v1/table?sheet=SHEET.
+// Get serves GET /v1/table?sheet=SHEET; without a sheet, it returns the rows of all.
 func (t *Tables) Get(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), t.timeout)
 	defer cancel()
-	doc, _, err := t.editor.Read(ctx)
+	document, _, err := t.editor.Read(ctx)
 	if err != nil {
 		writeFailure(w, err)
 		return
 	}
-	a := TableAnswer{Version: doc.Root.Version, Rows: []hookhall.Row{}, Edits: doc.Root.Edits}
+	answer := TableAnswer{Version: document.Root.Version, Rows: []hookhall.Row{}, Edits: document.Root.Edits}
 	sheet := hookhall.Sheet(r.URL.Query().Get("sheet"))
-	for _, row := range doc.Rows() {
+	for _, row := range document.Rows() {
 		if sheet == "" || row.Sheet == sheet {
-			a.Rows = append(a.Rows, row)
+			answer.Rows = append(answer.Rows, row)
 		}
 	}
-	wire.WriteJSON(w, http.StatusOK, a)
+	wire.WriteJSON(w, http.StatusOK, answer)
 }
 
-// Edit serves POST /v1/table/edits.
+// Edit serves POST /v1/table/edits. An edit continues if its client disconnects.
 func (t *Tables) Edit(w http.ResponseWriter, r *http.Request) {
-	var q EditRequest
-	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEditBytes))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&q); err != nil {
+	var request EditRequest
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEditBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
 		wire.WriteJSON(w, http.StatusBadRequest, EditFailure{Detail: "not an edit request: " + err.Error(), Verdict: hookhall.NotRun.String()})
 		return
 	}
-	if q.ID == "" || len(q.Edits) == 0 {
+	if request.ID == "" || len(request.Edits) == 0 {
 		wire.WriteJSON(w, http.StatusBadRequest, EditFailure{Detail: "id and edits are needed", Verdict: hookhall.NotRun.String()})
 		return
 	}
-	// An edit goes on when its operator goes away: its outcome should not
-	// depend on a connection.
+	// An edit continues after its client has disconnected, so that its outcome does
+	// not depend on a connection.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), t.timeout)
 	defer cancel()
-	out, err := t.editor.Apply(ctx, q.ID, q.Edits)
+	result, err := t.editor.Apply(ctx, request.ID, request.Edits)
 	if err != nil {
 		writeFailure(w, err)
 		return
 	}
-	wire.WriteJSON(w, http.StatusOK, out)
+	wire.WriteJSON(w, http.StatusOK, result)
 }
 
-// fail answers with what is known of an edit that was not accepted.
+// writeFailure answers a read or an edit that failed. The error determines the status
+// and the verdict.
 func writeFailure(w http.ResponseWriter, err error) {
-	f := EditFailure{Detail: err.Error(), Verdict: hookhall.NotRun.String()}
+	failure := EditFailure{Detail: err.Error(), Verdict: hookhall.NotRun.String()}
 	status := http.StatusServiceUnavailable
 	switch {
-	case errors.As(err, &f.Conflicts):
+	case errors.As(err, &failure.Conflicts):
 		status = http.StatusConflict
-	case errors.As(err, &f.Cells):
+	case errors.As(err, &failure.Cells):
 		status = http.StatusUnprocessableEntity
 	case errors.Is(err, tables.ErrUnsettled):
-		f.Verdict = hookhall.MayHaveRun.String()
+		failure.Verdict = hookhall.MayHaveRun.String()
 	}
-	wire.WriteJSON(w, status, f)
+	wire.WriteJSON(w, status, failure)
 }
