--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -19,42 +19,46 @@
 )
 
 const (
-	readBufferSize  = 4 << 10
+	readBufferSize = 4 << 10 // bytes
+	// writeBufferSize is in bytes. A body that fits is written before the answer is
+	// read, a larger one while it is read.
 	writeBufferSize = 4 << 10
-	// defaultIdleTimeout is how long an idle connection is trusted when the target
-	// names no time.
+	// defaultIdleTimeout is how long an idle connection may be reused if the target
+	// announces no timeout.
 	defaultIdleTimeout = 4 * time.Second
-	// idleTimeoutMargin is taken off the time that a target names.
+	// idleTimeoutMargin is subtracted from the timeout that a target announces, so that
+	// no request is sent while the target closes the connection.
 	idleTimeoutMargin = time.Second
 )
 
-// conn is one connection to a target.
+// conn is one connection to a target. One request uses it at a time.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// written counts bytes that were handed to the kernel for this request.
+	// bytesWritten counts the bytes of the current request passed to the kernel.
 	bytesWritten atomic.Int64
-	idleSince    time.Time // since when it rests, zero before its first request has ended
-	idleTimeout  time.Duration
-	dialDuration time.Duration // how long opening it took
+	idleSince    time.Time     // start of the current idle time; zero before the end of the first request
+	idleTimeout  time.Duration // how long it may be reused while idle
+	dialDuration time.Duration // time taken to connect
 }
 
+// newConn returns a conn over c.
 func newConn(c net.Conn, address string) *conn {
-	own := &conn{Conn: c, address: address, idleTimeout: defaultIdleTimeout}
-	own.reader = bufio.NewReaderSize(c, readBufferSize)
-	return own
+	wrapped := &conn{Conn: c, address: address, idleTimeout: defaultIdleTimeout}
+	wrapped.reader = bufio.NewReaderSize(c, readBufferSize)
+	return wrapped
 }
 
-// Write counts what was written.
+// Write implements net.Conn and counts the bytes written.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.bytesWritten.Add(int64(n))
 	return n, err
 }
 
-// fresh tells whether an idle connection may be used: the target keeps it, and
-// neither bytes nor an end have come.
+// reusable reports whether an idle connection may carry another request: its idle
+// timeout has not passed, and neither bytes nor an end have been received.
 func (c *conn) reusable(now time.Time) bool {
 	if now.Sub(c.idleSince) >= c.idleTimeout || c.reader.Buffered() > 0 {
 		return false
@@ -62,65 +66,68 @@
 	return hasNoInput(c.Conn)
 }
 
-// past is a deadline that is over.
+// pastDeadline is a deadline that has passed; it interrupts a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// prove waits for a sign that the target does not take a new connection.
-func (c *conn) awaitReset(wait time.Duration) error {
-	over := time.AfterFunc(wait, func() { _ = c.SetReadDeadline(pastDeadline) }) // a closed one needs none
-	defer over.Stop()
+// awaitReset waits up to timeout for a sign that the target rejects a new connection, and
+// returns nil if there is none. Bytes received before a request are an error, too.
+func (c *conn) awaitReset(timeout time.Duration) error {
+	timer := time.AfterFunc(timeout, func() { _ = c.SetReadDeadline(pastDeadline) }) // fails on a closed connection, whose read ends anyway
+	defer timer.Stop()
 	_, err := c.reader.Peek(1)
 	switch {
 	case err == nil:
-		return errors.New("bytes came before a request was sent")
+		return errors.New("received bytes before a request was sent")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return c.SetReadDeadline(time.Time{})
 	}
 	return err
 }
 
-// quiet looks at a socket without waiting.
+// hasNoInput reports, without blocking, whether a socket is open and holds no unread bytes.
+// It is true for connections without a system socket, as in tests.
 func hasNoInput(c net.Conn) bool {
-	s, ok := c.(syscall.Conn)
+	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return true
 	}
-	raw, err := s.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return false
 	}
-	silent := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		silent = e == syscall.EAGAIN || e == syscall.EWOULDBLOCK
+		var buffer [1]byte
+		_, _, errno := syscall.Recvfrom(int(fd), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = errno == syscall.EAGAIN || errno == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && silent
+	return err == nil && empty
 }
 
-// readIdleTimeout reads how long the target keeps an idle connection.
+// readIdleTimeout returns how long a connection may be reused while idle: the timeout of
+// the header field Keep-Alive less idleTimeoutMargin, or defaultIdleTimeout.
 func readIdleTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
-		if s, err := strconv.Atoi(value); err == nil {
-			return max(time.Duration(s)*time.Second-idleTimeoutMargin, 0)
+		if seconds, err := strconv.Atoi(value); err == nil {
+			return max(time.Duration(seconds)*time.Second-idleTimeoutMargin, 0)
 		}
 	}
 	return defaultIdleTimeout
 }
 
-// body is an answer's body; its end decides what becomes of the connection.
+// answerBody is the body of an answer. When it ends, finish keeps or closes the connection.
 type answerBody struct {
 	io.Reader
-	finish func(whole bool)
-	done   bool
+	finish func(complete bool) // complete: the body was read to its end
+	done   bool                // finish was called
 }
 
-// Read passes on what comes.
+// Read implements io.Reader.
 func (b *answerBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if err != nil {
@@ -129,16 +136,17 @@
 	return n, err
 }
 
-// Close ends the answer; the connection of one that was not read to its end is
+// Close implements io.Closer. If the body was not read to its end, its connection is
 // closed.
 func (b *answerBody) Close() error {
 	b.finishOnce(false)
 	return nil
 }
 
-func (b *answerBody) finishOnce(whole bool) {
+// finishOnce calls finish unless it has been called.
+func (b *answerBody) finishOnce(complete bool) {
 	if !b.done {
 		b.done = true
-		b.finish(whole)
+		b.finish(complete)
 	}
 }
--- a/internal/transport/upstream/conn_test.go
+++ b/internal/transport/upstream/conn_test.go
@@ -22,23 +22,25 @@
 
 const (
 	address = "target:1"
-	// callField names a call to the stand-in, and in its answers.
+	// callField is the header field with the call's ID, in requests and answers.
 	callField = "Call"
 )
 
-// reply is how a stand-in target answers one request.
+// reply is the way a stand-in target answers one request.
 type reply struct {
 	name  string
-	raw   func(id string) string // what it sends
-	close bool                   // it closes behind that
-	// whole tells that the caller should get the whole body, and kept that the
-	// connection may serve another request then.
+	raw   func(id string) string // the bytes it sends
+	close bool                   // it closes the connection after them
+	// complete is set if the caller should receive the whole body, and kept if the
+	// connection may carry another request afterwards.
 	complete, kept bool
-	idleTimeout    time.Duration // as named by the target, 0 for none
+	idleTimeout    time.Duration // announced by the target, 0 for none
 }
 
-func fixedLengthAnswer(id, more string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n%sContent-Length: %d\r\n\r\nfor %s", id, more, len("for "+id), id)
+// fixedLengthAnswer returns an answer to call id with Content-Length and the additional
+// header lines given.
+func fixedLengthAnswer(id, fields string) string {
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n%sContent-Length: %d\r\n\r\nfor %s", id, fields, len("for "+id), id)
 }
 
 var replies = []reply{
@@ -46,7 +48,7 @@
 	{name: "chunked", complete: true, kept: true, raw: func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\nfor %s\r\n0\r\n\r\n", id, len("for "+id), id)
 	}},
-	{name: "keeps three seconds", complete: true, kept: true, idleTimeout: 3 * time.Second, raw: func(id string) string { return fixedLengthAnswer(id, "Keep-Alive: timeout=3\r\n") }},
+	{name: "announces an idle timeout of three seconds", complete: true, kept: true, idleTimeout: 3 * time.Second, raw: func(id string) string { return fixedLengthAnswer(id, "Keep-Alive: timeout=3\r\n") }},
 	{name: "asks to close", complete: true, raw: func(id string) string { return fixedLengthAnswer(id, "Connection: close\r\n") }},
 	{name: "ends with its connection", complete: true, close: true, raw: func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n\r\nfor %s", id, id)
@@ -60,24 +62,24 @@
 	{name: "bytes that are no answer", close: true, raw: func(string) string { return "\x00\x01garbage\r\n\r\n" }},
 }
 
-// pair is a connection whose target answers each request by the next reply.
+// newTestConn returns a connection whose target answers each request with the next reply.
 func newTestConn(answers <-chan reply) *conn {
 	ours, theirs := net.Pipe()
 	go func() {
 		defer func() { _ = theirs.Close() }()
-		in := bufio.NewReader(theirs)
+		reader := bufio.NewReader(theirs)
 		for {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
-			a, ok := <-answers
+			answer, ok := <-answers
 			if !ok {
 				return
 			}
-			_, _ = io.WriteString(theirs, a.raw(r.Header.Get(callField)))
-			if a.close {
+			_, _ = io.WriteString(theirs, answer.raw(r.Header.Get(callField)))
+			if answer.close {
 				return
 			}
 		}
@@ -85,6 +87,7 @@
 	return newConn(ours, address)
 }
 
+// newTestRequest returns a request that accepts only an answer with the same ID.
 func newTestRequest(id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{callField: {id}},
@@ -92,19 +95,20 @@
 	}
 }
 
-// TestReplies: what each way of answering makes of the call and the connection.
+// TestReplies checks for each kind of reply whether the caller receives the whole body and
+// whether the connection is kept.
 func TestReplies(t *testing.T) {
 	for _, a := range replies {
 		t.Run(a.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				answers := make(chan reply, 1)
 				answers <- a
-				p := NewPool()
-				whole := exchangeAndRead(t, p, newTestConn(answers), "1")
-				if whole != a.complete {
-					t.Errorf("whole %v, not %v", whole, a.complete)
+				pool := NewPool()
+				complete := exchangeAndRead(t, pool, newTestConn(answers), "1")
+				if complete != a.complete {
+					t.Errorf("complete %v, not %v", complete, a.complete)
 				}
-				kept := p.takeIdle(address, time.Now())
+				kept := pool.takeIdle(address, time.Now())
 				if (kept != nil) != a.kept {
 					t.Errorf("kept %v, not %v", kept != nil, a.kept)
 				}
@@ -116,7 +120,7 @@
 	}
 }
 
-// read makes one exchange, and tells whether the whole answer came.
+// exchangeAndRead makes one exchange and reports whether the whole answer was received.
 func exchangeAndRead(t interface {
 	Helper()
 	Errorf(string, ...any)
@@ -125,7 +129,7 @@
 	resp, err := p.exchange(context.Background(), c, newTestRequest(id))
 	if err != nil {
 		if v := hookhall.AsError(err).Verdict; v == hookhall.NotRun {
-			t.Errorf("a request that was written is said not to have run")
+			t.Errorf("verdict not-run for a request that was written")
 		}
 		return false
 	}
@@ -140,57 +144,58 @@
 	return true
 }
 
-// TestConnections is the state machine of kept connections: over any series of
-// answers and pauses, an answer is its own request's, and a connection is used
-// again only if all was well with it and its target still keeps it.
+// TestConnections checks kept connections against a model, over random series of replies
+// and pauses: each request receives its own answer, and a connection is reused only if its
+// last exchange was complete and its idle timeout has not passed.
 func TestConnections(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, len(replies)-1), 1, 12).Draw(rt, "replies")
 		pauses := rapid.SliceOfN(rapid.IntRange(0, 6000), len(steps), len(steps)).Draw(rt, "pauses in ms")
 		synctest.Test(t, func(*testing.T) {
-			p := NewPool()
+			pool := NewPool()
 			answers := make(chan reply, 1)
-			var idle time.Time
-			var keep time.Duration // of the connection that should be kept, 0 for none
+			var idleSince time.Time
+			var idleTimeout time.Duration // idle timeout of the connection that should be kept, 0 for none
 			for i, s := range steps {
 				a := replies[s]
-				c := p.takeIdle(address, time.Now())
-				if may := keep > 0 && time.Since(idle) < keep; (c != nil) != may {
-					rt.Fatalf("step %d: a connection is used again: %v, not %v (idle %v of %v)", i, c != nil, may, time.Since(idle), keep)
+				c := pool.takeIdle(address, time.Now())
+				if reusable := idleTimeout > 0 && time.Since(idleSince) < idleTimeout; (c != nil) != reusable {
+					rt.Fatalf("step %d: connection reused: %v, not %v (idle %v of %v)", i, c != nil, reusable, time.Since(idleSince), idleTimeout)
 				}
 				if c == nil {
 					c = newTestConn(answers)
 				}
 				answers <- a
-				if got := exchangeAndRead(rt, p, c, fmt.Sprint(i)); got != a.complete {
-					rt.Fatalf("step %d, %s: whole %v, not %v", i, a.name, got, a.complete)
+				if complete := exchangeAndRead(rt, pool, c, fmt.Sprint(i)); complete != a.complete {
+					rt.Fatalf("step %d, %s: complete %v, not %v", i, a.name, complete, a.complete)
 				}
-				keep, idle = 0, time.Now()
+				idleTimeout, idleSince = 0, time.Now()
 				if a.kept {
-					keep = defaultIdleTimeout
+					idleTimeout = defaultIdleTimeout
 				}
 				if a.kept && a.idleTimeout > 0 {
-					keep = a.idleTimeout - idleTimeoutMargin
+					idleTimeout = a.idleTimeout - idleTimeoutMargin
 				}
 				time.Sleep(time.Duration(pauses[i]) * time.Millisecond)
 				if rapid.Bool().Draw(rt, "swept") {
-					p.Sweep(time.Now())
+					pool.Sweep(time.Now())
 				}
 			}
-			p.Sweep(time.Now().Add(time.Hour))
+			pool.Sweep(time.Now().Add(time.Hour))
 		})
 	})
 }
 
-// TestVerdicts: an error says that nothing ran only if not a byte was written, and
-// the context's end ends the call.
+// TestVerdicts guards against a wrong verdict, by which a request could run twice: it is
+// not-run only if not a byte was written. It also checks that the end of the context ends
+// the call and that a connection with an unread answer is not reused.
 func TestVerdicts(t *testing.T) {
 	t.Run("closed before a byte was written", func(t *testing.T) {
 		ours, theirs := net.Pipe()
 		_ = theirs.Close()
 		_, err := NewPool().exchange(t.Context(), newConn(ours, address), newTestRequest("1"))
-		if v := hookhall.AsError(err).Verdict; v != hookhall.NotRun {
-			t.Errorf("verdict %v", v)
+		if verdict := hookhall.AsError(err).Verdict; verdict != hookhall.NotRun {
+			t.Errorf("verdict %v", verdict)
 		}
 	})
 	t.Run("silent until the context ends", func(t *testing.T) {
@@ -199,18 +204,18 @@
 			defer close(answers)
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
-			began := time.Now()
+			start := time.Now()
 			_, err := NewPool().exchange(ctx, newTestConn(answers), newTestRequest("1"))
 			e := hookhall.AsError(err)
 			if e == nil || e.Verdict != hookhall.MayHaveRun || e.Cause != hookhall.CauseCanceled {
 				t.Errorf("%v", err)
 			}
-			if took := time.Since(began); took != 2*time.Second {
-				t.Errorf("took %v", took)
+			if elapsed := time.Since(start); elapsed != 2*time.Second {
+				t.Errorf("ended after %v", elapsed)
 			}
 		})
 	})
-	t.Run("a body that is not read to its end", func(t *testing.T) {
+	t.Run("a body not read to its end", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			answers := make(chan reply, 1)
 			answers <- replies[0]
@@ -221,14 +226,14 @@
 			}
 			_ = resp.Body.Close()
 			if p.takeIdle(address, time.Now()) != nil {
-				t.Error("its connection is used again")
+				t.Error("its connection is reused")
 			}
 		})
 	})
 }
 
-// TestDialTimeout: a target that takes no connection costs a request a quarter of a
-// second, and the proof that it has not run.
+// TestDialTimeout guards against long waits for a target that accepts no connection: its
+// listen queue is full, so that a request fails after a quarter of a second, as not run.
 func TestDialTimeout(t *testing.T) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -245,19 +250,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	full := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
-	// Nobody accepts, so that the queue fills up and further opening packets are dropped.
+	fullAddress := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
+	// Nothing accepts, so that the listen queue fills up and further SYNs are dropped.
 	for range 4 {
-		if c, err := net.DialTimeout("tcp", full, 50*time.Millisecond); err == nil {
+		if c, err := net.DialTimeout("tcp", fullAddress, 50*time.Millisecond); err == nil {
 			defer c.Close()
 		}
 	}
-	began := time.Now()
-	_, err = NewPool().Do(t.Context(), Request{Address: full, Method: "GET", URI: "/"})
+	start := time.Now()
+	_, err = NewPool().Do(t.Context(), Request{Address: fullAddress, Method: "GET", URI: "/"})
 	if e := hookhall.AsError(err); err == nil || e.Verdict != hookhall.NotRun {
 		t.Fatalf("%v", err)
 	}
-	if took := time.Since(began); took < dialTimeout || took > dialTimeout+300*time.Millisecond {
-		t.Errorf("it took %v", took)
+	if elapsed := time.Since(start); elapsed < dialTimeout || elapsed > dialTimeout+300*time.Millisecond {
+		t.Errorf("failed after %v", elapsed)
 	}
 }
--- a/internal/transport/upstream/doc.go
+++ b/internal/transport/upstream/doc.go
@@ -5,24 +5,24 @@
 //
 // # Model
 //
-// A Pool keeps idle connections by address. One request is on a connection at a
-// time. The standard library writes requests and parses answers; what it would
-// decide by itself (sending a request again on another connection) is decided
-// here, never: a request is sent once.
+// A Pool keeps idle connections by address. A connection carries one request at a
+// time. The standard library writes requests and parses answers, but it never
+// decides to resend a request on another connection: each request is sent once.
 //
-// Send returns when the head of the answer with the call's id has come. Answers
-// that belong to an earlier request are read and dropped. A connection is kept
-// only when the request was written to its end, the answer was read to its
-// framed end, nothing lies behind it, and neither side asked to close.
+// A request returns once the head of the answer with its call's ID has been
+// received. Answers to earlier requests are read and dropped. A connection is kept
+// only if the request was written completely, the answer was read to its framed
+// end, no bytes follow it, and neither side asked to close.
 //
-// A target takes so many connections from all processes together and resets others. So
-// an idle one is kept only while somebody asks for kept ones, and within this process's
-// part of what may rest there. Where a new one was reset, the next are watched for a
+// A target accepts a limited number of connections from all processes together and
+// resets others. So an idle connection is kept only while requests for kept
+// connections arrive, and within this process's part of the idle connections that the
+// target allows. After a new connection was reset, the next ones are watched for a
 // reset for about a round trip before a request is written.
 //
 // # Invariants
 //
-//   - An error is NotRun only if not a byte of the request was written.
-//   - A body that was cut, or reset, ends with an error other than io.EOF.
+//   - An error has the verdict NotRun only if not a byte of the request was written.
+//   - A body that was cut or reset ends with an error other than io.EOF.
 //   - Ending the context closes the connection.
 package upstream
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -22,80 +22,86 @@
 )
 
 const (
-	// dialTimeout bounds a new connection: some thirty round trips between halls. A
-	// packet that opens one and is dropped is sent anew only after a second, so that
-	// longer waits bring nothing.
+	// dialTimeout bounds a connection attempt: about thirty round trips between halls.
+	// A lost SYN is retransmitted only after a second, so that waiting longer gains
+	// nothing.
 	dialTimeout = 250 * time.Millisecond
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 8
-	// resetWatchDuration is for how long new connections to a target are proved that reset one
-	// before it answered: its places are taken, and will be for a while.
+	// resetWatchDuration is for how long new connections to a target are watched for a
+	// reset after it has reset one before its answer: its connection slots are taken,
+	// and stay so for a while.
 	resetWatchDuration = 10 * time.Second
-	// resetWaitMargin is what a target may take to turn a new connection away, beside the
-	// way there and back; maxResetWait bounds both.
+	// resetWaitMargin is the time a target may take to reset a new connection, in
+	// addition to a round trip; maxResetWait bounds the sum.
 	resetWaitMargin = 2 * time.Millisecond
 	maxResetWait    = 25 * time.Millisecond
-	// maxSkippedAnswers bounds the answers of earlier requests that are skipped.
+	// maxSkippedAnswers bounds the answers that are read for one request, those to
+	// earlier requests and informational ones (1xx) included.
 	maxSkippedAnswers = 4
-	// maxSkippedBytes bounds what is read of a dropped answer.
+	// maxSkippedBytes bounds the bytes read of the body of one skipped answer.
 	maxSkippedBytes = 1 << 20
 )
 
-// Pool has the connections of one process.
+// Pool holds the connections of one process to targets. Its methods may be called
+// concurrently.
 type Pool struct {
-	// Resting is how many idle connections to an address may be kept, beside maxIdlePerAddress:
-	// targets bear so many from all processes together. nil means any number. Set
-	// before the first request.
+	// Resting returns how many idle connections to an address this process may keep, up
+	// to maxIdlePerAddress, because a target limits the connections of all processes
+	// together. nil means no other limit. It must be set before the first request.
 	Resting func(address string) int
 
 	mu                 sync.Mutex
 	idleByAddress      map[string][]*conn
-	lastTakenByAddress map[string]time.Time // when a kept connection was last asked for, by address
-	lastResetByAddress map[string]time.Time // when a new connection was last reset, by address
+	lastTakenByAddress map[string]time.Time // when a request last asked for a kept connection, by address
+	lastResetByAddress map[string]time.Time // when the target last reset a new connection, by address
 	dials              atomic.Int64
 }
 
-// NewPool makes an empty Pool.
+// NewPool returns a Pool without connections.
 func NewPool() *Pool {
 	return &Pool{idleByAddress: map[string][]*conn{}, lastTakenByAddress: map[string]time.Time{}, lastResetByAddress: map[string]time.Time{}}
 }
 
-// Dials is how many connections were opened.
+// Dials returns the number of connections attempted so far, failed ones included.
 func (p *Pool) Dials() int64 { return p.dials.Load() }
 
-// Request is what is written to a target.
+// Request is a request to a target.
 type Request struct {
-	Address string
+	Address string // IP address and port
 	Method  string
-	URI     string
-	Host    string
+	URI     string // request target, as in the request line
+	Host    string // value of the header field Host
 	Header  http.Header
 	Body    []byte
-	// Belongs tells whether an answer is the one to this request; nil accepts
-	// any.
+	// Belongs reports whether an answer is the one to this request; nil accepts
+	// any answer.
 	Belongs func(status int, h http.Header) bool
-	// Fresh asks for a new connection.
+	// Fresh requires a new connection instead of a kept one.
 	Fresh bool
 }
 
-// Response is an answer whose head has come.
+// Response is an answer whose head has been received.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the body's, -1 when it is not announced.
+	// Length is the length of the body in bytes, or -1 if it is not announced.
 	Length int64
-	Body   io.ReadCloser
+	// Body must be closed. An answer that was cut ends with an error other than io.EOF.
+	Body io.ReadCloser
 }
 
+// takeIdle removes and returns a reusable idle connection to an address, or nil. It
+// closes those that are not reusable.
 func (p *Pool) takeIdle(address string, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastTakenByAddress[address] = now
-	list := p.idleByAddress[address]
-	for len(list) > 0 {
-		c := list[len(list)-1]
-		list = list[:len(list)-1]
-		p.idleByAddress[address] = list
+	conns := p.idleByAddress[address]
+	for len(conns) > 0 {
+		c := conns[len(conns)-1]
+		conns = conns[:len(conns)-1]
+		p.idleByAddress[address] = conns
 		if c.reusable(now) {
 			return c
 		}
@@ -105,8 +111,9 @@
 	return nil
 }
 
-// wanted tells whether a kept connection to an address was asked for lately. One that
-// nobody asks for takes a place at its target for nothing.
+// recentlyTaken reports whether a request asked for a kept connection to an address within
+// defaultIdleTimeout. Otherwise an idle connection would occupy a slot at its target
+// without use.
 func (p *Pool) recentlyTaken(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -114,23 +121,24 @@
 	return ok && now.Sub(at) < defaultIdleTimeout
 }
 
+// putIdle keeps a connection for further requests, or closes it if enough are kept.
 func (p *Pool) putIdle(c *conn, now time.Time) {
 	c.idleSince = now
-	most := maxIdlePerAddress
+	limit := maxIdlePerAddress
 	if p.Resting != nil {
-		most = min(most, p.Resting(c.address))
+		limit = min(limit, p.Resting(c.address))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idleByAddress[c.address]) >= most {
+	if len(p.idleByAddress[c.address]) >= limit {
 		_ = c.Close()
 		return
 	}
 	p.idleByAddress[c.address] = append(p.idleByAddress[c.address], c)
 }
 
-// Forget closes the idle connections to an address: one that was kept has failed, and
-// what broke it may have broken all that are as old.
+// Forget closes the idle connections to an address. It is called after a kept connection
+// has failed, because the cause may affect all others of its age.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -140,13 +148,14 @@
 	delete(p.idleByAddress, address)
 }
 
-// Sweep closes idle connections that are past their time.
+// Sweep closes the idle connections that are not reusable at now, and drops the records of
+// requests and resets that have expired. It must be called regularly.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for a, list := range p.idleByAddress {
-		kept := list[:0]
-		for _, c := range list {
+	for address, conns := range p.idleByAddress {
+		kept := conns[:0]
+		for _, c := range conns {
 			if c.reusable(now) {
 				kept = append(kept, c)
 				continue
@@ -154,29 +163,30 @@
 			_ = c.Close()
 		}
 		if len(kept) == 0 {
-			delete(p.idleByAddress, a)
+			delete(p.idleByAddress, address)
 			continue
 		}
-		p.idleByAddress[a] = kept
+		p.idleByAddress[address] = kept
 	}
 	maps.DeleteFunc(p.lastTakenByAddress, func(_ string, at time.Time) bool { return now.Sub(at) >= defaultIdleTimeout })
 	maps.DeleteFunc(p.lastResetByAddress, func(_ string, at time.Time) bool { return now.Sub(at) >= resetWatchDuration })
 }
 
+// dial opens a connection and records how long that took.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	p.dials.Add(1)
-	began := clock.Now()
+	start := clock.Now()
 	c, err := sockets.Dialer(dialTimeout).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	own := newConn(c, address)
-	own.dialDuration = clock.Since(began)
-	return own, nil
+	opened := newConn(c, address)
+	opened.dialDuration = clock.Since(start)
+	return opened, nil
 }
 
-// open makes a new connection. One to a target that has turned others away is proved:
-// a reset that comes before the request is written shows that nothing has run.
+// open opens a new connection. If the target has recently reset one, open first waits for
+// a reset: one that arrives before the request is written proves that nothing has run.
 func (p *Pool) open(ctx context.Context, address string) (*conn, error) {
 	c, err := p.dial(ctx, address)
 	if err != nil || !p.recentlyReset(address, clock.Now()) {
@@ -185,11 +195,13 @@
 	if err := c.awaitReset(min(c.dialDuration+resetWaitMargin, maxResetWait)); err != nil {
 		_ = c.Close() // the target has closed it
 		p.recordReset(address, clock.Now())
-		return nil, errors.Wrap(err, "the target turned the connection away")
+		return nil, errors.Wrap(err, "the target reset the new connection")
 	}
 	return c, nil
 }
 
+// recentlyReset reports whether a target has reset a new connection within
+// resetWatchDuration.
 func (p *Pool) recentlyReset(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,24 +209,26 @@
 	return ok && now.Sub(at) < resetWatchDuration
 }
 
-// recordReset takes in that a target reset a new connection.
+// recordReset records that a target reset a new connection at now.
 func (p *Pool) recordReset(address string, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lastResetByAddress[address] = now
 }
 
-// Refuses implements hookhall.Prober. A connection that opens is closed again.
+// Refuses implements hookhall.Prober. It opens a connection and, if that succeeds, closes
+// it again.
 func (p *Pool) Refuses(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	_ = c.Close() // it served its purpose
+	_ = c.Close() // only opening it mattered
 	return false
 }
 
-// Do sends a request once and waits for the head of its answer.
+// Do sends a request once and waits for the head of its answer. An error is a
+// *hookhall.Error, whose verdict is NotRun only if not a byte was written.
 func (p *Pool) Do(ctx context.Context, r Request) (*Response, error) {
 	var c *conn
 	if !r.Fresh {
@@ -229,23 +243,23 @@
 	return p.exchange(ctx, c, r)
 }
 
-// exchange writes the request while the answer is awaited: a target may answer
-// before it has read a long body.
+// exchange sends a request on a connection and waits for the head of its answer. A long
+// body is written in a goroutine, because a target may answer before it has read the body.
 func (p *Pool) exchange(ctx context.Context, c *conn, r Request) (*Response, error) {
 	c.bytesWritten.Store(0)
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	wrote := make(chan error, 1)
-	req := &http.Request{Method: r.Method}
+	writeResult := make(chan error, 1)
+	parseRequest := &http.Request{Method: r.Method}
 	if len(r.Body) <= writeBufferSize {
-		wrote <- writeRequest(c, &r)
+		writeResult <- writeRequest(c, &r)
 	} else {
-		go func() { wrote <- writeRequest(c, &r) }()
+		go func() { writeResult <- writeRequest(c, &r) }()
 	}
-	head, err := readHead(c, req, r.Belongs)
+	head, err := readHead(c, parseRequest, r.Belongs)
 	if err != nil {
 		stop()
 		_ = c.Close()
-		<-wrote
+		<-writeResult
 		if c.idleSince.IsZero() && errors.Is(err, syscall.ECONNRESET) {
 			p.recordReset(r.Address, clock.Now())
 		}
@@ -255,9 +269,9 @@
 		return nil, headError(ctx, c, err)
 	}
 	resp := &Response{Status: head.StatusCode, Header: head.Header, Length: head.ContentLength}
-	resp.Body = &answerBody{Reader: head.Body, finish: func(whole bool) {
-		live := stop()
-		if !whole || !live || head.Close || !requestWritten(wrote) || c.reader.Buffered() > 0 || !selfDelimited(head) {
+	resp.Body = &answerBody{Reader: head.Body, finish: func(complete bool) {
+		active := stop()
+		if !complete || !active || head.Close || !requestWritten(writeResult) || c.reader.Buffered() > 0 || !selfDelimited(head) {
 			_ = c.Close()
 			return
 		}
@@ -272,22 +286,24 @@
 	return resp, nil
 }
 
-// framed tells whether the answer's end is known without the connection's.
+// selfDelimited reports whether the framing of an answer marks its end, so that the end
+// of the connection is not needed.
 func selfDelimited(r *http.Response) bool {
 	return r.ContentLength >= 0 || len(r.TransferEncoding) > 0 || r.StatusCode == http.StatusNoContent || r.StatusCode == http.StatusNotModified
 }
 
-// written tells whether the whole request has been written by now.
-func requestWritten(wrote chan error) bool {
+// requestWritten reports, without waiting, whether the request was written completely.
+func requestWritten(writeResult chan error) bool {
 	select {
-	case err := <-wrote:
+	case err := <-writeResult:
 		return err == nil
 	default:
 		return false
 	}
 }
 
-// writeRequest writes the head as it is given, and the body with its length.
+// writeRequest writes the head with the given fields except framingFields, and the body
+// with its length.
 func writeRequest(c *conn, r *Request) error {
 	w := bufio.NewWriterSize(c, writeBufferSize)
 	_, _ = w.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -302,31 +318,33 @@
 	return w.Flush()
 }
 
-// framing has the fields that only this package writes.
+// framingFields are the header fields that only this package may write.
 var framingFields = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true}
 
-// readHead reads answers until the one that belongs to the request.
-func readHead(c *conn, req *http.Request, belongs func(int, http.Header) bool) (*http.Response, error) {
+// readHead skips answers to earlier requests and returns the one for which matches
+// returns true; nil accepts any answer.
+func readHead(c *conn, request *http.Request, matches func(int, http.Header) bool) (*http.Response, error) {
 	for range maxSkippedAnswers {
-		resp, err := http.ReadResponse(c.reader, req)
+		resp, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode >= 100 && resp.StatusCode < 200 {
 			continue
 		}
-		if belongs == nil || belongs(resp.StatusCode, resp.Header) {
+		if matches == nil || matches(resp.StatusCode, resp.Header) {
 			return resp, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
-		if err != nil || n == maxSkippedBytes || resp.Close || !selfDelimited(resp) {
+		skipped, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSkippedBytes))
+		if err != nil || skipped == maxSkippedBytes || resp.Close || !selfDelimited(resp) {
 			break
 		}
 	}
 	return nil, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseMisdirected, "the answer belongs to another request")
 }
 
-// failure tells what an error before the head says of the request.
+// headError returns the error of a request that failed before the head of its answer. The
+// verdict is NotRun only if not a byte was written.
 func headError(ctx context.Context, c *conn, err error) error {
 	verdict := hookhall.MayHaveRun
 	if c.bytesWritten.Load() == 0 {
--- a/internal/transport/upstream/resets_test.go
+++ b/internal/transport/upstream/resets_test.go
@@ -18,7 +18,8 @@
 	"github.com/hookhall/hookhall/internal/state/quota"
 )
 
-// limitedTarget takes so many connections and resets others as soon as they are open.
+// limitedTarget is a target that accepts up to maxConns connections and resets others as
+// soon as they are open.
 type limitedTarget struct {
 	address   string
 	maxConns  atomic.Int64
@@ -27,27 +28,29 @@
 	served    atomic.Int64
 }
 
-func newLimitedTarget(t *testing.T, most int) *limitedTarget {
+// newLimitedTarget starts a limitedTarget that runs until the test ends.
+func newLimitedTarget(t *testing.T, maxConns int) *limitedTarget {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() })
-	s := &limitedTarget{address: l.Addr().String()}
-	s.maxConns.Store(int64(most))
+	t.Cleanup(func() { _ = listener.Close() })
+	target := &limitedTarget{address: listener.Addr().String()}
+	target.maxConns.Store(int64(maxConns))
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.accept(c.(*net.TCPConn))
+			target.accept(c.(*net.TCPConn))
 		}
 	}()
-	return s
+	return target
 }
 
+// accept serves a connection, or resets it if maxConns are open.
 func (s *limitedTarget) accept(c *net.TCPConn) {
 	if s.openConns.Add(1) > s.maxConns.Load() {
 		s.openConns.Add(-1)
@@ -58,9 +61,9 @@
 	}
 	go func() {
 		defer func() { _ = c.Close(); s.openConns.Add(-1) }()
-		in := bufio.NewReader(c)
+		reader := bufio.NewReader(c)
 		for {
-			r, err := http.ReadRequest(in)
+			r, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
@@ -74,7 +77,7 @@
 	}()
 }
 
-// send makes one request and reads its answer.
+// send makes one request and reads its answer to the end.
 func send(t *testing.T, p *Pool, address, id string, fresh bool) error {
 	t.Helper()
 	r := newTestRequest(id)
@@ -88,103 +91,105 @@
 	return err
 }
 
-// TestConnectionsOfAFleet replays bursts of 60 gateways before three targets that take
-// 100 connections each: by their parts they never take a place too many, where idle
-// connections alone would fill all places without parts.
+// TestConnectionsOfAFleet guards against targets that reset connections because the idle
+// ones of all gateways occupy their connection slots. It runs bursts of 60 gateways against
+// three targets with 100 slots each. As each gateway keeps idle connections only within its
+// part, no target resets one; without parts, the idle ones alone would occupy all slots.
 func TestConnectionsOfAFleet(t *testing.T) {
-	const gateways, most, bursts, atOnce = 60, 100, 4, 3
+	const gateways, maxConns, bursts, requestsPerTarget = 60, 100, 4, 3
 	var targets []*limitedTarget
 	for range 3 {
-		targets = append(targets, newLimitedTarget(t, most))
+		targets = append(targets, newLimitedTarget(t, maxConns))
 	}
 	running := make(chan struct{}, 40) // requests in progress, of all gateways
 	var wg sync.WaitGroup
-	for place := range gateways {
-		sharers := quota.Sharers{Count: gateways, Place: place}
-		p := NewPool()
-		p.Resting = func(address string) int { return sharers.Part(most/2, address) }
-		t.Cleanup(func() { p.Sweep(time.Now().Add(time.Hour)) })
+	for rank := range gateways {
+		sharers := quota.Sharers{Count: gateways, Place: rank}
+		pool := NewPool()
+		pool.Resting = func(address string) int { return sharers.Part(maxConns/2, address) }
+		t.Cleanup(func() { pool.Sweep(time.Now().Add(time.Hour)) })
 		for burst := range bursts {
-			for n := range atOnce * len(targets) {
+			for n := range requestsPerTarget * len(targets) {
 				wg.Go(func() {
 					time.Sleep(time.Duration(burst) * 60 * time.Millisecond)
 					running <- struct{}{}
 					defer func() { <-running }()
-					if err := send(t, p, targets[n%len(targets)].address, fmt.Sprint(place, "-", burst, "-", n), n%2 == 0); err != nil {
-						t.Errorf("gateway %d: %v", place, err)
+					if err := send(t, pool, targets[n%len(targets)].address, fmt.Sprint(rank, "-", burst, "-", n), n%2 == 0); err != nil {
+						t.Errorf("gateway %d: %v", rank, err)
 					}
 				})
 			}
 		}
 	}
 	wg.Wait()
-	for i, s := range targets {
-		if n := s.resets.Load(); n > 0 {
+	for i, target := range targets {
+		if n := target.resets.Load(); n > 0 {
 			t.Errorf("target %d reset %d connections", i, n)
 		}
-		if want := int64(gateways * bursts * atOnce); s.served.Load() != want {
-			t.Errorf("target %d served %d of %d requests", i, s.served.Load(), want)
+		if want := int64(gateways * bursts * requestsPerTarget); target.served.Load() != want {
+			t.Errorf("target %d served %d of %d requests", i, target.served.Load(), want)
 		}
 	}
 }
 
-// TestResetBeforeRequest: once a target has reset a new connection, a request for which it has
-// no place is known not to have run.
+// TestResetBeforeRequest guards against requests that can't be retried because their verdict
+// is may-have-run. Once a target has reset a new connection, further ones are watched for a
+// reset before the request is written, so that a request without a slot has not run.
 func TestResetBeforeRequest(t *testing.T) {
-	s := newLimitedTarget(t, 0)
-	p := NewPool()
-	if err := send(t, p, s.address, "first", true); err == nil {
-		t.Fatal("a target without places served a request")
+	target := newLimitedTarget(t, 0)
+	pool := NewPool()
+	if err := send(t, pool, target.address, "first", true); err == nil {
+		t.Fatal("a target without connection slots served a request")
 	}
-	if !p.recentlyReset(s.address, time.Now()) {
-		p.recordReset(s.address, time.Now()) // the first reset came before the request
+	if !pool.recentlyReset(target.address, time.Now()) {
+		pool.recordReset(target.address, time.Now()) // the first reset arrived before the request was written
 	}
 	for n := range 20 {
-		err := send(t, p, s.address, fmt.Sprint(n), true)
+		err := send(t, pool, target.address, fmt.Sprint(n), true)
 		if err == nil || hookhall.AsError(err).Verdict != hookhall.NotRun {
 			t.Fatalf("%v", err)
 		}
 	}
-	t.Run("a place that has come free is used", func(t *testing.T) {
-		s.maxConns.Store(1)
-		if err := send(t, p, s.address, "last", true); err != nil {
+	t.Run("a freed connection slot is used", func(t *testing.T) {
+		target.maxConns.Store(1)
+		if err := send(t, pool, target.address, "last", true); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// TestIdleLimit: connections rest only while somebody asks for kept ones, and within the
-// process's part.
+// TestIdleLimit guards against idle connections that occupy slots of a target without use:
+// they are kept only while requests for kept ones arrive, and within the process's part.
 func TestIdleLimit(t *testing.T) {
-	resting := func(p *Pool, address string) int {
+	idleCount := func(p *Pool, address string) int {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.idleByAddress[address])
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name  string
 		part  int
 		fresh []bool // of each request in turn
 		want  int
 	}{
-		{"requests that need a new connection alone", 5, []bool{true, true, true}, 0},
-		{"one that may use a kept one", 5, []bool{true, false}, 1},
-		{"new ones beside it", 5, []bool{false, true, true}, 3},
-		{"a part of one", 1, []bool{false, true, true}, 1},
-		{"no part", 0, []bool{false, true, false}, 0},
+		{"only requests for a new connection", 5, []bool{true, true, true}, 0},
+		{"a request that may use a kept connection", 5, []bool{true, false}, 1},
+		{"with requests for new connections beside it", 5, []bool{false, true, true}, 3},
+		{"a part of one connection", 1, []bool{false, true, true}, 1},
+		{"a part of zero", 0, []bool{false, true, false}, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s := newLimitedTarget(t, 100)
+		t.Run(test.name, func(t *testing.T) {
+			target := newLimitedTarget(t, 100)
 			p := NewPool()
-			p.Resting = func(string) int { return c.part }
+			p.Resting = func(string) int { return test.part }
 			defer p.Sweep(time.Now().Add(time.Hour))
-			for i, fresh := range c.fresh {
-				if err := send(t, p, s.address, fmt.Sprint(i), fresh); err != nil {
+			for i, fresh := range test.fresh {
+				if err := send(t, p, target.address, fmt.Sprint(i), fresh); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if n := resting(p, s.address); n != c.want {
-				t.Errorf("%d connections rest, not %d", n, c.want)
+			if n := idleCount(p, target.address); n != test.want {
+				t.Errorf("%d idle connections, not %d", n, test.want)
 			}
 		})
 	}
