--- a/internal/transport/callers/callers.go
+++ b/internal/transport/callers/callers.go
@@ -151,7 +151,6 @@
 
 // newRequest returns the request of body. Fields that the caller left out come from the
 // table: the deadline from the class, or from the account if the class has none. A
-// caller can shorten the deadline, not extend it. A
 // caller can shorten the deadline, not extend it.
 func newRequest(t *table.Snapshot, account *hookhall.Account, body *wire.RunRequest, now time.Time) (*hookhall.Request, error) {
 	class := t.Classes[body.Class]
--- a/internal/transport/front/drain.go
+++ b/internal/transport/front/drain.go
@@ -31,20 +31,20 @@
 // on kept connections, so that no request starts that the process could not finish. The
 // caller stops its Listener from accepting.
 type Drain struct {
-	next        http.Handler
-	abort       context.Context // done when the requests in progress must be answered at once
-	cancelAbort context.CancelFunc
-	refuse      func(w http.ResponseWriter, e *hookhall.Error) // writes a refusal
-	inFlight    atomic.Int64
-	closing     atomic.Bool // answers carry Connection: close
-	refusing    atomic.Bool // new requests are refused
+	next               http.Handler
+	aborted            context.Context // done when the requests in progress must be answered at once
+	cancelAbort        context.CancelFunc
+	refuse             func(w http.ResponseWriter, e *hookhall.Error) // writes a refusal
+	inFlight           atomic.Int64
+	keepAlivesDisabled atomic.Bool // answers carry Connection: close
+	refusing           atomic.Bool // new requests are refused
 }
 
 // NewDrain returns a Drain that passes requests to next. refuse writes the answer to a
 // refused request.
 func NewDrain(next http.Handler, refuse func(w http.ResponseWriter, e *hookhall.Error)) *Drain {
 	d := &Drain{next: next, refuse: refuse}
-	d.abort, d.cancelAbort = context.WithCancel(context.Background())
+	d.aborted, d.cancelAbort = context.WithCancel(context.Background())
 	return d
 }
 
@@ -55,7 +55,7 @@
 func (d *Drain) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.inFlight.Add(1)
 	defer d.inFlight.Add(-1)
-	if d.closing.Load() {
+	if d.keepAlivesDisabled.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	// The request is counted before refusing is read: if refusing is set and no
@@ -66,26 +66,26 @@
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
 	defer cancel(nil)
-	stop := context.AfterFunc(d.abort, func() { cancel(hookhall.ErrStopping) })
+	stop := context.AfterFunc(d.aborted, func() { cancel(hookhall.ErrStopping) })
 	defer stop()
 	d.next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// Close makes all further answers carry Connection: close, so that clients close their
-// connections after them. It does not wait.
-func (d *Drain) Close() { d.closing.Store(true) }
+// Close makes all further answers carry Connection: close, so that clients
+// close their connections after them. It does not wait.
+func (d *Drain) Close() { d.keepAlivesDisabled.Store(true) }
 
-// Finish refuses all further requests and waits until none is in progress or ctx ends.
-// It returns the number of requests still in progress.
+// Finish refuses all further requests and waits until none is in progress or
+// ctx ends. It returns the number of requests still in progress.
 func (d *Drain) Finish(ctx context.Context) int64 {
 	d.refusing.Store(true)
 	return d.waitIdle(ctx)
 }
 
-// End cancels the requests in progress with hookhall.ErrStopping, so that those whose
-// answer has not begun are answered now: a request that still waits has not run, and its
-// client can retry elsewhere. It waits until none is in progress or ctx ends, and returns
-// the number of requests still in progress.
+// End cancels the requests in progress with hookhall.ErrStopping, so that
+// those whose answer has not begun are answered now: a request that still waits has not
+// run, and its client can retry elsewhere. It waits until none is in progress or ctx ends,
+// and returns the number of requests still in progress.
 func (d *Drain) End(ctx context.Context) int64 {
 	d.cancelAbort()
 	return d.waitIdle(ctx)
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -8,7 +8,8 @@
 // A Handler reads a complete request with the header fields of the platform's
 // protocol, passes it to a Service and writes the answer. The verdict and cause
 // of a refusal determine its status: 429 and 503 only if the request has not run
-// and never will; 502 and 504 if it may have run.
+// and never will; 502 and 504 if it may have run, and 502 for request content that
+// crashes targets.
 //
 // # Invariants
 //
--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -18,10 +18,10 @@
 
 func (unboundedService) MaxBody() int { return 0 }
 
-// TestBodyWithoutRoom guards against running out of memory for request bodies. A body
+// TestBodyBeyondBudget guards against running out of memory for request bodies. A body
 // that exceeds the shared budget is refused as not run, never reaches the service, and
 // its memory is free again afterwards.
-func TestBodyWithoutRoom(t *testing.T) {
+func TestBodyBeyondBudget(t *testing.T) {
 	served := 0
 	handler := newTestHandler(unboundedService{func(_ context.Context, _ *hookhall.Call, a hookhall.AnswerWriter) error {
 		served++
--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -71,7 +71,8 @@
 // Calls returns the number of HTTP calls made so far, failed ones included.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Bytes returns the total size of the answers read and the values written, in bytes.
+// Bytes returns the total size of the answers read and the values written,
+// in bytes.
 func (c *Client) Bytes() int64 { return c.bytesTransferred.Load() }
 
 // pair is an entry as the service encodes it.
@@ -111,8 +112,8 @@
 	return hookhall.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
 }
 
-// CompareAndSwap implements hookhall.KeyValue. A value of more than MaxValue bytes is an
-// error without a call.
+// CompareAndSwap implements hookhall.KeyValue. A value larger than MaxValue is an
+// error, without a call.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	if len(value) > MaxValue {
 		return false, errors.Errorf("key %s: value has %d bytes, the limit of the service is %d", key, len(value), MaxValue)
--- a/internal/transport/operators/operators.go
+++ b/internal/transport/operators/operators.go
@@ -70,8 +70,8 @@
 	Edits   []table.EditMark `json:"edits"`
 }
 
-// Guard returns a handler that passes requests with the operators' token to next and
-// refuses others.
+// Guard returns a handler that passes requests with the operators' token to
+// next and refuses others.
 func Guard(token string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -100,8 +100,8 @@
 	timeout time.Duration
 }
 
-// NewTables returns a Tables that reads and edits the table by editor. timeout bounds
-// each read and each edit.
+// NewTables returns a handler that reads and edits the table by editor. timeout
+// bounds each read and each edit.
 func NewTables(editor *tables.Editor, timeout time.Duration) *Tables { return &Tables{editor, timeout} }
 
 // Get serves GET /v1/table?sheet=SHEET; without a sheet, it returns the rows of all.
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -137,8 +137,8 @@
 	p.idleByAddress[c.address] = append(p.idleByAddress[c.address], c)
 }
 
-// Forget closes the idle connections to an address. It is called after a kept connection
-// has failed, because the cause may affect all others of its age.
+// Forget closes the idle connections to an address. It is called after a kept
+// connection has failed, because the cause may affect all others of its age.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/transport/upstream/resets_test.go
+++ b/internal/transport/upstream/resets_test.go
@@ -78,10 +78,10 @@
 }
 
 // send makes one request and reads its answer to the end.
-func send(t *testing.T, p *Pool, address, id string, fresh bool) error {
+func send(t *testing.T, p *Pool, address, id string, newConnection bool) error {
 	t.Helper()
 	r := newTestRequest(id)
-	r.Address, r.Fresh = address, fresh
+	r.Address, r.Fresh = address, newConnection
 	resp, err := p.Do(t.Context(), r)
 	if err != nil {
 		return err
@@ -167,10 +167,10 @@
 		return len(p.idleByAddress[address])
 	}
 	for _, test := range []struct {
-		name  string
-		part  int
-		fresh []bool // of each request in turn
-		want  int
+		name          string
+		part          int
+		newConnection []bool // of each request in turn
+		want          int
 	}{
 		{"only requests for a new connection", 5, []bool{true, true, true}, 0},
 		{"a request that may use a kept connection", 5, []bool{true, false}, 1},
@@ -183,8 +183,8 @@
 			p := NewPool()
 			p.Resting = func(string) int { return test.part }
 			defer p.Sweep(time.Now().Add(time.Hour))
-			for i, fresh := range test.fresh {
-				if err := send(t, p, target.address, fmt.Sprint(i), fresh); err != nil {
+			for i, newConnection := range test.newConnection {
+				if err := send(t, p, target.address, fmt.Sprint(i), newConnection); err != nil {
 					t.Fatal(err)
 				}
 			}
