--- a/internal/transport/instances/instances.go
+++ b/internal/transport/instances/instances.go
@@ -52,7 +52,7 @@
 }
 
 // List implements hookhall.InstanceList. The returned slice is shared and must not be
-// changed. Errors wrap hookhall.ErrUnavailable.
+// changed. A read that fails returns an error that wraps hookhall.ErrUnavailable.
 func (c *Client) List(ctx context.Context) ([]hookhall.Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
