--- a/internal/transport/instances/instances.go
+++ b/internal/transport/instances/instances.go
@@ -3,10 +3,11 @@
 
 // Package instances reads the platform's instance list over HTTP.
 //
-// GET /v1/instances gives a JSON array of hookhall.Instance. The list lags and
-// may fail; callers keep the last one they read. If the service marks its answers
-// with an ETag, an unchanged list is not sent again: a thousand instances are some
-// 180 KB, which every entry would else read every two seconds.
+// GET /v1/instances returns a JSON array of hookhall.Instance. The list lags behind
+// the platform and a read may fail; callers keep the last list they read. If the
+// service sends an ETag, an unchanged list is not transferred again: for a thousand
+// instances it has about 180 KB, which every entry would otherwise read every two
+// seconds.
 package instances
 
 import (
@@ -23,30 +24,35 @@
 )
 
 const (
-	callTime = 2 * time.Second
-	maxList  = 8 << 20
+	// callTimeout bounds one read of the list, body included.
+	callTimeout = 2 * time.Second
+	// maxListBytes bounds the body of a list: more than forty times that of a thousand
+	// instances. A longer one is cut and fails as invalid JSON.
+	maxListBytes = 8 << 20
 )
 
-// Path is where the list is.
+// Path is the path of the list at the service.
 const Path = "/v1/instances"
 
-// Client is a hookhall.InstanceList.
+// Client is a hookhall.InstanceList. Its methods may be called concurrently.
 type Client struct {
-	url    string
-	client *http.Client
-	bytes  atomic.Int64
+	url       string
+	client    *http.Client
+	bytesRead atomic.Int64
 
-	mu   sync.Mutex
-	tag  string
-	last []hookhall.Instance
+	// mu is held for a whole read, so that reads don't overlap.
+	mu       sync.Mutex
+	etag     string
+	lastList []hookhall.Instance
 }
 
-// New makes a client of the list at address, an IP number and a port.
+// New returns a Client of the service at address, an IP address and port.
 func New(address string) *Client {
-	return &Client{url: "http://" + address + Path, client: &http.Client{Timeout: callTime}}
+	return &Client{url: "http://" + address + Path, client: &http.Client{Timeout: callTimeout}}
 }
 
-// List implements hookhall.InstanceList.
+// List implements hookhall.InstanceList. The returned slice is shared and must not be
+// changed. A read that fails returns an error that wraps hookhall.ErrUnavailable.
 func (c *Client) List(ctx context.Context) ([]hookhall.Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -54,8 +60,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tag != "" {
-		req.Header.Set("If-None-Match", c.tag)
+	if c.etag != "" {
+		req.Header.Set("If-None-Match", c.etag)
 	}
 	resp, err := c.client.Do(req)
 	if err != nil {
@@ -63,28 +69,28 @@
 	}
 	defer resp.Body.Close()
 	switch {
-	case resp.StatusCode == http.StatusNotModified && c.tag != "":
-		return c.last, nil
+	case resp.StatusCode == http.StatusNotModified && c.etag != "":
+		return c.lastList, nil
 	case resp.StatusCode != http.StatusOK:
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: status %d", resp.StatusCode)
 	}
 	return c.read(resp)
 }
 
-// read takes in a whole list; c.mu is held.
+// read reads a list and keeps it with its ETag. c.mu must be held.
 func (c *Client) read(resp *http.Response) ([]hookhall.Instance, error) {
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: %v", err)
 	}
-	c.bytes.Add(int64(len(body)))
+	c.bytesRead.Add(int64(len(body)))
 	var list []hookhall.Instance
 	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, errors.Wrapf(hookhall.ErrUnavailable, "instance list: %v", err)
 	}
-	c.tag, c.last = resp.Header.Get("ETag"), list
+	c.etag, c.lastList = resp.Header.Get("ETag"), list
 	return list, nil
 }
 
-// Bytes is the sum of the lists read.
-func (c *Client) Bytes() int64 { return c.bytes.Load() }
+// Bytes returns the total size of all lists read, in bytes.
+func (c *Client) Bytes() int64 { return c.bytesRead.Load() }
--- /dev/null
+++ b/internal/transport/upstream/resets_test.go
@@ -0,0 +1,196 @@
+// Copyright 2026 The hookhall authors.
+// SPDX-License-Identifier: Apache-2.0
+
+package upstream
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/hookhall/hookhall"
+	"github.com/hookhall/hookhall/internal/state/quota"
+)
+
+// limitedTarget is a target that accepts up to maxConns connections and resets others as
+// soon as they are open.
+type limitedTarget struct {
+	address   string
+	maxConns  atomic.Int64
+	openConns atomic.Int64
+	resets    atomic.Int64
+	served    atomic.Int64
+}
+
+// newLimitedTarget starts a limitedTarget that runs until the test ends.
+func newLimitedTarget(t *testing.T, maxConns int) *limitedTarget {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = listener.Close() })
+	target := &limitedTarget{address: listener.Addr().String()}
+	target.maxConns.Store(int64(maxConns))
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			target.accept(c.(*net.TCPConn))
+		}
+	}()
+	return target
+}
+
+// accept serves a connection, or resets it if maxConns are open.
+func (s *limitedTarget) accept(c *net.TCPConn) {
+	if s.openConns.Add(1) > s.maxConns.Load() {
+		s.openConns.Add(-1)
+		s.resets.Add(1)
+		_ = c.SetLinger(0)
+		_ = c.Close()
+		return
+	}
+	go func() {
+		defer func() { _ = c.Close(); s.openConns.Add(-1) }()
+		reader := bufio.NewReader(c)
+		for {
+			r, err := http.ReadRequest(reader)
+			if err != nil {
+				return
+			}
+			_, _ = io.Copy(io.Discard, r.Body)
+			time.Sleep(2 * time.Millisecond)
+			s.served.Add(1)
+			if _, err := io.WriteString(c, fixedLengthAnswer(r.Header.Get(callField), "")); err != nil {
+				return
+			}
+		}
+	}()
+}
+
+// send makes one request and reads its answer to the end.
+func send(t *testing.T, p *Pool, address, id string, newConnection bool) error {
+	t.Helper()
+	r := newTestRequest(id)
+	r.Address, r.Fresh = address, newConnection
+	resp, err := p.Do(t.Context(), r)
+	if err != nil {
+		return err
+	}
+	_, err = io.Copy(io.Discard, resp.Body)
+	_ = resp.Body.Close()
+	return err
+}
+
+// TestConnectionsOfAFleet guards against targets that reset connections because the idle
+// ones of all gateways occupy their connection slots. It runs bursts of 60 gateways against
+// three targets with 100 slots each. As each gateway keeps idle connections only within its
+// part, no target resets one; without parts, the idle ones alone would occupy all slots.
+func TestConnectionsOfAFleet(t *testing.T) {
+	const gateways, maxConns, bursts, requestsPerTarget = 60, 100, 4, 3
+	var targets []*limitedTarget
+	for range 3 {
+		targets = append(targets, newLimitedTarget(t, maxConns))
+	}
+	running := make(chan struct{}, 40) // requests in progress, of all gateways
+	var wg sync.WaitGroup
+	for rank := range gateways {
+		sharers := quota.Sharers{Count: gateways, Place: rank}
+		pool := NewPool()
+		pool.Resting = func(address string) int { return sharers.Part(maxConns/2, address) }
+		t.Cleanup(func() { pool.Sweep(time.Now().Add(time.Hour)) })
+		for burst := range bursts {
+			for n := range requestsPerTarget * len(targets) {
+				wg.Go(func() {
+					time.Sleep(time.Duration(burst) * 60 * time.Millisecond)
+					running <- struct{}{}
+					defer func() { <-running }()
+					if err := send(t, pool, targets[n%len(targets)].address, fmt.Sprint(rank, "-", burst, "-", n), n%2 == 0); err != nil {
+						t.Errorf("gateway %d: %v", rank, err)
+					}
+				})
+			}
+		}
+	}
+	wg.Wait()
+	for i, target := range targets {
+		if n := target.resets.Load(); n > 0 {
+			t.Errorf("target %d reset %d connections", i, n)
+		}
+		if want := int64(gateways * bursts * requestsPerTarget); target.served.Load() != want {
+			t.Errorf("target %d served %d of %d requests", i, target.served.Load(), want)
+		}
+	}
+}
+
+// TestResetBeforeRequest guards against requests that can't be retried because their verdict
+// is may-have-run. Once a target has reset a new connection, further ones are watched for a
+// reset before the request is written, so that a request without a slot has not run.
+func TestResetBeforeRequest(t *testing.T) {
+	target := newLimitedTarget(t, 0)
+	pool := NewPool()
+	if err := send(t, pool, target.address, "first", true); err == nil {
+		t.Fatal("a target without connection slots served a request")
+	}
+	if !pool.recentlyReset(target.address, time.Now()) {
+		pool.recordReset(target.address, time.Now()) // the first reset arrived before the request was written
+	}
+	for n := range 20 {
+		err := send(t, pool, target.address, fmt.Sprint(n), true)
+		if err == nil || hookhall.AsError(err).Verdict != hookhall.NotRun {
+			t.Fatalf("%v", err)
+		}
+	}
+	t.Run("a freed connection slot is used", func(t *testing.T) {
+		target.maxConns.Store(1)
+		if err := send(t, pool, target.address, "last", true); err != nil {
+			t.Error(err)
+		}
+	})
+}
+
+// TestIdleLimit guards against idle connections that occupy slots of a target without use:
+// they are kept only while requests for kept ones arrive, and within the process's part.
+func TestIdleLimit(t *testing.T) {
+	idleCount := func(p *Pool, address string) int {
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		return len(p.idleByAddress[address])
+	}
+	for _, test := range []struct {
+		name          string
+		part          int
+		newConnection []bool // of each request in turn
+		want          int
+	}{
+		{"only requests for a new connection", 5, []bool{true, true, true}, 0},
+		{"a request that may use a kept connection", 5, []bool{true, false}, 1},
+		{"with requests for new connections beside it", 5, []bool{false, true, true}, 3},
+		{"a part of one connection", 1, []bool{false, true, true}, 1},
+		{"a part of zero", 0, []bool{false, true, false}, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			target := newLimitedTarget(t, 100)
+			p := NewPool()
+			p.Resting = func(string) int { return test.part }
+			defer p.Sweep(time.Now().Add(time.Hour))
+			for i, newConnection := range test.newConnection {
+				if err := send(t, p, target.address, fmt.Sprint(i), newConnection); err != nil {
+					t.Fatal(err)
+				}
+			}
+			if n := idleCount(p, target.address); n != test.want {
+				t.Errorf("%d idle connections, not %d", n, test.want)
+			}
+		})
+	}
+}
