--- a/internal/app/admin/admin.go
+++ b/internal/app/admin/admin.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package admin puts an admin process together: the operators' interface to
-// the table. It keeps nothing; any number of them may run.
+// Package admin assembles an admin process, which serves the operators' interface
+// to the table. The process keeps no state, so any number of them may run.
 package admin
 
 import (
@@ -29,64 +29,70 @@
 	"github.com/pkg/errors"
 )
 
-// probeTime bounds one ask of an entry.
-const probeTime = time.Second
+// probeTimeout bounds one heartbeat to an entry, so that an entry that does not
+// answer delays a status report by no more than this.
+const probeTimeout = time.Second
 
 // Admin is one admin process.
 type Admin struct {
 	settings settings.Admin
 	kv       *keyvalue.Client
 	clients  *peers.Clients
-	at       net.Listener
+	listener net.Listener
 	app      *kratos.App
 	started  time.Time
 }
 
-// New makes an admin and begins to listen.
+// New returns an admin that listens on its configured address; Run serves. It
+// returns an error that names the setting if the address can't be opened.
 func New(s settings.Admin, logTo io.Writer) (*Admin, error) {
 	a := &Admin{settings: s, kv: keyvalue.New(s.Platform.KeyValue), clients: peers.NewClients(s.Fleet.Secret), started: clock.Now()}
 	var err error
-	if a.at, err = net.Listen("tcp", s.Admin.Listen); err != nil {
+	if a.listener, err = net.Listen("tcp", s.Admin.Listen); err != nil {
 		return nil, errors.Wrap(err, "admin.listen")
 	}
-	l := logging.New(logTo, s.Log.Level, logging.Admin)
-	editor := tables.NewEditor(a.kv, a.clients, l)
-	t := operators.NewTables(editor, time.Duration(s.Admin.AcceptMS)*time.Millisecond)
-	hs := khttp.NewServer(khttp.Listener(a.at), khttp.Timeout(0))
+	logger := logging.New(logTo, s.Log.Level, logging.Admin)
+	editor := tables.NewEditor(a.kv, a.clients, logger)
+	tableHandlers := operators.NewTables(editor, time.Duration(s.Admin.AcceptMS)*time.Millisecond)
+	httpServer := khttp.NewServer(khttp.Listener(a.listener), khttp.Timeout(0))
 	token := s.Admin.OperatorToken
-	hs.HandleFunc(callers.PathHealth, callers.Health)
-	hs.HandleFunc(operators.PathTable, operators.Guard(token, t.Get))
-	hs.HandleFunc(operators.PathEdits, operators.Guard(token, t.Edit))
-	hs.HandleFunc(operators.PathStatus, operators.Guard(token, operators.JSON(func(r *http.Request) any { return a.Status(r.Context()) })))
-	hs.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return a.State() })))
-	a.app = kratos.New(kratos.Name("hookhall-admin"), kratos.Server(hs), kratos.Logger(logging.Bridge(l)))
-	l.Info("Listening.", "operators", a.Address())
+	httpServer.HandleFunc(callers.PathHealth, callers.Health)
+	httpServer.HandleFunc(operators.PathTable, operators.Guard(token, tableHandlers.Get))
+	httpServer.HandleFunc(operators.PathEdits, operators.Guard(token, tableHandlers.Edit))
+	httpServer.HandleFunc(operators.PathStatus, operators.Guard(token, operators.JSON(func(r *http.Request) any { return a.Status(r.Context()) })))
+	httpServer.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return a.State() })))
+	a.app = kratos.New(kratos.Name("hookhall-admin"), kratos.Server(httpServer), kratos.Logger(logging.Bridge(logger)))
+	logger.Info("Listening.", "operators", a.Address())
 	return a, nil
 }
 
-// Address is where operators reach it.
-func (a *Admin) Address() string { return a.at.Addr().String() }
+// Address returns the IP:port at which operators reach the admin.
+func (a *Admin) Address() string { return a.listener.Addr().String() }
 
-// Run serves until SIGTERM; edits in progress are finished first.
+// Run serves until SIGTERM or the end of ctx, and finishes edits in progress before
+// it returns.
 func (a *Admin) Run(ctx context.Context) error {
-	context.AfterFunc(ctx, func() { _ = a.app.Stop() }) // Run returns its error
+	context.AfterFunc(ctx, func() { _ = a.app.Stop() }) // Run returns the error
 	err := a.app.Run()
 	a.clients.Close()
 	return errors.Wrap(err, "admin")
 }
 
-// State is an admin's dump.
+// State is the state dump of an admin. UpSeconds is the time since its start;
+// ServiceCalls counts its calls to the key-value service.
 type State struct {
 	UpSeconds    float64 `json:"up_s"`
 	ServiceCalls int64   `json:"service_calls"`
 }
 
-// State reads the admin's state.
+// State returns the current state of the admin.
 func (a *Admin) State() State {
 	return State{clock.Since(a.started).Seconds(), a.kv.Calls()}
 }
 
-// Status is the fleet as the view and a heartbeat to each member show it.
+// Status describes the fleet by the stored view and by a heartbeat to each member.
+// Version is the newest table version that a member reported. Error is set, and all
+// else empty, if the view can't be read.
 type Status struct {
 	Epoch    uint64            `json:"epoch"`
 	Version  uint64            `json:"table_version"`
@@ -95,7 +101,8 @@
 	Error    string            `json:"error,omitempty"`
 }
 
-// MemberStatus is one member.
+// MemberStatus describes one member of the view. Epoch and TableVersion are those
+// of its heartbeat reply, 0 if Answers is false.
 type MemberStatus struct {
 	hookhall.Member
 	Answers      bool   `json:"answers"`
@@ -103,36 +110,38 @@
 	TableVersion uint64 `json:"table_version"`
 }
 
-// Status asks every member.
+// Status reads the view and probes all its members concurrently; it takes at most
+// probeTimeout beyond the read of the view.
 func (a *Admin) Status(ctx context.Context) Status {
-	entry, err := a.kv.Get(ctx, tables.ViewKey)
+	stored, err := a.kv.Get(ctx, tables.ViewKey)
 	if err != nil {
 		return Status{Error: err.Error()}
 	}
-	v, err := view.Decode(entry.Value)
+	current, err := view.Decode(stored.Value)
 	if err != nil {
 		return Status{Error: err.Error()}
 	}
-	s := Status{Epoch: v.Epoch, Unfenced: v.Unfenced, Members: make([]MemberStatus, len(v.Members))}
+	status := Status{Epoch: current.Epoch, Unfenced: current.Unfenced, Members: make([]MemberStatus, len(current.Members))}
 	var wg sync.WaitGroup
-	for i, m := range v.Members {
+	for i, m := range current.Members {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			s.Members[i] = a.ask(ctx, m)
+			status.Members[i] = a.probe(ctx, m)
 		}()
 	}
 	wg.Wait()
-	sort.Slice(s.Members, func(i, j int) bool { return s.Members[i].ID < s.Members[j].ID })
-	for _, m := range s.Members {
-		s.Version = max(s.Version, m.TableVersion)
+	sort.Slice(status.Members, func(i, j int) bool { return status.Members[i].ID < status.Members[j].ID })
+	for _, m := range status.Members {
+		status.Version = max(status.Version, m.TableVersion)
 	}
-	return s
+	return status
 }
 
-func (a *Admin) ask(ctx context.Context, m hookhall.Member) MemberStatus {
-	ctx, cancel := context.WithTimeout(ctx, probeTime)
+// probe sends m one heartbeat and reports whether it answered within probeTimeout.
+func (a *Admin) probe(ctx context.Context, m hookhall.Member) MemberStatus {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	r, err := a.clients.Peer(m.Address).Probe(ctx, hookhall.Probe{From: "admin"})
-	return MemberStatus{Member: m, Answers: err == nil, Epoch: r.Epoch, TableVersion: r.TableVersion}
+	reply, err := a.clients.Peer(m.Address).Probe(ctx, hookhall.Probe{From: "admin"})
+	return MemberStatus{Member: m, Answers: err == nil, Epoch: reply.Epoch, TableVersion: reply.TableVersion}
 }
--- a/internal/app/cli/cli.go
+++ b/internal/app/cli/cli.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli has what hookhall's programs share on their command lines: flags,
-// the version, exit codes and signals.
+// Package cli has what hookhall's programs share as command-line programs: flags,
+// the version, exit codes and signal handling.
 package cli
 
 import (
@@ -17,20 +17,22 @@
 	"github.com/pkg/errors"
 )
 
-// Exit codes.
+// Exit codes of all programs.
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	// ExitUsage is for mistakes on the command line or in settings.
+	// ExitUsage reports a mistake on the command line or in the settings.
 	ExitUsage = 2
 )
 
-// Common are the flags of every program.
+// Common has the flags that every program accepts.
 type Common struct {
 	Version bool `long:"version" description:"Print the version and exit."`
 }
 
-// Version is the module's version, or the commit it was built from.
+// Version returns the version of the main module, followed by the first 12
+// characters of the commit it was built from if the build recorded one, or "unknown"
+// without build information.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -44,8 +46,9 @@
 	return info.Main.Version
 }
 
-// Parse parses arguments into data and does not return on --help, --version or
-// a mistake.
+// Parse parses the command line into the data that p was made with. c must be the
+// Common of that data. On --help, --version or a mistake Parse prints and exits
+// instead of returning.
 func Parse(p *flags.Parser, c *Common) {
 	p.Options &^= flags.PrintErrors
 	_, err := p.Parse()
@@ -56,38 +59,40 @@
 	if err == nil {
 		return
 	}
-	var f *flags.Error
-	if errors.As(err, &f) && f.Type == flags.ErrHelp {
-		fmt.Println(f.Message)
+	var flagError *flags.Error
+	if errors.As(err, &flagError) && flagError.Type == flags.ErrHelp {
+		fmt.Println(flagError.Message)
 		os.Exit(ExitOK)
 	}
 	Fail(p.Name, err, ExitUsage)
 }
 
-// Fail prints err as one message and exits.
+// Fail prints err to standard error, prefixed with the program's name, and exits
+// with code.
 func Fail(name string, err error, code int) {
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 	os.Exit(code)
 }
 
-// Signals returns a context that ends with the first SIGTERM or SIGINT, and
-// one that ends with the second.
+// Signals returns two contexts: one that is canceled by the first SIGTERM or SIGINT,
+// and one that is canceled by the second.
 func Signals() (first, second context.Context) {
-	c := make(chan os.Signal, 2)
-	signal.Notify(c, syscall.SIGTERM, syscall.SIGINT)
+	signals := make(chan os.Signal, 2)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	first, cancelFirst := context.WithCancel(context.Background())
 	second, cancelSecond := context.WithCancel(context.Background())
 	go func() {
-		<-c
+		<-signals
 		cancelFirst()
-		<-c
+		<-signals
 		cancelSecond()
 	}()
 	return first, second
 }
 
-// NoSignal is a signal that nothing sends: without any, the application
-// framework would take all signals, and a planned stop must drain first.
+// NoSignal is an os.Signal that is never sent. Given to the application framework as
+// its only stop signal, it keeps the framework from handling SIGTERM itself: with an
+// empty list it would handle all signals, and a planned stop must drain first.
 type NoSignal struct{}
 
 // Signal implements os.Signal.
@@ -96,23 +101,24 @@
 // String implements os.Signal.
 func (NoSignal) String() string { return "none" }
 
-// OnHangup calls f on each SIGHUP, which without it would end the process.
+// OnHangup calls f on each SIGHUP, whose default action would end the process. Calls
+// of f do not overlap.
 func OnHangup(f func()) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGHUP)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGHUP)
 	go func() {
-		for range c {
+		for range signals {
 			f()
 		}
 	}()
 }
 
-// OnDump calls f on each SIGUSR2.
+// OnDump calls f on each SIGUSR2. Calls of f do not overlap.
 func OnDump(f func()) {
-	c := make(chan os.Signal, 1)
-	signal.Notify(c, syscall.SIGUSR2)
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGUSR2)
 	go func() {
-		for range c {
+		for range signals {
 			f()
 		}
 	}()
