--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -1,19 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package entry puts an entry process together: it owns the parts, their
-// start, and the planned stop.
+// Package entry assembles an entry process: it constructs its components, starts
+// them, and carries out the planned stop.
 //
 // # Model
 //
-// Start: listen, follow the table, read the instance list; once the table is
-// confirmed, join the fleet; ready when both are done. If the key-value service
-// is away, a newcomer takes view and table from more than half of its peers and
-// serves as a guest: it owns nothing until it can join.
+// Start: the entry listens, follows the table and reads the instance list. Once the
+// table is confirmed, it joins the fleet; it is ready when both are done. While the
+// key-value service is unavailable, a new process takes the view and the table from
+// more than half of its peers and serves as a guest: it owns no claims and no limits
+// until it can join.
 //
-// Stop: not ready, but taking work for the notice that the balancer needs;
-// meanwhile leave the view and hand over claims; then refuse new work, finish
-// what is in progress, settle claims, end.
+// Stop: the entry reports that it is not ready, but accepts work for the notice
+// period that the load balancer needs. Meanwhile it leaves the view and hands over
+// its claims. Then it refuses new work, finishes the requests in progress, waits for
+// settlements in progress, and ends.
 package entry
 
 import (
@@ -60,71 +62,78 @@
 )
 
 const (
-	// readyPoll is how often a starting entry looks whether it can go on.
-	readyPoll = 50 * time.Millisecond
-	// byPeersAfter is how long a starting entry waits for the service before
-	// it turns to its peers.
-	byPeersAfter = 2 * time.Second
-	// poolsTime is how long a starting entry waits for targets.
-	poolsTime = 5 * time.Second
-	// keepEvery is how often connections to former members are closed.
-	keepEvery = 30 * time.Second
+	// readyPollInterval is the time between checks of a condition that a starting or
+	// stopping entry waits for.
+	readyPollInterval = 50 * time.Millisecond
+	// peerFallbackDelay is how long a starting entry waits for the key-value service
+	// before it asks its peers for the table.
+	peerFallbackDelay = 2 * time.Second
+	// poolsTimeout bounds how long a starting entry waits until all pools of the table
+	// have targets; then it becomes ready without them.
+	poolsTimeout = 5 * time.Second
+	// peerCleanupInterval is the time between closings of connections to former
+	// members.
+	peerCleanupInterval = 30 * time.Second
 )
 
-// Entry is one entry process.
+// Entry is one entry process. ready is set when the start is complete, draining when
+// the planned stop begins, and refusing when its notice period is over.
 type Entry struct {
 	settings settings.Entry
 	log      *log.Logger
 	logTo    io.Writer
 	started  time.Time
 
-	kv      *keyvalue.Client
-	list    *instances.Client
-	clients *peers.Clients
-	store   *claim.Store
-	tables  *tables.Keeper
-	fleet   *fleet.Fleet
-	claims  *claims.Claims
-	limits  *limits.Limits
-	targets *targets.Directory
-	runner  *pipeline.Runner
-	metrics *metrics.Metrics
-	peers   *peers.Server
+	kv           *keyvalue.Client
+	instanceList *instances.Client
+	clients      *peers.Clients
+	store        *claim.Store
+	tables       *tables.Keeper
+	fleet        *fleet.Fleet
+	claims       *claims.Claims
+	limits       *limits.Limits
+	targets      *targets.Directory
+	runner       *pipeline.Runner
+	metrics      *metrics.Metrics
+	peers        *peers.Server
 
-	callersAt net.Listener
-	peersAt   net.Listener
-	app       *kratos.App
-	drain     *front.Drain
+	callersListener net.Listener
+	peersListener   net.Listener
+	app             *kratos.App
+	drain           *front.Drain
 
 	ready    atomic.Bool
 	draining atomic.Bool
-	closed   atomic.Bool
+	refusing atomic.Bool
 }
 
-// New makes an entry and begins to listen, so that its addresses are known.
+// New returns an entry that already listens, so that its addresses are known; Run
+// serves. It returns an error that names the setting if an address can't be opened.
 func New(s settings.Entry, logTo io.Writer) (*Entry, error) {
 	e := &Entry{settings: s, logTo: logTo, started: clock.Now(), metrics: metrics.New()}
 	e.log = e.logger(logging.App)
 	var err error
-	if e.callersAt, err = net.Listen("tcp", s.Entry.Callers); err != nil {
+	if e.callersListener, err = net.Listen("tcp", s.Entry.Callers); err != nil {
 		return nil, errors.Wrap(err, "entry.callers")
 	}
-	if e.peersAt, err = net.Listen("tcp", s.Entry.Peers); err != nil {
+	if e.peersListener, err = net.Listen("tcp", s.Entry.Peers); err != nil {
 		return nil, errors.Wrap(err, "entry.peers")
 	}
 	e.build()
 	return e, nil
 }
 
+// logger returns the logger of the component named by prefix.
 func (e *Entry) logger(prefix string) *log.Logger {
 	return logging.New(e.logTo, e.settings.Log.Level, prefix)
 }
 
-// member is this process as it joins: its incarnation is its start.
+// member returns the member that this process joins the fleet as. Its ID contains
+// the time of the start, so that each incarnation of an instance has its own.
 func (e *Entry) member() hookhall.Member {
 	address := e.settings.Entry.Advertise
 	if address == "" {
-		address = e.peersAt.Addr().String()
+		address = e.peersListener.Addr().String()
 	}
 	return hookhall.Member{
 		ID:       e.settings.Entry.Instance + "#" + strconv.FormatInt(e.started.UnixNano(), 36),
@@ -132,89 +141,94 @@
 	}
 }
 
+// build constructs the components. The addresses must be open.
 func (e *Entry) build() {
-	s := e.settings
+	config := e.settings
 	self := e.member()
-	e.kv = keyvalue.New(s.Platform.KeyValue)
-	e.list = instances.New(s.Platform.Instances)
-	e.clients = peers.NewClients(s.Fleet.Secret)
-	e.store = claim.New(self.ID, s.Fleet.Retention())
+	e.kv = keyvalue.New(config.Platform.KeyValue)
+	e.instanceList = instances.New(config.Platform.Instances)
+	e.clients = peers.NewClients(config.Fleet.Secret)
+	e.store = claim.New(self.ID, config.Fleet.Retention())
 	e.tables = tables.NewKeeper(e.kv, e.logger(logging.Table))
 	e.fleet = fleet.New(fleet.Parts{
-		Self: self, KV: e.kv, List: e.list, Peers: e.clients,
+		Self: self, KV: e.kv, List: e.instanceList, Peers: e.clients,
 		Store: e.store, Tables: e.tables, Log: e.logger(logging.Fleet),
-		Timing: fleet.Timing{Heartbeat: s.Fleet.Heartbeat(), Suspect: s.Fleet.Suspect, List: s.Fleet.List()},
+		Timing: fleet.Timing{Heartbeat: config.Fleet.Heartbeat(), Suspect: config.Fleet.Suspect, List: config.Fleet.List()},
 	})
 	e.claims = claims.New(e.store, e.fleet, e.clients, e.logger(logging.Claims))
 	e.limits = limits.New(e.fleet, e.tables, e.clients)
-	back := backend.New()
-	e.targets = targets.New(e.fleet, e.tables, back, targetPolicy(s.Policy), e.logger(logging.Targets))
+	backends := backend.New()
+	e.targets = targets.New(e.fleet, e.tables, backends, targetPolicy(config.Policy), e.logger(logging.Targets))
 	e.runner = pipeline.New(pipeline.Parts{
-		Tables: e.tables, Targets: e.targets, Claims: e.claims, Limits: e.limits, Backend: back, Meter: e.metrics,
-		Policy: pipeline.Policy{NoEarlyRefusal: !s.Policy.EarlyRefusal, NoClaims: !s.Policy.Claims},
+		Tables: e.tables, Targets: e.targets, Claims: e.claims, Limits: e.limits, Backend: backends, Meter: e.metrics,
+		Policy: pipeline.Policy{NoEarlyRefusal: !config.Policy.EarlyRefusal, NoClaims: !config.Policy.Claims},
 	})
-	e.peers = peers.NewServer(peerHandler{e}, s.Fleet.Secret, e.logger(logging.Peers))
+	e.peers = peers.NewServer(peerHandler{e}, config.Fleet.Secret, e.logger(logging.Peers))
 	e.app = e.newApp()
 }
 
-func targetPolicy(p settings.PolicyPart) targets.Policy {
-	policy := targets.Policy{NoWindow: !p.Window, NoPrefix: !p.Prefix}
-	if p.Order == "arrival" {
+// targetPolicy returns the settings of the targets that experiments may change.
+func targetPolicy(part settings.PolicyPart) targets.Policy {
+	policy := targets.Policy{NoWindow: !part.Window, NoPrefix: !part.Prefix}
+	if part.Order == "arrival" {
 		policy.Order = admission.OrderArrival
 	}
-	if p.Choice == "random" {
+	if part.Choice == "random" {
 		policy.Choice = routing.ChoiceRandom
 	}
 	return policy
 }
 
-// newApp makes the servers. Their default timeouts would cut streams off.
+// newApp returns the HTTP server for callers and the gRPC server for peers. Timeouts
+// of 0 replace the framework's default ones, which would cut off streamed answers.
 func (e *Entry) newApp() *kratos.App {
-	hs := khttp.NewServer(khttp.Listener(e.callersAt), khttp.Timeout(0))
-	h := callers.New(service{e})
-	e.drain = front.NewDrain(http.HandlerFunc(h.Run), func(w http.ResponseWriter, err *hookhall.Error) {
+	httpServer := khttp.NewServer(khttp.Listener(e.callersListener), khttp.Timeout(0))
+	handler := callers.New(callersService{e})
+	e.drain = front.NewDrain(http.HandlerFunc(handler.Run), func(w http.ResponseWriter, err *hookhall.Error) {
 		wire.WriteProblem(w, wire.NewProblem("", err))
 	})
-	hs.HandleFunc(callers.PathRun, e.drain.ServeHTTP)
-	hs.HandleFunc(callers.PathReady, h.Ready)
-	hs.HandleFunc(callers.PathHealth, callers.Health)
+	httpServer.HandleFunc(callers.PathRun, e.drain.ServeHTTP)
+	httpServer.HandleFunc(callers.PathReady, handler.Ready)
+	httpServer.HandleFunc(callers.PathHealth, callers.Health)
 	token := e.settings.Entry.OperatorToken
-	hs.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return e.State() })))
-	hs.HandleFunc(operators.PathExplain, operators.Guard(token, operators.JSON(func(r *http.Request) any {
+	httpServer.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return e.State() })))
+	httpServer.HandleFunc(operators.PathExplain, operators.Guard(token, operators.JSON(func(r *http.Request) any {
 		return e.Explain(r.URL.Query().Get("account"))
 	})))
-	hs.HandleFunc(operators.PathMetrics, operators.Guard(token, e.metrics.Handler().ServeHTTP))
-	gs := kgrpc.NewServer(kgrpc.Listener(e.peersAt), kgrpc.Timeout(0),
+	httpServer.HandleFunc(operators.PathMetrics, operators.Guard(token, e.metrics.Handler().ServeHTTP))
+	grpcServer := kgrpc.NewServer(kgrpc.Listener(e.peersListener), kgrpc.Timeout(0),
 		kgrpc.UnaryInterceptor(e.peers.Check), kgrpc.Options(grpc.MaxRecvMsgSize(peers.MaxMessage)))
-	e.peers.Register(gs)
+	e.peers.Register(grpcServer)
 	return kratos.New(
-		kratos.Name("hookhall-entry"), kratos.Server(hs, gs),
+		kratos.Name("hookhall-entry"), kratos.Server(httpServer, grpcServer),
 		kratos.Logger(logging.Bridge(e.log)),
-		// The planned stop is Run's: the framework must not act on SIGTERM.
-		kratos.Signal(cli.NoSignal{}), kratos.StopTimeout(e.grace()),
+		// Run carries out the planned stop: the framework must not act on SIGTERM.
+		kratos.Signal(cli.NoSignal{}), kratos.StopTimeout(e.gracePeriod()),
 	)
 }
 
-func (e *Entry) grace() time.Duration {
+// gracePeriod returns how long requests in progress may take after the notice period
+// of a planned stop.
+func (e *Entry) gracePeriod() time.Duration {
 	return time.Duration(e.settings.Stop.GraceMS) * time.Millisecond
 }
 
-// Callers is the address that callers use.
-func (e *Entry) Callers() string { return e.callersAt.Addr().String() }
+// Callers returns the IP:port at which the entry listens for callers.
+func (e *Entry) Callers() string { return e.callersListener.Addr().String() }
 
-// Peers is the address that peers use.
-func (e *Entry) Peers() string { return e.peersAt.Addr().String() }
+// Peers returns the IP:port at which the entry listens for its peers.
+func (e *Entry) Peers() string { return e.peersListener.Addr().String() }
 
-// Run serves until ctx ends, then stops as planned. A second cancellation,
-// through force, ends the stop early.
+// Run serves until ctx ends, then carries out the planned stop, which the end of
+// force cuts short. It returns an error if the servers fail.
 func (e *Entry) Run(ctx, force context.Context) error {
 	loops, endLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){e.tables.Run, e.fleet.Run, e.targets.Run, e.limits.Run, e.keepPeers} {
+	for _, loop := range []func(context.Context){e.tables.Run, e.fleet.Run, e.targets.Run, e.limits.Run, e.closeFormerPeers} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f(loops)
+			loop(loops)
 		}()
 	}
 	served := make(chan error, 1)
@@ -224,7 +238,7 @@
 	var err error
 	select {
 	case err = <-served:
-		e.log.Error("The servers ended.", "error", fmt.Sprint(err))
+		e.log.Error("servers ended unexpectedly", "error", fmt.Sprint(err))
 	case <-ctx.Done():
 		e.stop(force)
 		err = e.app.Stop()
@@ -233,28 +247,29 @@
 	endLoops()
 	wg.Wait()
 	e.clients.Close()
-	_ = e.metrics.Close() // the process ends
+	_ = e.metrics.Close() // the process ends, so that the error has no consequence
 	e.log.Info("Stopped.")
 	return errors.Wrap(err, "entry")
 }
 
-// start waits for the table and joins the fleet.
+// start waits until the table is confirmed, joins the fleet and marks the entry as
+// ready. It returns early, without that, if ctx ends.
 func (e *Entry) start(ctx context.Context) {
-	began := clock.Now()
+	startedAt := clock.Now()
 	for !e.tables.Ready() {
-		if clock.Since(began) > byPeersAfter {
+		if clock.Since(startedAt) > peerFallbackDelay {
 			e.learnFromPeers(ctx)
 		}
-		if !retry.Sleep(ctx, readyPoll) {
+		if !retry.Sleep(ctx, readyPollInterval) {
 			return
 		}
 	}
 	if err := e.fleet.Join(ctx); err != nil {
-		e.log.Warn("Can't join yet; serving as a guest.", "error", err.Error())
+		e.log.Warn("could not join the fleet yet; serving without owning claims or limits", "error", err.Error())
 	}
 	for e.fleet.View().Epoch == 0 || e.fleet.Listed() == nil {
 		e.learnFromPeers(ctx)
-		if !retry.Sleep(ctx, readyPoll) {
+		if !retry.Sleep(ctx, readyPollInterval) {
 			return
 		}
 	}
@@ -264,27 +279,28 @@
 	e.log.Info("Ready.", "table", e.tables.Version(), "epoch", e.fleet.View().Epoch)
 }
 
-// awaitPools waits, but not for ever, until the list shows targets in all pools
-// that the table names: until then this entry could only refuse.
+// awaitPools waits up to poolsTimeout until the instance list shows targets in all
+// pools of the table: without them this entry could only refuse requests.
 func (e *Entry) awaitPools(ctx context.Context) {
-	limit := clock.Now().Add(poolsTime)
-	for clock.Now().Before(limit) {
+	deadline := clock.Now().Add(poolsTimeout)
+	for clock.Now().Before(deadline) {
 		e.targets.Refresh(clock.Now())
-		missing := e.missingPool()
+		missing := e.firstEmptyPool()
 		if missing == "" {
-			e.targets.Poll(ctx) // capacities, before the first request
+			e.targets.Poll(ctx) // reads the targets' capacities before the first request
 			e.targets.Refresh(clock.Now())
 			return
 		}
-		if !retry.Sleep(ctx, readyPoll) {
+		if !retry.Sleep(ctx, readyPollInterval) {
 			return
 		}
 	}
-	e.log.Warn("Ready without targets.", "pool", e.missingPool())
+	e.log.Warn("ready, but a pool has no targets", "pool", e.firstEmptyPool())
 }
 
-// missingPool is the first pool in the table without a target.
-func (e *Entry) missingPool() string {
+// firstEmptyPool returns the name of a pool in the table that has no targets, "" if
+// all pools have some.
+func (e *Entry) firstEmptyPool() string {
 	for _, p := range e.tables.Current().Snapshot.Pipelines {
 		for _, s := range p.Stages {
 			if pool := e.targets.Pool(s.Pool); pool == nil || len(pool.Targets()) == 0 {
@@ -295,65 +311,68 @@
 	return ""
 }
 
-// learnFromPeers takes view and table from listed entries.
+// learnFromPeers probes all entries on the instance list, from which the fleet
+// learns the view, and confirms the table by their answers if it is not confirmed yet.
 func (e *Entry) learnFromPeers(ctx context.Context) {
 	listing := e.fleet.Listed()
 	if listing == nil {
 		return
 	}
-	var all []hookhall.Peer
-	for _, i := range listing.Instances {
-		if i.Role != hookhall.RoleEntry || i.ID == e.settings.Entry.Instance {
+	var entries []hookhall.Peer
+	for _, instance := range listing.Instances {
+		if instance.Role != hookhall.RoleEntry || instance.ID == e.settings.Entry.Instance {
 			continue
 		}
-		all = append(all, e.clients.Peer(i.Address))
-		_ = e.fleet.Probe(ctx, hookhall.Member{ID: i.ID, Address: i.Address}) // one that fails has nothing to tell
+		entries = append(entries, e.clients.Peer(instance.Address))
+		_ = e.fleet.Probe(ctx, hookhall.Member{ID: instance.ID, Address: instance.Address}) // an entry that does not answer contributes nothing
 	}
-	if !e.tables.Ready() && len(all) > 0 && e.tables.ConfirmByPeers(ctx, all) {
-		e.log.Warn("The table is from peers; the service does not answer.", "version", e.tables.Version())
+	if !e.tables.Ready() && len(entries) > 0 && e.tables.ConfirmByPeers(ctx, entries) {
+		e.log.Warn("table confirmed by peers; the key-value service does not answer", "version", e.tables.Version())
 	}
 }
 
-// stop is the planned stop up to the moment when nothing is in progress.
+// stop carries out the planned stop until no request is in progress, or until the
+// notice and grace periods are over or force ends.
 func (e *Entry) stop(force context.Context) {
 	e.draining.Store(true)
 	e.log.Info("Stopping.", "active", e.runner.Active())
 	notice := time.Duration(e.settings.Stop.NoticeMS) * time.Millisecond
-	ctx, cancel := context.WithTimeout(force, notice+e.grace())
+	ctx, cancel := context.WithTimeout(force, notice+e.gracePeriod())
 	defer cancel()
-	left := make(chan struct{})
+	handedOver := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(handedOver)
 		if err := e.fleet.Leave(ctx); err != nil {
-			e.log.Warn("Could not hand over claims.", "error", err.Error())
+			e.log.Warn("could not hand over claims", "error", err.Error())
 		}
 	}()
 	retry.Sleep(ctx, notice)
-	e.closed.Store(true)
+	e.refusing.Store(true)
 	e.drain.Close()
-	for e.runner.Active() > 0 && retry.Sleep(ctx, readyPoll) {
+	for e.runner.Active() > 0 && retry.Sleep(ctx, readyPollInterval) {
 	}
-	// A request that has been read, and is not active yet, must not be in progress
-	// when its connection is closed: its caller would send it again, and meet
-	// itself.
+	// A request may have been read without being active yet. If its connection were
+	// closed now, its caller would send it again while the first copy still runs, so
+	// that the two would collide.
 	e.drain.Finish(ctx)
-	if n := e.runner.Active(); n > 0 {
-		e.log.Error("Requests were cut off.", "active", n)
+	if active := e.runner.Active(); active > 0 {
+		e.log.Error("requests cut off", "active", active)
 	}
-	<-left
+	<-handedOver
 	if err := e.claims.Drain(ctx); err != nil {
-		e.log.Warn("Stopping with claims that will expire.", "error", err.Error())
+		e.log.Warn("stopping with unsettled claims, which will expire", "error", err.Error())
 	}
 }
 
-// keepPeers closes connections to former members.
-func (e *Entry) keepPeers(ctx context.Context) {
-	for retry.Sleep(ctx, keepEvery) {
-		current := map[string]bool{}
-		v := e.fleet.View()
-		for _, m := range append(v.Members, v.Unfenced...) {
-			current[m.Address] = true
+// closeFormerPeers closes the connections to former members every
+// peerCleanupInterval, until ctx ends.
+func (e *Entry) closeFormerPeers(ctx context.Context) {
+	for retry.Sleep(ctx, peerCleanupInterval) {
+		isCurrent := map[string]bool{}
+		view := e.fleet.View()
+		for _, m := range append(view.Members, view.Unfenced...) {
+			isCurrent[m.Address] = true
 		}
-		e.clients.Keep(func(a string) bool { return current[a] })
+		e.clients.Keep(func(address string) bool { return isCurrent[address] })
 	}
 }
--- a/internal/app/entry/handlers.go
+++ b/internal/app/entry/handlers.go
@@ -11,19 +11,19 @@
 	"github.com/hookhall/hookhall/internal/state/table"
 )
 
-// service is the entry as the callers' interface sees it.
-type service struct{ e *Entry }
+// callersService implements callers.Service, the interface to callers, by an entry.
+type callersService struct{ e *Entry }
 
 // Table implements callers.Service.
-func (s service) Table() *table.Snapshot { return s.e.tables.Current().Snapshot }
+func (s callersService) Table() *table.Snapshot { return s.e.tables.Current().Snapshot }
 
 // Ready implements callers.Service.
-func (s service) Ready() bool { return s.e.ready.Load() && !s.e.draining.Load() }
+func (s callersService) Ready() bool { return s.e.ready.Load() && !s.e.draining.Load() }
 
 // Accepting implements callers.Service.
-func (s service) Accepting() (bool, hookhall.Cause) {
+func (s callersService) Accepting() (bool, hookhall.Cause) {
 	switch {
-	case s.e.closed.Load():
+	case s.e.refusing.Load():
 		return false, hookhall.CauseStopping
 	case !s.e.ready.Load():
 		return false, hookhall.CauseNotReady
@@ -32,11 +32,11 @@
 }
 
 // Run implements callers.Service.
-func (s service) Run(ctx context.Context, q *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error) {
+func (s callersService) Run(ctx context.Context, q *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error) {
 	return s.e.runner.Run(ctx, q, emit)
 }
 
-// peerHandler is the entry as its peers see it.
+// peerHandler implements peers.Handler, the calls of other members, by an entry.
 type peerHandler struct{ e *Entry }
 
 // HandleProbe implements peers.Handler.
--- a/internal/app/entry/state.go
+++ b/internal/app/entry/state.go
@@ -17,7 +17,8 @@
 	"github.com/hookhall/hookhall/internal/state/routing"
 )
 
-// State is an entry's dump.
+// State is the state dump of an entry. Members and Unfenced are those of the view in
+// force, whose number is Epoch.
 type State struct {
 	Member       hookhall.Member   `json:"member"`
 	UpSeconds    float64           `json:"up_s"`
@@ -38,14 +39,15 @@
 	Cost         CostState         `json:"cost"`
 }
 
-// PoolState is a pool in a dump.
+// PoolState describes one pool: its admission gate and its targets.
 type PoolState struct {
 	Name    string           `json:"name"`
 	Gate    admission.Status `json:"gate"`
 	Targets []routing.Status `json:"targets"`
 }
 
-// EstimateState is one learned estimate in a dump.
+// EstimateState is one learned estimate of how long calls of a stage take, in
+// milliseconds, for requests of a size class.
 type EstimateState struct {
 	Pipeline string  `json:"pipeline"`
 	Stage    string  `json:"stage"`
@@ -54,7 +56,8 @@
 	HighMS   float64 `json:"high_ms"`
 }
 
-// CostState is what this process costs itself and the platform.
+// CostState has what this process uses of its own resources and of the platform's,
+// in totals since its start; HeapBytes and Goroutines are current values.
 type CostState struct {
 	ServiceCalls int64  `json:"service_calls"`
 	ServiceBytes int64  `json:"service_bytes"`
@@ -66,24 +69,25 @@
 	Goroutines   int    `json:"goroutines"`
 }
 
-// TableVersion is the version in force.
+// TableVersion returns the version of the table in force.
 func (e *Entry) TableVersion() uint64 { return e.tables.Version() }
 
-// State reads the entry's state.
+// State returns the current state of the entry. It stops the process for the moment
+// that runtime.ReadMemStats needs.
 func (e *Entry) State() State {
 	now := clock.Now()
-	v, inForce := e.fleet.View(), e.tables.Current()
+	view, inForce := e.fleet.View(), e.tables.Current()
 	var mem runtime.MemStats
 	runtime.ReadMemStats(&mem)
 	return State{
 		Member: e.fleet.Self(), UpSeconds: now.Sub(e.started).Seconds(),
-		Ready: service{e}.Ready(), Draining: e.draining.Load(), Active: e.runner.Active(),
+		Ready: callersService{e}.Ready(), Draining: e.draining.Load(), Active: e.runner.Active(),
 		TableVersion: inForce.Snapshot.Version, TableSince: inForce.Since, TableReady: e.tables.Ready(),
-		Epoch: v.Epoch, Members: v.Members, Unfenced: v.Unfenced,
+		Epoch: view.Epoch, Members: view.Members, Unfenced: view.Unfenced,
 		Claims: e.store.Summary(), ClaimCounts: e.claims.Counts(), OwnedLimits: e.limits.Owned(),
 		Pools: e.poolStates(now), Estimates: e.estimateStates(),
 		Cost: CostState{
-			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.Bytes(), ViewWrites: e.fleet.Writes(), PeerBytes: e.clients.Bytes(), ListBytes: e.list.Bytes(),
+			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.Bytes(), ViewWrites: e.fleet.Writes(), PeerBytes: e.clients.Bytes(), ListBytes: e.instanceList.Bytes(),
 			PeerRefusals: e.peers.Refused(), HeapBytes: mem.HeapAlloc, Goroutines: runtime.NumGoroutine(),
 		},
 	}
@@ -91,20 +95,21 @@
 
 func (e *Entry) poolStates(now time.Time) []PoolState {
 	var pools []PoolState
-	for _, p := range e.targets.Pools() {
-		s := PoolState{Name: p.Name, Gate: p.Gate.Status(now)}
-		for _, t := range p.Targets() {
-			s.Targets = append(s.Targets, t.Status(now))
+	for _, pool := range e.targets.Pools() {
+		state := PoolState{Name: pool.Name, Gate: pool.Gate.Status(now)}
+		for _, target := range pool.Targets() {
+			state.Targets = append(state.Targets, target.Status(now))
 		}
-		pools = append(pools, s)
+		pools = append(pools, state)
 	}
 	return pools
 }
 
+// estimateStates returns all estimates, sorted by pipeline, stage and size.
 func (e *Entry) estimateStates() []EstimateState {
 	var list []EstimateState
-	for k, v := range e.runner.Estimates().All() {
-		list = append(list, EstimateState{k.Pipeline, k.Stage, k.Size, ms(v.Median), ms(v.High)})
+	for key, estimate := range e.runner.Estimates().All() {
+		list = append(list, EstimateState{key.Pipeline, key.Stage, key.Size, milliseconds(estimate.Median), milliseconds(estimate.High)})
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
@@ -119,24 +124,28 @@
 	return list
 }
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// milliseconds returns d in milliseconds, with its fraction.
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// Explanation says what an account's requests meet here, and what would change
-// it.
+// Explanation describes what happened to the requests of a client account at this
+// entry, and which cells of the table influence it. Row is the account's row in the
+// table in force, nil if Known is false.
 type Explanation struct {
 	Account string            `json:"account"`
 	Known   bool              `json:"known"`
 	Row     *hookhall.Account `json:"row,omitempty"`
-	// Counts are this entry's totals by cause since its start.
+	// Counts has this entry's totals by cause since its start.
 	Counts map[string]int64 `json:"counts"`
 	Last   *metrics.Refusal `json:"last_failure,omitempty"`
-	// WaitMS is what a request of its priority would wait now, by pool.
+	// WaitMS has what a request of this account would wait now, with its weight and
+	// priority, in milliseconds by pool.
 	WaitMS map[string]float64 `json:"wait_ms"`
 	Advice []string           `json:"advice"`
 }
 
-// advice says, by cause, which cell has a say in it.
-var advice = map[hookhall.Cause]string{
+// adviceByCause has, by the cause of a refusal or failure, the cells of the table
+// that influence it.
+var adviceByCause = map[hookhall.Cause]string{
 	hookhall.CauseLimit:    "it is at its own limit: raise accounts:rate or accounts:concurrency",
 	hookhall.CauseOverload: "the queues are too long for its deadline: raise accounts:priority or accounts:weight, lengthen accounts:deadline_ms, or add targets to the pool with the longest wait",
 	hookhall.CauseDeadline: "the pipeline takes longer than its deadline: lengthen accounts:deadline_ms, or lower stages:max_tokens",
@@ -145,24 +154,25 @@
 	hookhall.CauseNoClaim:  "claims can't be had: look at the members that do not answer",
 }
 
-// Explain says what an account's requests meet here.
+// Explain returns what happened to the requests of the client account called name at
+// this entry, with advice for each cause that was counted.
 func (e *Entry) Explain(name string) Explanation {
 	now := clock.Now()
-	a := e.tables.Current().Snapshot.Accounts[name]
+	account := e.tables.Current().Snapshot.Accounts[name]
 	stats := e.metrics.Account(name)
-	x := Explanation{Account: name, Known: a != nil, Row: a, Counts: stats.Counts(), Last: stats.Last(), WaitMS: map[string]float64{}}
-	if a == nil {
-		x.Advice = []string{"the table in force has no such account"}
-		return x
+	explanation := Explanation{Account: name, Known: account != nil, Row: account, Counts: stats.Counts(), Last: stats.Last(), WaitMS: map[string]float64{}}
+	if account == nil {
+		explanation.Advice = []string{"the table in force has no such account"}
+		return explanation
 	}
-	for _, p := range e.targets.Pools() {
-		x.WaitMS[p.Name] = ms(p.Gate.Wait(a.Name, a.Weight, a.Priority, now))
+	for _, pool := range e.targets.Pools() {
+		explanation.WaitMS[pool.Name] = milliseconds(pool.Gate.Wait(account.Name, account.Weight, account.Priority, now))
 	}
-	for cause, text := range advice {
-		if x.Counts[string(cause)] > 0 {
-			x.Advice = append(x.Advice, string(cause)+": "+text)
+	for cause, text := range adviceByCause {
+		if explanation.Counts[string(cause)] > 0 {
+			explanation.Advice = append(explanation.Advice, string(cause)+": "+text)
 		}
 	}
-	sort.Strings(x.Advice)
-	return x
+	sort.Strings(explanation.Advice)
+	return explanation
 }
