--- a/internal/app/admin/admin.go
+++ b/internal/app/admin/admin.go
@@ -45,17 +45,17 @@
 
 // New returns an admin that listens on its configured address; Run serves. It
 // returns an error that names the setting if the address can't be opened.
-func New(s settings.Admin, logTo io.Writer) (*Admin, error) {
-	a := &Admin{settings: s, kv: keyvalue.New(s.Platform.KeyValue), clients: peers.NewClients(s.Fleet.Secret), started: clock.Now()}
+func New(config settings.Admin, logTo io.Writer) (*Admin, error) {
+	a := &Admin{settings: config, kv: keyvalue.New(config.Platform.KeyValue), clients: peers.NewClients(config.Fleet.Secret), started: clock.Now()}
 	var err error
-	if a.listener, err = net.Listen("tcp", s.Admin.Listen); err != nil {
+	if a.listener, err = net.Listen("tcp", config.Admin.Listen); err != nil {
 		return nil, errors.Wrap(err, "admin.listen")
 	}
-	logger := logging.New(logTo, s.Log.Level, logging.Admin)
+	logger := logging.New(logTo, config.Log.Level, logging.Admin)
 	editor := tables.NewEditor(a.kv, a.clients, logger)
-	tableHandlers := operators.NewTables(editor, time.Duration(s.Admin.AcceptMS)*time.Millisecond)
+	tableHandlers := operators.NewTables(editor, time.Duration(config.Admin.AcceptMS)*time.Millisecond)
 	httpServer := khttp.NewServer(khttp.Listener(a.listener), khttp.Timeout(0))
-	token := s.Admin.OperatorToken
+	token := config.Admin.OperatorToken
 	httpServer.HandleFunc(callers.PathHealth, callers.Health)
 	httpServer.HandleFunc(operators.PathTable, operators.Guard(token, tableHandlers.Get))
 	httpServer.HandleFunc(operators.PathEdits, operators.Guard(token, tableHandlers.Edit))
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -109,14 +109,14 @@
 
 // New returns an entry that already listens, so that its addresses are known; Run
 // serves. It returns an error that names the setting if an address can't be opened.
-func New(s settings.Entry, logTo io.Writer) (*Entry, error) {
-	e := &Entry{settings: s, logTo: logTo, started: clock.Now(), metrics: metrics.New()}
+func New(config settings.Entry, logTo io.Writer) (*Entry, error) {
+	e := &Entry{settings: config, logTo: logTo, started: clock.Now(), metrics: metrics.New()}
 	e.log = e.logger(logging.App)
 	var err error
-	if e.callersListener, err = net.Listen("tcp", s.Entry.Callers); err != nil {
+	if e.callersListener, err = net.Listen("tcp", config.Entry.Callers); err != nil {
 		return nil, errors.Wrap(err, "entry.callers")
 	}
-	if e.peersListener, err = net.Listen("tcp", s.Entry.Peers); err != nil {
+	if e.peersListener, err = net.Listen("tcp", config.Entry.Peers); err != nil {
 		return nil, errors.Wrap(err, "entry.peers")
 	}
 	e.build()
--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -15,49 +15,52 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-// RefusedContent is a content that is refused since targets ended while they ran it.
+// RefusedContent is a request content that is refused because targets crashed while
+// they ran it.
 type RefusedContent struct {
-	Content string `json:"content"` // digest, as in the log
+	Content string `json:"content"` // hex digest, as in the log
 	Account string `json:"account,omitempty"`
-	AgeMS   int64  `json:"age_ms"` // since the first end was reported
-	// Software is what ended, by service and version, and Targets the targets, each
-	// once for each life.
+	AgeMS   int64  `json:"age_ms"` // since the first crash was reported
+	// Software lists what crashed, by service and version. Targets lists the IDs of
+	// the targets that crashed, once for each incarnation.
 	Software []string `json:"software"`
 	Targets  []string `json:"targets"`
 }
 
-// refusedContents lists them, sorted by content.
+// refusedContents returns the refused contents, sorted by digest. It is empty, not
+// nil, if there are none, so that it is encoded as a JSON list.
 func (g *Gateway) refusedContents(now time.Time) []RefusedContent {
 	list := []RefusedContent{}
-	for d, s := range g.quarantine.Ledger.Refused() {
-		c := RefusedContent{Content: d.String(), AgeMS: now.Sub(s.Since).Milliseconds(), Software: s.Software}
-		for _, e := range g.quarantine.Ledger.Of(d) {
-			if !e.Cleared {
-				c.Account = e.Account
-				c.Targets = append(c.Targets, e.Life.ID)
+	for digest, standing := range g.quarantine.Ledger.Refused() {
+		refused := RefusedContent{Content: digest.String(), AgeMS: now.Sub(standing.Since).Milliseconds(), Software: standing.Software}
+		for _, crash := range g.quarantine.Ledger.Of(digest) {
+			if !crash.Cleared {
+				refused.Account = crash.Account
+				refused.Targets = append(refused.Targets, crash.Life.ID)
 			}
 		}
-		list = append(list, c)
+		list = append(list, refused)
 	}
 	slices.SortFunc(list, func(a, b RefusedContent) int { return cmp.Compare(a.Content, b.Content) })
 	return list
 }
 
-// crashes answers operators who ask which contents are refused.
-func (g *Gateway) crashes(w http.ResponseWriter, _ *http.Request) {
+// serveRefusedContents answers an operator with the refused contents as JSON.
+func (g *Gateway) serveRefusedContents(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(g.refusedContents(clock.Now())) // the reader may have gone
+	_ = json.NewEncoder(w).Encode(g.refusedContents(clock.Now())) // the client may have closed the connection
 }
 
-// lift has a content served again, at all gateways.
-func (g *Gateway) lift(w http.ResponseWriter, r *http.Request) {
+// serveRelease releases a content from quarantine at all gateways. It answers 400 if
+// the path has no digest, and 404 if no crash is held against the content.
+func (g *Gateway) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var content crashes.Digest
-	b, err := hex.DecodeString(r.PathValue("content"))
-	if err != nil || len(b) != len(content) {
+	decoded, err := hex.DecodeString(r.PathValue("content"))
+	if err != nil || len(decoded) != len(content) {
 		http.Error(w, "no digest of a content", http.StatusBadRequest)
 		return
 	}
-	copy(content[:], b)
+	copy(content[:], decoded)
 	if !g.quarantine.Lift(content) {
 		http.Error(w, "nothing is held against this content", http.StatusNotFound)
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -1,20 +1,21 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package gateway puts a gateway process together: it owns the parts, their
-// start, and the planned stop.
+// Package gateway assembles a gateway process: it constructs its components, starts
+// them, and carries out the planned stop.
 //
 // # Model
 //
-// Start: listen, follow the platform's store, register; ready as soon as the
-// operators' table and the targets are known. Until then requests are refused as
-// not run.
+// Start: the gateway listens, follows the platform's store and registers. It is ready
+// as soon as the operators' table and the targets are known. Until then it refuses
+// requests with the verdict that they were not run.
 //
-// Stop: not ready, but taking work for the notice that the balancer needs; off
-// the list of gateways at once, so that others broker the stages; then
-// connections are closed behind their answers, and what is in progress ends.
+// Stop: the gateway reports that it is not ready, but accepts work for the notice
+// period that the load balancer needs. It leaves the list of gateways at once, so that
+// others broker the stages. Then it closes each connection after its answer, and the
+// requests in progress end.
 //
-// Whatever belongs to one platform comes in by Adapters.
+// All that is specific to one platform is injected through Adapters.
 package gateway
 
 import (
@@ -61,34 +62,38 @@
 )
 
 const (
-	// tidyEvery is how often connections and accounts are swept.
-	tidyEvery = 2 * time.Second
-	// lastCalls is how long requests on kept connections are taken after the
-	// notice; later ones could not be ended before the kill.
-	lastCalls = 300 * time.Millisecond
-	// killMargin is how long before the kill a stop ends what is left, and lastAnswers how
-	// long that may take: requests that still wait are told so, and the answers are some
-	// milliseconds on their way.
-	killMargin  = 350 * time.Millisecond
-	lastAnswers = 150 * time.Millisecond
-	// idleTime is how long a client's connection may rest.
-	idleTime = 75 * time.Second
-	// readHeaderTime is how long a client may take for a head.
-	readHeaderTime = 10 * time.Second
-	// memoryShare of what a process may use is where the collector works harder.
-	memoryShare = 0.7
-	// buffersShare is the part of it that answers may take which are held for callers, and
-	// bodiesShare that of the bodies of requests.
-	buffersShare = 0.15
-	bodiesShare  = 0.15
-	flushTime    = 200 * time.Millisecond
+	// cleanupInterval is the time between removals of idle connections and of state
+	// about targets and gateways that no longer exist.
+	cleanupInterval = 2 * time.Second
+	// keepAliveDrainPeriod is how long after the notice period requests on open
+	// keep-alive connections are accepted; later ones might not end before the kill.
+	keepAliveDrainPeriod = 300 * time.Millisecond
+	// killMargin is how long before the kill a planned stop ends the remaining requests.
+	// finalAnswersTimeout bounds how long that may take: requests that still wait are
+	// refused, and those answers need some milliseconds to reach their clients.
+	killMargin          = 350 * time.Millisecond
+	finalAnswersTimeout = 150 * time.Millisecond
+	// idleTimeout bounds how long a client's connection may be idle.
+	idleTimeout = 75 * time.Second
+	// readHeaderTimeout bounds how long a client may take to send a request's header.
+	readHeaderTimeout = 10 * time.Second
+	// memoryLimitShare is the fraction of the memory that the process may use at which
+	// the garbage collector works harder.
+	memoryLimitShare = 0.7
+	// answerBuffersShare is the fraction of that memory for answers buffered for
+	// callers, and requestBodiesShare the fraction for request bodies.
+	answerBuffersShare = 0.15
+	requestBodiesShare = 0.15
+	// logFlushTimeout bounds how long a stop waits for log lines to be written.
+	logFlushTimeout = 200 * time.Millisecond
 
 	pathMetrics = "/metrics"
 	pathState   = "/state"
 	pathCrashes = "/crashes"
 )
 
-// Adapters join a gateway to a platform.
+// Adapters has the implementations that connect a gateway to one platform. All are
+// required except Advisories.
 type Adapters struct {
 	Store    hookhall.Store
 	Platform hookhall.Platform
@@ -96,52 +101,56 @@
 	Dialect  hookhall.Dialect
 	Sender   hookhall.Sender
 	Pool     hookhall.StagePool
-	// Advisories reads the advisories in answers; nil if nothing does.
+	// Advisories reports the advisories in targets' answers; nil if the platform has
+	// none.
 	Advisories hookhall.AdvisorySource
-	// Connections are swept now and then.
+	// Connections has the connections to targets. The gateway closes idle ones every
+	// cleanupInterval and bounds how many are kept.
 	Connections *upstream.Pool
 }
 
-// Gateway is one process.
+// Gateway is one gateway process.
 type Gateway struct {
-	settings settings.Gateway
-	adapters Adapters
-	log      *log.Logger
-	out      *logging.Async
+	settings  settings.Gateway
+	adapters  Adapters
+	log       *log.Logger
+	logWriter *logging.Async
 
-	metrics     *metrics.Metrics
-	eras        *eras.Store
-	gate        *outage.Gate
-	catalog     *catalog.Catalog
-	members     *members.Members
-	clients     *fleet.Clients
-	broadcaster *fleet.Broadcaster
-	starter     *fleet.Starter
-	tracker     *balance.Tracker
-	broker      *stages.Broker
-	placer      *placement.Placer
-	quarantine  *quarantine.Quarantine
-	advisories  *advisories.Advisories
-	rollouts    *rollouts.Rollouts
-	forward     *forward.Forwarder
-	drain       *front.Drain
-	bodies      *buffer.Budget
-	resting     atomic.Pointer[connectionSharers]
-	// Listeners; the first can stop accepting by itself.
-	clientsAt *front.Listener
-	readyAt   net.Listener
-	peersAt   net.Listener
-	metricsAt net.Listener
+	metrics       *metrics.Metrics
+	eras          *eras.Store
+	storeGate     *outage.Gate
+	catalog       *catalog.Catalog
+	members       *members.Members
+	clients       *fleet.Clients
+	broadcaster   *fleet.Broadcaster
+	starter       *fleet.Starter
+	tracker       *balance.Tracker
+	broker        *stages.Broker
+	placer        *placement.Placer
+	quarantine    *quarantine.Quarantine
+	advisories    *advisories.Advisories
+	rollouts      *rollouts.Rollouts
+	forward       *forward.Forwarder
+	drain         *front.Drain
+	bodies        *buffer.Budget
+	recentSharers atomic.Pointer[sharersSnapshot]
+	// Listeners. That of clients can stop accepting while its server runs on.
+	clientsListener *front.Listener
+	readyListener   net.Listener
+	peersListener   net.Listener
+	metricsListener net.Listener
 
 	app      *kratos.App
 	stopping atomic.Bool
 }
 
-// New makes a gateway that listens for clients; Run serves.
-func New(s settings.Gateway, a Adapters, logTo io.Writer) (*Gateway, error) {
-	g := &Gateway{settings: s, adapters: a, out: logging.NewAsync(logTo), metrics: metrics.New()}
+// New returns a gateway that already listens; Run serves. It returns an error that
+// names the setting if an address can't be opened. It sets the memory limit of the
+// whole process, and log lines go to logTo without ever blocking the gateway.
+func New(config settings.Gateway, adapters Adapters, logTo io.Writer) (*Gateway, error) {
+	g := &Gateway{settings: config, adapters: adapters, logWriter: logging.NewAsync(logTo), metrics: metrics.New()}
 	g.log = g.logger(logging.App)
-	debug.SetMemoryLimit(int64(memoryShare * float64(s.Gateway.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.Gateway.MemoryMB) * (1 << 20)))
 	if err := g.listen(); err != nil {
 		return nil, err
 	}
@@ -149,40 +158,42 @@
 	return g, nil
 }
 
-// listen opens all addresses first, so that one that is taken is reported before
+// listen opens all addresses, so that one that is already in use is reported before
 // anything runs.
 func (g *Gateway) listen() error {
-	s := g.settings.Gateway
+	config := g.settings.Gateway
 	var err error
-	if g.clientsAt, err = front.Listen(s.Clients); err != nil {
+	if g.clientsListener, err = front.Listen(config.Clients); err != nil {
 		return errors.Wrap(err, "gateway.clients")
 	}
-	if g.readyAt, err = net.Listen("tcp", s.Ready); err != nil {
+	if g.readyListener, err = net.Listen("tcp", config.Ready); err != nil {
 		return errors.Wrap(err, "gateway.ready")
 	}
-	if g.peersAt, err = net.Listen("tcp", s.Peers); err != nil {
+	if g.peersListener, err = net.Listen("tcp", config.Peers); err != nil {
 		return errors.Wrap(err, "gateway.peers")
 	}
-	g.metricsAt, err = net.Listen("tcp", s.Metrics)
+	g.metricsListener, err = net.Listen("tcp", config.Metrics)
 	return errors.Wrap(err, "gateway.metrics")
 }
 
+// logger returns the logger of the component named by prefix.
 func (g *Gateway) logger(prefix string) *log.Logger {
-	return logging.New(g.out, g.settings.Log.Level, prefix)
+	return logging.New(g.logWriter, g.settings.Log.Level, prefix)
 }
 
+// build constructs the components and connects them. The addresses must be open.
 func (g *Gateway) build() {
-	s := g.settings
-	self := hookhall.Member{ID: s.Gateway.Instance, Instance: s.Gateway.Instance, Hall: s.Gateway.Hall, Address: g.peersAt.Addr().String(), Power: s.Gateway.Power()}
+	config := g.settings
+	self := hookhall.Member{ID: config.Gateway.Instance, Instance: config.Gateway.Instance, Hall: config.Gateway.Hall, Address: g.peersListener.Addr().String(), Power: config.Gateway.Power()}
 	g.eras = eras.New(g.adapters.Store, g.metrics, g.logger(logging.Catalog))
-	g.gate = outage.NewGate(g.eras)
-	g.gate.Pace = g.outagePace
-	g.catalog = catalog.New(g.gate, g.adapters.Platform, g.logger(logging.Catalog))
-	g.members = members.New(self, g.gate, g.logger(logging.Members))
+	g.storeGate = outage.NewGate(g.eras)
+	g.storeGate.Pace = g.outagePace
+	g.catalog = catalog.New(g.storeGate, g.adapters.Platform, g.logger(logging.Catalog))
+	g.members = members.New(self, g.storeGate, g.logger(logging.Members))
 	g.clients = fleet.NewClients(g.logger(logging.Members))
-	g.quarantine = quarantine.New(g.adapters.Connections, g.catalog, g.gate, g.logger(logging.Crashes))
+	g.quarantine = quarantine.New(g.adapters.Connections, g.catalog, g.storeGate, g.logger(logging.Crashes))
 	g.rollouts = &rollouts.Rollouts{
-		Keys: g.adapters.Rollouts, Store: g.gate, Fleet: g.members, Directory: g.catalog, Share: s.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
+		Keys: g.adapters.Rollouts, Store: g.storeGate, Fleet: g.members, Directory: g.catalog, Share: config.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
 		Remote: func(address string) rollouts.Remote { return g.clients.Client(address) },
 	}
 	g.catalog.Orders = g.rollouts.Read
@@ -193,11 +204,11 @@
 	g.quarantine.Tell = g.broadcaster.Report
 	g.quarantine.Meter = g.metrics
 	g.broadcaster.Start = g.starter
-	g.broadcaster.Heard = g.gate.Heard
+	g.broadcaster.Heard = g.storeGate.Heard
 	g.catalog.Read = g.broadcaster.Broadcast
 	g.catalog.Rank = g.readerRank
 	g.catalog.Fleet = g.members.Count
-	g.adapters.Connections.Resting = g.restingConnections
+	g.adapters.Connections.Resting = g.maxIdleConnections
 	g.catalog.Reborn = func(before, after hookhall.Target) {
 		g.adapters.Connections.Forget(before.Address)
 		g.advisories.Book.Reborn(before.Life(), after.Life(), clock.Now())
@@ -211,8 +222,8 @@
 	g.tracker = balance.NewTracker()
 	g.broker = stages.NewBroker(g.catalog, g.adapters.Pool, g.quarantine, g.rollouts, g.logger(logging.Stages))
 	g.broker.Grants = g.grants
-	cold := balance.ColdLimits{Over: s.Bounds.ColdOver, Slack: s.Bounds.ColdSlack}
-	g.placer = placement.NewPlacer(g.catalog, cold)
+	coldLimits := balance.ColdLimits{Over: config.Bounds.ColdOver, Slack: config.Bounds.ColdSlack}
+	g.placer = placement.NewPlacer(g.catalog, coldLimits)
 	g.placer.Grants = func(service string) advisory.Grants { return g.grants(placement.Key(service)) }
 	runner := &stages.Runner{
 		Local: g.broker, Fleet: g.members, Log: g.logger(logging.Stages),
@@ -227,73 +238,80 @@
 		Quarantine: g.quarantine, Rollouts: g.rollouts, Catalog: g.catalog, Stages: runner, Sender: g.adapters.Sender, Tracker: g.tracker,
 		Advisories: g.advisories.Book,
 		Budget: budget.New(budget.Limits{
-			Ratio: s.Bounds.RetryRatio, Slack: s.Bounds.RetrySlack,
-			Window: time.Duration(s.Bounds.RetryWindowMS) * time.Millisecond,
+			Ratio: config.Bounds.RetryRatio, Slack: config.Bounds.RetrySlack,
+			Window: time.Duration(config.Bounds.RetryWindowMS) * time.Millisecond,
 		}, g.sharers, clock.Now()),
-		Buffers:   g.memory(buffersShare),
-		ColdShare: func(target string, s *hookhall.Service) int { return g.coldShare(target, cold.Owners(s)) },
-		HallsIn:   g.hallsIn,
-		Meter:     g.metrics, Log: g.logger(logging.Forward),
+		Buffers: g.memoryBudget(answerBuffersShare),
+		ColdShare: func(target string, service *hookhall.Service) int {
+			return g.coldShare(target, coldLimits.Owners(service))
+		},
+		HallsIn: g.hallsIn,
+		Meter:   g.metrics, Log: g.logger(logging.Forward),
 	}
-	g.bodies = g.memory(bodiesShare)
+	g.bodies = g.memoryBudget(requestBodiesShare)
 	g.app = g.newApp()
 }
 
-// memory is a budget of a share of what the process may use.
-func (g *Gateway) memory(share float64) *buffer.Budget {
+// memoryBudget returns a budget of the given fraction of the memory that the process
+// may use.
+func (g *Gateway) memoryBudget(share float64) *buffer.Budget {
 	return buffer.NewBudget(int64(share * float64(g.settings.Gateway.MemoryMB) * (1 << 20)))
 }
 
-// newApp makes the servers. Their default timeouts would cut streams off, and
-// their router would change paths.
+// newApp returns the servers for clients, readiness checks, operators and peers. They
+// run without the framework's default timeouts, which would cut off streamed answers,
+// and without its router, which would change paths.
 func (g *Gateway) newApp() *kratos.App {
-	h := front.NewHandler(g.forward, g.adapters.Dialect, g.bodies, g.logger(logging.Forward))
-	g.drain = front.NewDrain(h, h.Refuse)
-	clients := server(g.clientsAt, g.drain)
-	ready := server(g.readyAt, http.HandlerFunc(g.ready))
+	handler := front.NewHandler(g.forward, g.adapters.Dialect, g.bodies, g.logger(logging.Forward))
+	g.drain = front.NewDrain(handler, handler.Refuse)
+	clientServer := newServer(g.clientsListener, g.drain)
+	readyServer := newServer(g.readyListener, http.HandlerFunc(g.serveReady))
 	mux := http.NewServeMux()
 	mux.Handle(pathMetrics, g.metrics.Handler())
-	mux.HandleFunc(pathState, g.state)
-	mux.HandleFunc("GET "+pathCrashes, g.crashes)
-	mux.HandleFunc("DELETE "+pathCrashes+"/{content}", g.lift)
-	control := server(g.metricsAt, mux)
-	peers := kgrpc.NewServer(kgrpc.Listener(g.peersAt), kgrpc.Address(g.peersAt.Addr().String()), kgrpc.Timeout(0))
-	pb.RegisterFleetServer(peers, &fleet.Server{Broker: g.broker, Placer: g.placer, Broadcaster: g.broadcaster})
+	mux.HandleFunc(pathState, g.serveState)
+	mux.HandleFunc("GET "+pathCrashes, g.serveRefusedContents)
+	mux.HandleFunc("DELETE "+pathCrashes+"/{content}", g.serveRelease)
+	operatorServer := newServer(g.metricsListener, mux)
+	peerServer := kgrpc.NewServer(kgrpc.Listener(g.peersListener), kgrpc.Address(g.peersListener.Addr().String()), kgrpc.Timeout(0))
+	pb.RegisterFleetServer(peerServer, &fleet.Server{Broker: g.broker, Placer: g.placer, Broadcaster: g.broadcaster})
 	return kratos.New(
-		kratos.Name("hookhall-gateway"), kratos.Server(clients, ready, control, peers),
+		kratos.Name("hookhall-gateway"), kratos.Server(clientServer, readyServer, operatorServer, peerServer),
 		kratos.Logger(logging.Bridge(g.log)), kratos.Signal(cli.NoSignal{}), kratos.StopTimeout(time.Second),
 	)
 }
 
-func server(l net.Listener, h http.Handler) *khttp.Server {
-	// Without the address the framework lists the machine's interfaces, which not
-	// every platform allows.
-	s := khttp.NewServer(khttp.Listener(l), khttp.Address(l.Addr().String()), khttp.Timeout(0))
-	s.Handler = h
-	s.IdleTimeout = idleTime
-	s.ReadHeaderTimeout = readHeaderTime
-	return s
+// newServer returns an HTTP server that passes all requests on l to h.
+func newServer(listener net.Listener, handler http.Handler) *khttp.Server {
+	// Without an address the framework lists the machine'httpServer network interfaces, which
+	// some platforms don't allow.
+	httpServer := khttp.NewServer(khttp.Listener(listener), khttp.Address(listener.Addr().String()), khttp.Timeout(0))
+	httpServer.Handler = handler
+	httpServer.IdleTimeout = idleTimeout
+	httpServer.ReadHeaderTimeout = readHeaderTimeout
+	return httpServer
 }
 
-// ready answers the balancer.
-func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
+// serveReady answers the load balancer's readiness check: 200 if the gateway accepts
+// work, else 503.
+func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if g.stopping.Load() || !g.catalog.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
-// Run serves until ctx ends, then stops as planned.
+// Run serves until ctx ends, then carries out the planned stop. It returns an error if
+// the servers fail.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.log.Info("Starting.", "instance", g.settings.Gateway.Instance, "hall", g.settings.Gateway.Hall, "version", cli.Version(),
-		"clients", g.clientsAt.Addr().String(), "ready", g.readyAt.Addr().String(), "peers", g.peersAt.Addr().String(),
-		"metrics", g.metricsAt.Addr().String(), "store", g.settings.Store.Address)
+		"clients", g.clientsListener.Addr().String(), "ready", g.readyListener.Addr().String(), "peers", g.peersListener.Addr().String(),
+		"metrics", g.metricsListener.Addr().String(), "store", g.settings.Store.Address)
 	loops, endLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, f := range []func(context.Context){g.watchClock, g.catalog.Run, g.members.Run, g.quarantine.Run, g.rollouts.Run, g.tidy, g.tellReady, g.askSeeds, (&fleet.Inviter{Broadcaster: g.broadcaster}).Run} {
+	for _, loop := range []func(context.Context){g.logSuspensions, g.catalog.Run, g.members.Run, g.quarantine.Run, g.rollouts.Run, g.cleanUp, g.logReady, g.startFromSeeds, (&fleet.Inviter{Broadcaster: g.broadcaster}).Run} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f(loops)
+			loop(loops)
 		}()
 	}
 	served := make(chan error, 1)
@@ -301,7 +319,7 @@
 	var err error
 	select {
 	case err = <-served:
-		g.log.Error("The servers ended.", "error", errors.Wrap(err, "gateway").Error())
+		g.log.Error("servers ended unexpectedly", "error", errors.Wrap(err, "gateway").Error())
 	case <-ctx.Done():
 		g.stop()
 		err = g.app.Stop()
@@ -309,13 +327,15 @@
 	endLoops()
 	wg.Wait()
 	g.log.Info("Stopped.", "cut", g.drain.InFlight())
-	g.out.Flush(flushTime)
+	g.logWriter.Flush(logFlushTimeout)
 	return errors.Wrap(err, "gateway")
 }
 
-// stop drains.
+// stop carries out the planned stop and returns when no request is in progress. Those
+// that still are killMargin before the end of the grace period it ends, within
+// finalAnswersTimeout, and logs how many were cut off.
 func (g *Gateway) stop() {
-	began := clock.Now()
+	stopStart := clock.Now()
 	notice := time.Duration(g.settings.Bounds.NoticeMS) * time.Millisecond
 	grace := time.Duration(g.settings.Bounds.GraceMS)*time.Millisecond - killMargin
 	g.stopping.Store(true)
@@ -325,59 +345,61 @@
 	go g.members.Leave(ctx)
 	retry.Sleep(ctx, notice)
 	g.drain.Close()
-	g.clientsAt.StopAccepting()
-	retry.Sleep(ctx, lastCalls)
-	left := g.drain.Finish(ctx)
-	if left == 0 {
+	g.clientsListener.StopAccepting()
+	retry.Sleep(ctx, keepAliveDrainPeriod)
+	remaining := g.drain.Finish(ctx)
+	if remaining == 0 {
 		return
 	}
-	last, done := context.WithTimeout(context.Background(), lastAnswers)
-	defer done()
-	cut := g.drain.End(last)
-	g.log.Warn("The time for a stop is over.", "in_progress", left, "cut", cut, "after", clock.Since(began))
+	finalCtx, cancelFinal := context.WithTimeout(context.Background(), finalAnswersTimeout)
+	defer cancelFinal()
+	cut := g.drain.End(finalCtx)
+	g.log.Warn("stop period over with requests still in progress", "in_progress", remaining, "cut", cut, "after", clock.Since(stopStart))
 }
 
-// watchClock writes a line on each suspension of the instance.
-func (g *Gateway) watchClock(ctx context.Context) {
+// logSuspensions logs each suspension of the instance, until ctx ends.
+func (g *Gateway) logSuspensions(ctx context.Context) {
 	clock.Watch(ctx, func(slept time.Duration) {
-		g.log.Warn("This instance was suspended; what it believes is older by that.", "slept", slept)
+		g.log.Warn("instance suspended; known state is older by the time it slept", "slept", slept)
 	})
 }
 
-// askSeeds helps a start while the store is away.
-func (g *Gateway) askSeeds(ctx context.Context) {
-	own := g.peersAt.Addr().String()
-	g.starter.Run(ctx, slices.DeleteFunc(slices.Clone(g.settings.Gateway.Seeds), func(a string) bool { return a == own }))
+// startFromSeeds reads the current state from the gateways in gateway.seeds, other
+// than this one, if the store does not answer at the start.
+func (g *Gateway) startFromSeeds(ctx context.Context) {
+	own := g.peersListener.Addr().String()
+	g.starter.Run(ctx, slices.DeleteFunc(slices.Clone(g.settings.Gateway.Seeds), func(address string) bool { return address == own }))
 }
 
-// tellReady writes one line when the gateway can serve.
-func (g *Gateway) tellReady(ctx context.Context) {
-	began := clock.Now()
-	const look = 20 * time.Millisecond
+// logReady logs one line when the gateway can serve requests.
+func (g *Gateway) logReady(ctx context.Context) {
+	startedAt := clock.Now()
+	const checkInterval = 20 * time.Millisecond
 	for !g.catalog.Ready() {
-		if !retry.Sleep(ctx, look) {
+		if !retry.Sleep(ctx, checkInterval) {
 			return
 		}
 	}
-	g.log.Info("Ready.", "table", g.catalog.Table().Version(), "targets", len(g.catalog.Known()), "after", clock.Since(began))
+	g.log.Info("Ready.", "table", g.catalog.Table().Version(), "targets", len(g.catalog.Known()), "after", clock.Since(startedAt))
 }
 
-// tidy sweeps connections and accounts.
-func (g *Gateway) tidy(ctx context.Context) {
-	for retry.Sleep(ctx, tidyEvery) {
+// cleanUp removes, every cleanupInterval until ctx ends, idle connections and the state
+// about targets and gateways that no longer exist.
+func (g *Gateway) cleanUp(ctx context.Context) {
+	for retry.Sleep(ctx, cleanupInterval) {
 		now := clock.Now()
 		g.adapters.Connections.Sweep(now)
 		if g.catalog.Picture() != nil {
 			targets := g.catalog.Known()
-			known := func(l hookhall.Life) bool { return targets[l.ID].Born == l.Born && targets[l.ID].ID != "" }
-			g.tracker.Keep(known, now)
-			g.placer.Tidy(known, now)
-			g.advisories.Book.Keep(known, now)
+			isKnown := func(l hookhall.Life) bool { return targets[l.ID].Born == l.Born && targets[l.ID].ID != "" }
+			g.tracker.Keep(isKnown, now)
+			g.placer.Tidy(isKnown, now)
+			g.advisories.Book.Keep(isKnown, now)
 		}
-		current := map[string]bool{}
+		isMember := map[string]bool{}
 		for _, m := range g.members.List(now) {
-			current[m.Address] = true
+			isMember[m.Address] = true
 		}
-		g.clients.Keep(func(a string) bool { return current[a] })
+		g.clients.Keep(func(address string) bool { return isMember[address] })
 	}
 }
--- a/internal/app/gateway/places.go
+++ b/internal/app/gateway/places.go
@@ -14,26 +14,28 @@
 	"github.com/hookhall/hookhall/internal/state/quota"
 )
 
-// coldShare is how many requests in any second this process may send to a cold target
-// by its own choice: one, if it is among the first few gateways for that target.
+// coldShare returns how many requests in any second this process may send to a cold
+// target by its own choice: 1 if it is among the target's first owners gateways, else 0.
 func (g *Gateway) coldShare(target string, owners int) int {
-	var all []string
+	var addresses []string
 	for _, m := range g.members.All() {
-		all = append(all, m.Address)
+		addresses = append(addresses, m.Address)
 	}
-	if balance.Owns(target, g.members.Self().Address, all, owners) {
+	if balance.Owns(target, g.members.Self().Address, addresses, owners) {
 		return 1
 	}
 	return 0
 }
 
-// standInShare is the part of a target's rate limit that an instance grants which is asked
-// though it does not hold itself to be the owner: its list of members, or the asking
-// instance's, is out of date, and the owner grants the whole rate.
-const standInShare = 0.25
+// nonOwnerShare is the fraction of a target's rate limit that an instance grants when it
+// is asked but does not know itself as the owner. Its list of members or that of the
+// asking instance is then out of date. It grants only a part, because the owner grants
+// the whole rate at the same time.
+const nonOwnerShare = 0.25
 
-// grants gives out the rates of limited targets whose owner a key names. An instance that
-// does not know all members yet grants nothing.
+// grants returns the share of the rates of limited targets that this instance grants,
+// for targets whose owner key determines. It is 0 while no target is limited, or while
+// this instance does not know all members yet.
 func (g *Gateway) grants(key string) advisory.Grants {
 	now := clock.Now()
 	grants := advisory.Grants{Book: g.advisories.Book}
@@ -42,12 +44,12 @@
 	case g.members.Owner(key, nil, now).Address == g.members.Self().Address:
 		grants.Share = 1
 	default:
-		grants.Share = standInShare
+		grants.Share = nonOwnerShare
 	}
 	return grants
 }
 
-// hallsIn lists the halls of regions, sorted.
+// hallsIn returns the halls that lie in any of regions, sorted.
 func (g *Gateway) hallsIn(regions []string) []string {
 	var halls []string
 	for hall, region := range g.settings.Regions {
@@ -59,45 +61,48 @@
 	return halls
 }
 
-// sharers are the processes that share what the whole fleet may hold or spend.
+// sharers returns the number of processes that share the fleet's quotas, 0 if it is
+// not known yet, and this process's place among them.
 func (g *Gateway) sharers(now time.Time) quota.Sharers {
 	count, place := g.members.Sharers(now)
 	return quota.Sharers{Count: count, Place: place}
 }
 
 const (
-	// idleShare is the part of a target's connections that may rest; the others are for
-	// requests in progress, and for those of killed processes, which the target notices
-	// late.
-	idleShare = 0.5
-	// sharersEvery is how often it is asked who shares connections: it takes a lock,
-	// and each answer of a target has it asked.
-	sharersEvery = 200 * time.Millisecond
+	// idleConnectionsShare is the fraction of a target's connection slots that idle
+	// connections may take. The others are for requests in progress, and for
+	// connections of killed processes, which the target notices late.
+	idleConnectionsShare = 0.5
+	// sharersMaxAge is how long a sharersSnapshot is used. Without the snapshot each
+	// answer of a target would take the lock of the members.
+	sharersMaxAge = 200 * time.Millisecond
 )
 
-// connectionSharers remembers for a moment who shares connections.
-type connectionSharers struct {
-	at      time.Time
+// sharersSnapshot caches the result of Gateway.sharers for sharersMaxAge.
+type sharersSnapshot struct {
+	takenAt time.Time
 	sharers quota.Sharers
 }
 
-// restingConnections is how many idle connections to a target this process may keep,
-// so that the fleet together leaves the target room for others.
-func (g *Gateway) restingConnections(address string) int {
-	service := g.catalog.ServiceAt(address)
-	t := g.catalog.Table()
-	if t == nil || service == "" {
+// maxIdleConnections returns how many idle connections to the target at address this
+// process may keep: its part of idleConnectionsShare of the target's limit, so that the
+// whole fleet leaves connection slots free. It is 0 if the service at address is not
+// known, and math.MaxInt if the service has no limit.
+func (g *Gateway) maxIdleConnections(address string) int {
+	name := g.catalog.ServiceAt(address)
+	table := g.catalog.Table()
+	if table == nil || name == "" {
 		return 0
 	}
-	s := t.Service(service)
-	if s == nil || s.MaxConns <= 0 {
+	service := table.Service(name)
+	if service == nil || service.MaxConns <= 0 {
 		return math.MaxInt
 	}
 	now := clock.Now()
-	known := g.resting.Load()
-	if known == nil || now.Sub(known.at) >= sharersEvery {
-		known = &connectionSharers{now, g.sharers(now)}
-		g.resting.Store(known)
+	snapshot := g.recentSharers.Load()
+	if snapshot == nil || now.Sub(snapshot.takenAt) >= sharersMaxAge {
+		snapshot = &sharersSnapshot{now, g.sharers(now)}
+		g.recentSharers.Store(snapshot)
 	}
-	return known.sharers.Part(int(idleShare*float64(s.MaxConns)), address)
+	return snapshot.sharers.Part(int(idleConnectionsShare*float64(service.MaxConns)), address)
 }
--- a/internal/app/gateway/reload.go
+++ b/internal/app/gateway/reload.go
@@ -10,35 +10,37 @@
 	"github.com/hookhall/hookhall/internal/app/settings"
 )
 
-// Reload reads the settings again and tells what differs. Addresses and bounds
-// are taken in by a restart only, which a planned stop makes harmless.
+// Reload reads the settings file at path again and logs the keys that differ from
+// those in force. It applies none of them: addresses and bounds change only by a
+// restart, which a planned stop makes harmless to clients.
 func (g *Gateway) Reload(path string) {
-	s := settings.DefaultGateway()
-	if err := settings.Load(path, &s); err != nil {
-		g.log.Error("The settings can't be read; those in force stay.", "error", err.Error())
+	reread := settings.DefaultGateway()
+	if err := settings.Load(path, &reread); err != nil {
+		g.log.Error("could not read the settings; those in force stay", "error", err.Error())
 		return
 	}
-	changed := differences(g.settings, s)
-	g.log.Info("The settings were read again.", "changed", strings.Join(changed, ","), "needs_restart", len(changed) > 0)
+	changed := changedKeys(g.settings, reread)
+	g.log.Info("settings read again", "changed", strings.Join(changed, ","), "needs_restart", len(changed) > 0)
 }
 
-// differences lists the keys whose values differ, in the settings' own order.
-func differences(a, b settings.Gateway) []string {
-	var list []string
-	av, bv := reflect.ValueOf(a), reflect.ValueOf(b)
-	for i := range av.NumField() {
-		section := av.Type().Field(i).Tag.Get("toml")
-		if av.Field(i).Kind() != reflect.Struct {
-			if !reflect.DeepEqual(av.Field(i).Interface(), bv.Field(i).Interface()) {
-				list = append(list, section)
+// changedKeys returns the keys whose values differ, in the order of the fields of
+// settings.Gateway. A field that is no struct counts as one key.
+func changedKeys(current, reread settings.Gateway) []string {
+	var keys []string
+	currentValue, rereadValue := reflect.ValueOf(current), reflect.ValueOf(reread)
+	for i := range currentValue.NumField() {
+		section := currentValue.Type().Field(i).Tag.Get("toml")
+		if currentValue.Field(i).Kind() != reflect.Struct {
+			if !reflect.DeepEqual(currentValue.Field(i).Interface(), rereadValue.Field(i).Interface()) {
+				keys = append(keys, section)
 			}
 			continue
 		}
-		for j := range av.Field(i).NumField() {
-			if !reflect.DeepEqual(av.Field(i).Field(j).Interface(), bv.Field(i).Field(j).Interface()) {
-				list = append(list, section+"."+av.Field(i).Type().Field(j).Tag.Get("toml"))
+		for j := range currentValue.Field(i).NumField() {
+			if !reflect.DeepEqual(currentValue.Field(i).Field(j).Interface(), rereadValue.Field(i).Field(j).Interface()) {
+				keys = append(keys, section+"."+currentValue.Field(i).Type().Field(j).Tag.Get("toml"))
 			}
 		}
 	}
-	return list
+	return keys
 }
--- a/internal/app/gateway/state.go
+++ b/internal/app/gateway/state.go
@@ -16,7 +16,10 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// State is a dump of what the process believes.
+// State is the state dump of a gateway: its own state, and the state of the store, the
+// targets and the fleet as it knows it. Table is a version, AgeMS the age of the
+// known targets; Buffered and Bodies are the bytes held of answers and of request
+// bodies. Rejected lists keys of the store that name no target.
 type State struct {
 	Instance string                     `json:"instance"`
 	Stopping bool                       `json:"stopping"`
@@ -40,12 +43,12 @@
 	Dropped  int64                      `json:"log_lines_dropped"`
 }
 
-// State reads the process's beliefs.
+// State returns the current state of the gateway.
 func (g *Gateway) State() State {
 	now := clock.Now()
-	s := State{
+	state := State{
 		Instance: g.settings.Gateway.Instance, Stopping: g.stopping.Load(), InFlight: g.drain.InFlight(),
-		Members: g.members.List(now), Balance: map[string]balance.Status{}, Advised: map[string]advisory.Status{}, Dropped: g.out.Dropped(), Halls: g.catalog.Halls(),
+		Members: g.members.List(now), Balance: map[string]balance.Status{}, Advised: map[string]advisory.Status{}, Dropped: g.logWriter.Dropped(), Halls: g.catalog.Halls(),
 		Refused: g.refusedContents(now), Rejected: g.catalog.Rejected(),
 		Rollouts: g.rollouts.Orders().List,
 		Era:      g.eras.Era(),
@@ -53,26 +56,27 @@
 		Buffered: g.forward.Buffers.Held(),
 		Bodies:   g.bodies.Held(),
 	}
-	if t := g.catalog.Table(); t != nil {
-		s.Table = t.Version()
-		_, s.TableRev = g.catalog.PackedTable()
+	if table := g.catalog.Table(); table != nil {
+		state.Table = table.Version()
+		_, state.TableRev = g.catalog.PackedTable()
 	}
-	if p := g.catalog.Picture(); p != nil {
-		s.Targets, s.AgeMS = p.Revision, p.Age(now).Milliseconds()
-		for id, t := range g.catalog.Known() {
-			s.Balance[id] = g.tracker.Status(t.Life(), now)
-			if a := g.advisories.Book.Status(t.Life()); a != (advisory.Status{}) {
-				s.Advised[id] = a
+	if picture := g.catalog.Picture(); picture != nil {
+		state.Targets, state.AgeMS = picture.Revision, picture.Age(now).Milliseconds()
+		for id, target := range g.catalog.Known() {
+			state.Balance[id] = g.tracker.Status(target.Life(), now)
+			if advised := g.advisories.Book.Status(target.Life()); advised != (advisory.Status{}) {
+				state.Advised[id] = advised
 			}
 		}
-		s.Cold = p.Cold(now)
+		state.Cold = picture.Cold(now)
 	}
-	return s
+	return state
 }
 
-func (g *Gateway) state(w http.ResponseWriter, _ *http.Request) {
+// serveState answers an operator with the state dump as indented JSON.
+func (g *Gateway) serveState(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	e := json.NewEncoder(w)
-	e.SetIndent("", "  ")
-	_ = e.Encode(g.State()) // the reader may have gone
+	encoder := json.NewEncoder(w)
+	encoder.SetIndent("", "  ")
+	_ = encoder.Encode(g.State()) // the client may have closed the connection
 }
--- a/internal/app/gateway/store.go
+++ b/internal/app/gateway/store.go
@@ -11,47 +11,51 @@
 )
 
 const (
-	// readerKey names the work of reading the store for all.
+	// readerKey is the key of the shared work of reading the store for the whole fleet.
 	readerKey = "reader"
 
-	// manyRank is the rank of all that neither read for all nor stand by to.
-	manyRank = 2
-
-	// startPause is how long a process that knows nothing yet leaves the store alone
-	// while it does not answer: it refuses all requests until then.
-	startPause = 150 * time.Millisecond
-	// outagePause is how long the process that reads the store for all does, and its
-	// stand-in.
-	outagePause = 400 * time.Millisecond
-	// outageAgain is after how long they, and a process that knows nothing yet, make
-	// a call that is not answered once more. The store answers in milliseconds, and
-	// in a fifth of a second when it is slow.
-	outageAgain = 250 * time.Millisecond
-	// outageStep is how long others do, for each member of the fleet, outageMost at
-	// most. Between them they ask a hundred times a second at any size, where 295
-	// would ask seven hundred times at outagePause; so one that the store answers is
-	// found soon when it turns the readers away.
-	outageStep = 10 * time.Millisecond
-	outageMost = 3 * time.Second
+	// passiveRank is the rank of the gateways that are neither the reader of the store,
+	// which has rank 0, nor its standby, which has rank 1.
+	passiveRank = 2
+
+	// startMaxPause bounds the pause between calls of an unavailable store by a process
+	// that is not ready yet. It is short, as such a process refuses all requests.
+	startMaxPause = 150 * time.Millisecond
+	// readerMaxPause bounds the same pause of the reader and of its standby. It is the
+	// shortest bound for all other gateways.
+	readerMaxPause = 400 * time.Millisecond
+	// outageRetryDelay is after how long the reader, its standby and a process that is
+	// not ready yet repeat a call that has no answer. The store answers in milliseconds,
+	// and in 200 ms when it is slow.
+	outageRetryDelay = 250 * time.Millisecond
+	// maxPausePerMember is the bound of that pause for the other gateways, for each
+	// member of the fleet; maxPauseLimit is the most that it adds up to. Together they
+	// call the store a hundred times a second at any size of the fleet; at
+	// readerMaxPause 295 gateways would make seven hundred calls a second. With so many
+	// calls, a gateway that the store answers is found soon if it turns the reader and
+	// the standby away.
+	maxPausePerMember = 10 * time.Millisecond
+	maxPauseLimit     = 3 * time.Second
 )
 
-// readerRank is this process's place among those that read the store for all. Who
-// has not met the others leaves it to them.
+// readerRank returns this process's rank as the reader of the store: 0 for the reader,
+// 1 for its standby, and passiveRank for all others. A process that does not know the
+// other members yet is passive, so that the reading is left to them.
 func (g *Gateway) readerRank() int {
 	if !g.members.Met() {
-		return manyRank
+		return passiveRank
 	}
 	return g.members.Rank(readerKey, clock.Now())
 }
 
-// outagePace is how this process asks for a store that does not answer: often when
-// others wait for its word or it knows nothing, else seldom.
+// outagePace returns how often this process calls a store that does not answer: often
+// if it is not ready yet or if others depend on its reading, else seldom.
 func (g *Gateway) outagePace() outage.Pace {
 	switch {
 	case !g.catalog.Ready():
-		return outage.Pace{PauseMost: startPause, Again: outageAgain}
-	case g.catalog.Rank() < manyRank:
-		return outage.Pace{PauseMost: outagePause, Again: outageAgain}
+		return outage.Pace{PauseMost: startMaxPause, Again: outageRetryDelay}
+	case g.catalog.Rank() < passiveRank:
+		return outage.Pace{PauseMost: readerMaxPause, Again: outageRetryDelay}
 	}
-	return outage.Pace{PauseMost: max(outagePause, min(time.Duration(g.members.Count())*outageStep, outageMost))}
+	return outage.Pace{PauseMost: max(readerMaxPause, min(time.Duration(g.members.Count())*maxPausePerMember, maxPauseLimit))}
 }
