--- a/internal/app/logging/async.go
+++ b/internal/app/logging/async.go
@@ -11,30 +11,35 @@
 )
 
 const (
-	// queueLines is how many lines wait for a slow reader.
-	queueLines = 2048
-	// flushBytes and flushEvery bound how long lines are gathered into one write.
-	flushBytes = 16 << 10
-	flushEvery = 100 * time.Millisecond
+	// maxQueuedLines bounds how many lines wait for a slow reader; further ones are
+	// dropped.
+	maxQueuedLines = 2048
+	// Lines are gathered into one write until they take maxBufferBytes, or for
+	// flushInterval.
+	maxBufferBytes = 16 << 10
+	flushInterval  = 100 * time.Millisecond
 )
 
-// Async is a writer that never blocks its caller: lines wait in a bounded queue
-// for the writer behind it, and are dropped, and counted, when it is full.
+// Async is an io.Writer that never blocks its caller: a goroutine writes the lines to
+// the underlying writer from a bounded queue. While the queue is full, lines are
+// dropped and counted, and the next write reports their number. It is safe for
+// concurrent use, and the goroutine runs until the process ends.
 type Async struct {
-	to      io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	flush   chan chan struct{}
+	out           io.Writer
+	lines         chan []byte
+	dropped       atomic.Int64
+	flushRequests chan chan struct{}
 }
 
-// NewAsync starts a writer before to.
+// NewAsync returns an Async that writes to the writer to.
 func NewAsync(to io.Writer) *Async {
-	a := &Async{to: to, lines: make(chan []byte, queueLines), flush: make(chan chan struct{})}
+	a := &Async{out: to, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go a.run()
 	return a
 }
 
-// Write queues a copy of one line.
+// Write queues a copy of line, or drops it if the queue is full. It never returns an
+// error.
 func (a *Async) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
@@ -44,52 +49,54 @@
 	return len(line), nil
 }
 
-// Dropped is how many lines were dropped so far.
+// Dropped returns how many lines were dropped so far.
 func (a *Async) Dropped() int64 { return a.dropped.Load() }
 
-// Flush waits until what was queued is written, or d has passed.
-func (a *Async) Flush(d time.Duration) {
+// Flush waits until all lines that were queued before the call are written, but no
+// longer than timeout.
+func (a *Async) Flush(timeout time.Duration) {
 	done := make(chan struct{})
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case a.flush <- done:
-	case <-t.C:
+	case a.flushRequests <- done:
+	case <-timer.C:
 		return
 	}
 	select {
 	case <-done:
-	case <-t.C:
+	case <-timer.C:
 	}
 }
 
+// run writes the queued lines; it never returns.
 func (a *Async) run() {
 	var buffer []byte
-	told := int64(0)
-	timer := time.NewTimer(flushEvery)
+	reported := int64(0)
+	timer := time.NewTimer(flushInterval)
 	timer.Stop()
 	write := func() {
-		if n := a.dropped.Load(); n > told {
-			buffer = append(buffer, "level=warn prefix=log msg=\"Lines were dropped.\" count="+strconv.FormatInt(n-told, 10)+"\n"...)
-			told = n
+		if dropped := a.dropped.Load(); dropped > reported {
+			buffer = append(buffer, "level=warn prefix=log msg=\"log lines dropped\" count="+strconv.FormatInt(dropped-reported, 10)+"\n"...)
+			reported = dropped
 		}
-		_, _ = a.to.Write(buffer) // there is nowhere left to tell
+		_, _ = a.out.Write(buffer) // the log is the only place to report an error
 		buffer = buffer[:0]
 	}
 	for {
 		select {
 		case line := <-a.lines:
 			if len(buffer) == 0 {
-				timer.Reset(flushEvery)
+				timer.Reset(flushInterval)
 			}
-			if buffer = append(buffer, line...); len(buffer) >= flushBytes {
+			if buffer = append(buffer, line...); len(buffer) >= maxBufferBytes {
 				write()
 			}
 		case <-timer.C:
 			if len(buffer) > 0 {
 				write()
 			}
-		case done := <-a.flush:
+		case done := <-a.flushRequests:
 			for len(a.lines) > 0 {
 				buffer = append(buffer, <-a.lines...)
 			}
--- a/internal/app/logging/async_test.go
+++ b/internal/app/logging/async_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// TestStalledReader: a pipe that nobody reads holds no writer up; lines beyond
-// the queue are counted, and told once the pipe is read again.
+// TestStalledReader guards against a process that blocks on its own log because nobody
+// reads the pipe. The lines beyond the queue must be counted, and their number must be
+// logged once the pipe is read again.
 func TestStalledReader(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -21,42 +22,43 @@
 	defer r.Close()
 	a := NewAsync(w)
 	line := []byte(strings.Repeat("x", 99) + "\n")
-	began := time.Now()
-	for range 5 * queueLines {
+	start := time.Now()
+	for range 5 * maxQueuedLines {
 		if _, err := a.Write(line); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if took := time.Since(began); took > 2*time.Second {
-		t.Fatalf("%v for lines that nobody reads", took)
+	if took := time.Since(start); took > 2*time.Second {
+		t.Fatalf("writing lines that nobody reads took %v", took)
 	}
 	if a.Dropped() == 0 {
-		t.Fatal("nothing was dropped: the pipe holds 64 KB, the queue 200")
+		t.Fatal("no line was dropped, although the pipe holds 64 KB and the queue 200 KB")
 	}
-	told := make(chan bool)
+	reported := make(chan bool)
 	go func() {
 		var all bytes.Buffer
-		b := make([]byte, 1<<16)
+		chunk := make([]byte, 1<<16)
 		for {
-			n, err := r.Read(b)
-			all.Write(b[:n])
-			if strings.Contains(all.String(), "Lines were dropped.") || err != nil {
-				told <- err == nil
+			n, err := r.Read(chunk)
+			all.Write(chunk[:n])
+			if strings.Contains(all.String(), "log lines dropped") || err != nil {
+				reported <- err == nil
 				return
 			}
 		}
 	}()
 	select {
-	case ok := <-told:
+	case ok := <-reported:
 		if !ok {
-			t.Fatal("the pipe ended without a word on the lines")
+			t.Fatal("the pipe ended before the number of dropped lines was logged")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no word on the lines that were dropped")
+		t.Fatal("the number of dropped lines was not logged")
 	}
 }
 
-// TestFlush: what was written is there after a flush.
+// TestFlush guards against lines that are lost at the end of a process: after Flush, all
+// lines that were written before are in the underlying writer.
 func TestFlush(t *testing.T) {
 	var b bytes.Buffer
 	a := NewAsync(&b)
@@ -64,6 +66,6 @@
 	_, _ = a.Write([]byte("two\n"))
 	a.Flush(5 * time.Second)
 	if b.String() != "one\ntwo\n" {
-		t.Fatalf("%q", b.String())
+		t.Fatalf("written after Flush: %q", b.String())
 	}
 }
--- a/internal/app/logging/logging.go
+++ b/internal/app/logging/logging.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logging makes the loggers of a program: short sentences, with one
-// fixed prefix for each part.
+// Package logging makes the loggers of a program, with one fixed prefix for each
+// component, and a writer that never blocks.
 package logging
 
 import (
@@ -13,7 +13,7 @@
 	kratos "github.com/go-kratos/kratos/v2/log"
 )
 
-// Prefixes of the parts.
+// Prefixes of the log lines of the components.
 const (
 	Fleet   = "fleet"
 	Table   = "table"
@@ -33,7 +33,8 @@
 	Advised = "advised"
 )
 
-// New makes a logger of a part; level is one of debug, info, warn and error.
+// New returns a logger that writes lines in logfmt to w, with the given prefix. level
+// is debug, info, warn or error; any other value means info.
 func New(w io.Writer, level, prefix string) *log.Logger {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -45,19 +46,20 @@
 	})
 }
 
-// bridge is a kratos logger that writes to ours.
-type bridge struct{ to *log.Logger }
+// bridge implements the application framework's Logger by a logger of ours.
+type bridge struct{ logger *log.Logger }
 
-// Bridge passes the application framework's own messages on, as debug ones: it
-// reports starts and stops, which the app part reports itself.
+// Bridge returns a logger for the application framework that passes messages on to the
+// given one: errors as errors, all else at the level debug, because the framework logs
+// starts and stops, which our programs log themselves.
 func Bridge(to *log.Logger) kratos.Logger { return bridge{to} }
 
-// Log implements kratos' Logger.
+// Log implements the framework's Logger. It never returns an error.
 func (b bridge) Log(level kratos.Level, keyvals ...any) error {
 	if level >= kratos.LevelError {
-		b.to.Error("Framework.", "message", fmt.Sprint(keyvals...))
+		b.logger.Error("Framework.", "message", fmt.Sprint(keyvals...))
 		return nil
 	}
-	b.to.Debug("Framework.", "message", fmt.Sprint(keyvals...))
+	b.logger.Debug("Framework.", "message", fmt.Sprint(keyvals...))
 	return nil
 }
--- a/internal/app/metrics/metrics.go
+++ b/internal/app/metrics/metrics.go
@@ -1,13 +1,15 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics counts what happens, with tally.
+// Package metrics collects the metrics of a process with tally and exports them to
+// Prometheus.
 //
 // # Model
 //
-// Metrics are labelled by pipeline, stage and cause, never by account: 8,200
-// accounts would make more series than anyone can look at. What happened to an
-// account lately is kept in an AccountStats each, which "explain" reads.
+// Metrics are labelled by pipeline, stage and cause, but never by client account:
+// 8,200 accounts would produce more series than anyone can inspect. The totals and the
+// last failure of each account are kept in its AccountStats, which operators read
+// through "explain".
 package metrics
 
 import (
@@ -24,105 +26,113 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// report is how often tally passes values on.
-const report = time.Second
+// reportInterval is how often tally passes values on to the exporter. Exported values
+// are out of date by up to this much.
+const reportInterval = time.Second
 
-// buckets of request durations.
-var buckets = tally.DurationBuckets{
+// durationBuckets has the upper bounds of the buckets of request durations.
+var durationBuckets = tally.DurationBuckets{
 	5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 200 * time.Millisecond, 500 * time.Millisecond,
 	time.Second, 2 * time.Second, 5 * time.Second,
 }
 
-// Metrics is a pipeline.Meter.
+// Metrics holds the metrics of a process. It implements pipeline.Meter and the meters
+// of the other packages that report events, and is safe for concurrent use.
 type Metrics struct {
-	scope    tally.Scope
-	closer   io.Closer
-	reporter prometheus.Reporter
-	accounts sync.Map // name to *AccountStats
+	scope          tally.Scope
+	closer         io.Closer
+	reporter       prometheus.Reporter
+	statsByAccount sync.Map // account name to *AccountStats
 }
 
-// New makes a Metrics.
+// New returns a Metrics with a registry of its own. Close must be called at the end.
 func New() *Metrics {
 	registry := client.NewRegistry()
-	r := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
-		Prefix: "hookhall", CachedReporter: r, Separator: prometheus.DefaultSeparator,
-	}, report)
-	return &Metrics{scope: scope, closer: closer, reporter: r}
+		Prefix: "hookhall", CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
+	}, reportInterval)
+	return &Metrics{scope: scope, closer: closer, reporter: reporter}
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler that serves the metrics in Prometheus' format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Scope is for further metrics.
+// Scope returns the root scope, in which callers can define further metrics.
 func (m *Metrics) Scope() tally.Scope { return m.scope }
 
-// Close passes the last values on.
+// Close passes the last values on to the exporter and stops the reporting.
 func (m *Metrics) Close() error { return errors.Wrap(m.closer.Close(), "metrics") }
 
-// Stage implements pipeline.Meter.
-func (m *Metrics) Stage(pipeline string, c hookhall.StageCost) {
-	s := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": c.Stage})
-	s.Counter("stage_calls").Inc(int64(c.Calls))
-	s.Counter("stage_tokens").Inc(int64(c.Tokens))
-	s.Counter("stage_busy_ms").Inc(int64(c.BusyMS))
-	s.Counter("stage_wait_ms").Inc(int64(c.WaitMS))
+// Stage implements pipeline.Meter: it adds the cost of a stage of a request.
+func (m *Metrics) Stage(pipeline string, cost hookhall.StageCost) {
+	scope := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": cost.Stage})
+	scope.Counter("stage_calls").Inc(int64(cost.Calls))
+	scope.Counter("stage_tokens").Inc(int64(cost.Tokens))
+	scope.Counter("stage_busy_ms").Inc(int64(cost.BusyMS))
+	scope.Counter("stage_wait_ms").Inc(int64(cost.WaitMS))
 }
 
-// answered is the cause label of a request that got its answer.
-const answered = "answered"
+// causeAnswered is the cause label of a request that was answered.
+const causeAnswered = "answered"
 
-// Done implements pipeline.Meter.
-func (m *Metrics) Done(r *hookhall.Request, took time.Duration, err *hookhall.Error) {
-	cause, verdict := answered, hookhall.Ran
+// Done implements pipeline.Meter: it counts a finished request, whose err is nil if it
+// was answered.
+func (m *Metrics) Done(request *hookhall.Request, took time.Duration, err *hookhall.Error) {
+	cause, verdict := causeAnswered, hookhall.Ran
 	if err != nil {
 		cause, verdict = string(err.Cause), err.Verdict
 	}
-	s := m.scope.Tagged(map[string]string{"pipeline": r.Pipeline, "cause": cause, "verdict": verdict.String()})
-	s.Counter("requests").Inc(1)
-	s.Histogram("request_duration", buckets).RecordDuration(took)
-	m.Account(r.Account).add(cause, err)
+	scope := m.scope.Tagged(map[string]string{"pipeline": request.Pipeline, "cause": cause, "verdict": verdict.String()})
+	scope.Counter("requests").Inc(1)
+	scope.Histogram("request_duration", durationBuckets).RecordDuration(took)
+	m.Account(request.Account).add(cause, err)
 }
 
-// Forwarded counts a passed-on request's end.
+// Forwarded counts a finished forwarded request, which took the given time.
 func (m *Metrics) Forwarded(route, cause string, verdict hookhall.Verdict, took time.Duration) {
-	s := m.scope.Tagged(map[string]string{"route": route, "cause": cause, "verdict": verdict.String()})
-	s.Counter("forwarded").Inc(1)
-	s.Histogram("forward_duration", buckets).RecordDuration(took)
+	scope := m.scope.Tagged(map[string]string{"route": route, "cause": cause, "verdict": verdict.String()})
+	scope.Counter("forwarded").Inc(1)
+	scope.Histogram("forward_duration", durationBuckets).RecordDuration(took)
 }
 
-// Repeated counts a send to a further target.
+// Repeated counts a retry, an attempt of a request at a further target.
 func (m *Metrics) Repeated(service string) {
 	m.scope.Tagged(map[string]string{"service": service}).Counter("repeats").Inc(1)
 }
 
-// Restored counts a return of the platform's store from an older copy.
+// Restored counts a restoration of the platform's store from an older copy, and
+// records the era that began with it.
 func (m *Metrics) Restored(era uint64) {
 	m.scope.Counter("store_restored").Inc(1)
 	m.scope.Gauge("store_era").Update(float64(era))
 }
 
-// TargetEnded counts a target's end while it ran a request, found by this process.
+// TargetEnded counts a crash of a target while it ran a request, detected by this
+// process. software is the target's service and version.
 func (m *Metrics) TargetEnded(software string) {
 	m.scope.Tagged(map[string]string{"software": software}).Counter("target_ends").Inc(1)
 }
 
-// ContentsRefused is how many contents are refused since targets ended under them.
+// ContentsRefused sets the number of request contents that are refused because targets
+// crashed while they ran them.
 func (m *Metrics) ContentsRefused(n int) { m.scope.Gauge("contents_refused").Update(float64(n)) }
 
-// Advised counts a change of a target's advisory.
+// Advised counts a change of the advisory of a target.
 func (m *Metrics) Advised(service, kind string) {
 	m.scope.Tagged(map[string]string{"service": service, "kind": kind}).Counter("advisories").Inc(1)
 }
 
-// AccountStats is what happened to an account's requests here.
+// AccountStats has what happened to the requests of one client account at this process.
+// It is safe for concurrent use.
 type AccountStats struct {
-	causes sync.Map // cause to *atomic.Int64
-	last   atomic.Pointer[Refusal]
+	countsByCause sync.Map // cause to *atomic.Int64
+	lastFailure   atomic.Pointer[Refusal]
 }
 
-// Refusal is the last failure of an account.
+// Refusal describes a refused or failed request. Detail is the text of the error, Stage
+// the stage at which it occurred, "" if it was none.
 type Refusal struct {
 	At     time.Time `json:"at"`
 	Cause  string    `json:"cause"`
@@ -130,35 +140,38 @@
 	Stage  string    `json:"stage,omitempty"`
 }
 
-// Account finds an account's stats.
+// Account returns the stats of the client account called name, and creates them at the
+// first call.
 func (m *Metrics) Account(name string) *AccountStats {
-	v, ok := m.accounts.Load(name)
+	stats, ok := m.statsByAccount.Load(name)
 	if !ok {
-		v, _ = m.accounts.LoadOrStore(name, &AccountStats{})
+		stats, _ = m.statsByAccount.LoadOrStore(name, &AccountStats{})
 	}
-	return v.(*AccountStats)
+	return stats.(*AccountStats)
 }
 
+// add counts one request by cause, and keeps err as the last failure if it is not nil.
 func (a *AccountStats) add(cause string, err *hookhall.Error) {
-	v, ok := a.causes.Load(cause)
+	count, ok := a.countsByCause.Load(cause)
 	if !ok {
-		v, _ = a.causes.LoadOrStore(cause, &atomic.Int64{})
+		count, _ = a.countsByCause.LoadOrStore(cause, &atomic.Int64{})
 	}
-	v.(*atomic.Int64).Add(1)
+	count.(*atomic.Int64).Add(1)
 	if err != nil {
-		a.last.Store(&Refusal{time.Now(), cause, err.Detail, err.Stage})
+		a.lastFailure.Store(&Refusal{time.Now(), cause, err.Detail, err.Stage})
 	}
 }
 
-// Counts are the totals by cause since the start.
+// Counts returns the number of requests by cause since the start of the process;
+// answered ones count as "answered".
 func (a *AccountStats) Counts() map[string]int64 {
 	counts := map[string]int64{}
-	a.causes.Range(func(k, v any) bool {
+	a.countsByCause.Range(func(k, v any) bool {
 		counts[k.(string)] = v.(*atomic.Int64).Load()
 		return true
 	})
 	return counts
 }
 
-// Last is the last failure, nil if there was none.
-func (a *AccountStats) Last() *Refusal { return a.last.Load() }
+// Last returns the last failure, nil if there was none.
+func (a *AccountStats) Last() *Refusal { return a.lastFailure.Load() }
