--- a/internal/app/settings/gateway.go
+++ b/internal/app/settings/gateway.go
@@ -3,49 +3,51 @@
 
 package settings
 
-// Gateway is the settings of hookhall-gateway.
+// Gateway has the settings of hookhall-gateway.
 type Gateway struct {
 	Gateway GatewayPart `toml:"gateway"`
 	Store   StorePart   `toml:"store"`
 	Bounds  BoundsPart  `toml:"bounds"`
-	// Regions has the region of each hall of the deployment, for requests that may
-	// run in some regions only.
+	// Regions has the region of each hall of the deployment, by hall. Requests that
+	// may run only in some regions are sent to targets in the halls of those regions.
 	Regions map[string]string `toml:"regions"`
 	Log     LogPart           `toml:"log"`
 }
 
-// GatewayPart tells a gateway who and where it is.
+// GatewayPart identifies a gateway process and its instance, and has its addresses and
+// resources.
 type GatewayPart struct {
 	Instance string   `toml:"instance"`  // the platform's name of this instance
-	Hall     string   `toml:"hall"`      // the hall it stands in
+	Hall     string   `toml:"hall"`      // the hall of this instance
 	Clients  string   `toml:"clients"`   // IP:port that clients use
-	Ready    string   `toml:"ready"`     // IP:port at which the balancer asks
+	Ready    string   `toml:"ready"`     // IP:port of the load balancer's readiness check
 	Peers    string   `toml:"peers"`     // IP:port that other gateways use
-	Seeds    []string `toml:"seeds"`     // IP:port of a few gateways, asked at a start while the store is away
+	Seeds    []string `toml:"seeds"`     // Peers of a few gateways, asked for the current state at a start while the store is unavailable
 	Metrics  string   `toml:"metrics"`   // IP:port for metrics and state dumps
-	Cores    float64  `toml:"cores"`     // of a processor, for the process
-	LinkMbps float64  `toml:"link_mbps"` // of the instance's link
-	MemoryMB int      `toml:"memory_mb"` // what the process may use
+	Cores    float64  `toml:"cores"`     // processor cores for the process; may be a fraction
+	LinkMbps float64  `toml:"link_mbps"` // bandwidth of the instance's network link, in Mbit/s
+	MemoryMB int      `toml:"memory_mb"` // memory that the process may use, in MiB
 }
 
-// StorePart tells where the platform's store is.
+// StorePart has the address of the platform's store.
 type StorePart struct {
 	Address string `toml:"address"` // IP:port
 }
 
-// BoundsPart has the operators' bounds.
+// BoundsPart has the bounds that operators set.
 type BoundsPart struct {
-	GraceMS       int     `toml:"grace_ms"`        // from the signal to stop to the kill
-	NoticeMS      int     `toml:"notice_ms"`       // how long a stopping gateway still takes work
-	RetryRatio    float64 `toml:"retry_ratio"`     // repeats, as a share of requests
-	RetryWindowMS int     `toml:"retry_window_ms"` // the window they are counted in
-	RetrySlack    float64 `toml:"retry_slack"`     // repeats beyond it, of the whole fleet
-	ColdOver      float64 `toml:"cold_over"`       // what a cold target may get, as a multiple of what it bears
-	ColdSlack     float64 `toml:"cold_slack"`      // requests a second beyond it
-	ExposeShare   float64 `toml:"expose_share"`    // of a service's requests, what a version that may be bad may get
+	GraceMS       int     `toml:"grace_ms"`        // ms from the signal to stop to the kill
+	NoticeMS      int     `toml:"notice_ms"`       // ms for which a stopping gateway still accepts work; part of GraceMS
+	RetryRatio    float64 `toml:"retry_ratio"`     // retries, as a fraction of requests, 0 to 1
+	RetryWindowMS int     `toml:"retry_window_ms"` // ms of the window in which they are counted
+	RetrySlack    float64 `toml:"retry_slack"`     // retries of the whole fleet beyond the ratio
+	ColdOver      float64 `toml:"cold_over"`       // rate of a cold target, as a multiple of what it can bear, from 1
+	ColdSlack     float64 `toml:"cold_slack"`      // requests per second of a cold target beyond that
+	ExposeShare   float64 `toml:"expose_share"`    // fraction of a service's requests that a possibly faulty version may get, 0 to 1
 }
 
-// DefaultGateway has the defaults of all keys that have one.
+// DefaultGateway returns the defaults of all keys that have one; the other keys must be
+// set.
 func DefaultGateway() Gateway {
 	return Gateway{
 		Gateway: GatewayPart{Cores: 1, LinkMbps: 1000, MemoryMB: 256},
@@ -54,11 +56,11 @@
 	}
 }
 
-// Check returns what is wrong, as a list of Mistakes.
+// Check returns all invalid values.
 func (s *Gateway) Check() []Mistake {
 	c := &checker{}
-	c.word("gateway.instance", s.Gateway.Instance)
-	c.word("gateway.hall", s.Gateway.Hall)
+	c.name("gateway.instance", s.Gateway.Instance)
+	c.name("gateway.hall", s.Gateway.Hall)
 	c.address("gateway.clients", s.Gateway.Clients)
 	c.address("gateway.ready", s.Gateway.Ready)
 	c.address("gateway.peers", s.Gateway.Peers)
@@ -68,41 +70,43 @@
 	c.address("gateway.metrics", s.Gateway.Metrics)
 	c.positive("gateway.cores", s.Gateway.Cores)
 	c.positive("gateway.link_mbps", s.Gateway.LinkMbps)
-	c.within("gateway.memory_mb", s.Gateway.MemoryMB, 32, 1<<20)
+	c.inRange("gateway.memory_mb", s.Gateway.MemoryMB, 32, 1<<20)
 	c.address("store.address", s.Store.Address)
-	c.within("bounds.grace_ms", s.Bounds.GraceMS, 100, 600000)
-	c.within("bounds.notice_ms", s.Bounds.NoticeMS, 0, s.Bounds.GraceMS)
-	c.within("bounds.retry_window_ms", s.Bounds.RetryWindowMS, 100, 600000)
+	c.inRange("bounds.grace_ms", s.Bounds.GraceMS, 100, 600000)
+	c.inRange("bounds.notice_ms", s.Bounds.NoticeMS, 0, s.Bounds.GraceMS)
+	c.inRange("bounds.retry_window_ms", s.Bounds.RetryWindowMS, 100, 600000)
 	c.share("bounds.retry_ratio", s.Bounds.RetryRatio)
 	if s.Bounds.RetrySlack < 0 {
-		c.add("bounds.retry_slack", "%v is not accepted; 0 or more is", s.Bounds.RetrySlack)
+		c.add("bounds.retry_slack", "%v is out of range; it must be 0 or more", s.Bounds.RetrySlack)
 	}
 	if s.Bounds.ColdOver < 1 {
-		c.add("bounds.cold_over", "%v is not accepted; 1 or more is", s.Bounds.ColdOver)
+		c.add("bounds.cold_over", "%v is out of range; it must be 1 or more", s.Bounds.ColdOver)
 	}
 	if s.Bounds.ColdSlack < 0 {
-		c.add("bounds.cold_slack", "%v is not accepted; 0 or more is", s.Bounds.ColdSlack)
+		c.add("bounds.cold_slack", "%v is out of range; it must be 0 or more", s.Bounds.ColdSlack)
 	}
 	c.share("bounds.expose_share", s.Bounds.ExposeShare)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
-	return c.list
+	return c.invalid
 }
 
+// share requires a fraction from 0 to 1.
 func (c *checker) share(key string, v float64) {
 	if v < 0 || v > 1 {
-		c.add(key, "%v is not accepted; 0 to 1 is", v)
+		c.add(key, "%v is out of range; it must be 0 to 1", v)
 	}
 }
 
+// positive requires a number greater than 0.
 func (c *checker) positive(key string, v float64) {
 	if v <= 0 {
-		c.add(key, "%v is not accepted; more than 0 is", v)
+		c.add(key, "%v is out of range; it must be more than 0", v)
 	}
 }
 
-// Power is what an instance can carry of the fleet's shared work, against others:
-// the scarcer of processor and link.
+// Power returns how much of the fleet's shared work the instance can do, relative to
+// others, in cores: the smaller of its cores and of the cores that its link can feed.
 func (p GatewayPart) Power() float64 {
-	const mbpsPerCore = 100 // links beyond that are no bound
+	const mbpsPerCore = 100 // a faster link per core is no limit
 	return min(p.Cores, p.LinkMbps/mbpsPerCore)
 }
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -5,16 +5,17 @@
 //
 // # Model
 //
-// Each program has one struct; its tags name the keys and its comments are the
-// documentation that docs/OPERATING.md is tested against. A file is refused as
-// a whole: for an unknown key, a value of the wrong type or one out of range.
-// An Error has one line for each mistake: file, line, key, and what would be
-// accepted.
+// Each program has one struct, whose tags name the keys. Its comments document them,
+// and a test checks that docs/OPERATING.md lists them. A file is refused as a whole for
+// an unknown key, a value of the wrong type or a value out of range. The error has one
+// line for each invalid value: file, line, key, and what would be accepted.
 //
 // # Invariants
 //
-//   - Addresses are IP numbers with ports; names are refused, never resolved.
-//   - Reading settings has no effect: check-config is the same code.
+//   - Addresses consist of an IP address and a port. Host names are refused and never
+//     resolved.
+//   - Reading settings has no side effects, so that --check-config runs the same code as
+//     a start.
 package settings
 
 import (
@@ -29,7 +30,7 @@
 	"github.com/pkg/errors"
 )
 
-// Entry is the settings of hookhall-entry.
+// Entry has the settings of hookhall-entry.
 type Entry struct {
 	Entry    EntryPart    `toml:"entry"`
 	Platform PlatformPart `toml:"platform"`
@@ -39,53 +40,53 @@
 	Policy   PolicyPart   `toml:"policy"`
 }
 
-// EntryPart tells an entry who and where it is.
+// EntryPart identifies an entry process and its instance, and has its addresses.
 type EntryPart struct {
 	Instance      string `toml:"instance"`       // the platform's name of this instance
-	Hall          string `toml:"hall"`           // the hall it stands in
+	Hall          string `toml:"hall"`           // the hall of this instance
 	Callers       string `toml:"callers"`        // IP:port that callers use
 	Peers         string `toml:"peers"`          // IP:port that peers use
-	Advertise     string `toml:"advertise"`      // IP:port at which peers reach Peers; "" for the same
-	OperatorToken string `toml:"operator_token"` // bearer token for dumps and metrics
+	Advertise     string `toml:"advertise"`      // IP:port at which peers reach Peers if it differs; "" if not
+	OperatorToken string `toml:"operator_token"` // bearer token for state dumps and metrics, 8 characters or more
 }
 
-// PlatformPart tells where the platform is.
+// PlatformPart has the addresses of the platform's services.
 type PlatformPart struct {
 	KeyValue  string `toml:"key_value"` // IP:port of the key-value service
 	Instances string `toml:"instances"` // IP:port of the instance list
 }
 
-// FleetPart is shared by all processes of one fleet.
+// FleetPart has the settings that all processes of a fleet share.
 type FleetPart struct {
-	Secret         string `toml:"secret"`            // shared by the fleet's processes
-	HeartbeatMS    int    `toml:"heartbeat_ms"`      // between heartbeats to one peer
-	Suspect        int    `toml:"suspect"`           // heartbeats in a row that may fail
-	ListMS         int    `toml:"list_ms"`           // between reads of the instance list
-	ClaimRetention int    `toml:"claim_retention_s"` // how long a key is remembered
+	Secret         string `toml:"secret"`            // shared by the fleet's processes, 8 characters or more
+	HeartbeatMS    int    `toml:"heartbeat_ms"`      // ms between heartbeats to one peer
+	Suspect        int    `toml:"suspect"`           // consecutive heartbeats that may fail
+	ListMS         int    `toml:"list_ms"`           // ms between reads of the instance list
+	ClaimRetention int    `toml:"claim_retention_s"` // seconds for which a claim is kept
 }
 
-// StopPart paces a planned stop.
+// StopPart has the durations of a planned stop.
 type StopPart struct {
-	NoticeMS int `toml:"notice_ms"` // not ready, but still taking work
-	GraceMS  int `toml:"grace_ms"`  // then for work in progress to end
+	NoticeMS int `toml:"notice_ms"` // ms for which the entry is not ready, but accepts work
+	GraceMS  int `toml:"grace_ms"`  // ms after that for work in progress to end
 }
 
-// LogPart sets the logs.
+// LogPart has the settings of the log.
 type LogPart struct {
 	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// PolicyPart turns decisions off, for experiments; the product has them all on.
+// PolicyPart turns decisions off, for experiments. In production all of them are on.
 type PolicyPart struct {
-	EarlyRefusal bool   `toml:"early_refusal"` // refuse what can't end in time
+	EarlyRefusal bool   `toml:"early_refusal"` // refuse requests that can't finish before their deadline
 	Order        string `toml:"order"`         // fair, or arrival
-	Window       bool   `toml:"window"`        // wait here rather than at targets
+	Window       bool   `toml:"window"`        // requests wait at the entry rather than at targets
 	Choice       string `toml:"choice"`        // load, or random
-	Prefix       bool   `toml:"prefix"`        // engines by prompt prefix
-	Claims       bool   `toml:"claims"`        // at most once; off only in tests
+	Prefix       bool   `toml:"prefix"`        // choose engines by the prefix of the prompt
+	Claims       bool   `toml:"claims"`        // run each request at most once; off only in tests
 }
 
-// Admin is the settings of hookhall-admin.
+// Admin has the settings of hookhall-admin.
 type Admin struct {
 	Admin    AdminPart    `toml:"admin"`
 	Platform PlatformPart `toml:"platform"`
@@ -93,14 +94,15 @@
 	Log      LogPart      `toml:"log"`
 }
 
-// AdminPart tells an admin where it listens and who may use it.
+// AdminPart has the address of an admin process and the token of its users.
 type AdminPart struct {
 	Listen        string `toml:"listen"`         // IP:port that operators use
-	OperatorToken string `toml:"operator_token"` // bearer token of operators
-	AcceptMS      int    `toml:"accept_ms"`      // for an edit to be in force
+	OperatorToken string `toml:"operator_token"` // bearer token of operators, 8 characters or more
+	AcceptMS      int    `toml:"accept_ms"`      // ms that an edit may take to be in force at the entries
 }
 
-// DefaultEntry has the defaults of all keys that have one.
+// DefaultEntry returns the defaults of all keys that have one; the other keys must be
+// set.
 func DefaultEntry() Entry {
 	return Entry{
 		Fleet:  defaultFleet(),
@@ -114,7 +116,8 @@
 	return FleetPart{HeartbeatMS: 500, Suspect: 3, ListMS: 2000, ClaimRetention: 600}
 }
 
-// DefaultAdmin is the same for an admin.
+// DefaultAdmin returns the defaults of all keys that have one; the other keys must be
+// set.
 func DefaultAdmin() Admin {
 	return Admin{
 		Admin: AdminPart{AcceptMS: 5000},
@@ -122,11 +125,11 @@
 	}
 }
 
-// Check returns what is wrong, as a list of Mistakes.
+// Check returns all invalid values.
 func (s *Entry) Check() []Mistake {
 	c := &checker{}
-	c.word("entry.instance", s.Entry.Instance)
-	c.word("entry.hall", s.Entry.Hall)
+	c.name("entry.instance", s.Entry.Instance)
+	c.name("entry.hall", s.Entry.Hall)
 	c.address("entry.callers", s.Entry.Callers)
 	c.address("entry.peers", s.Entry.Peers)
 	if s.Entry.Advertise != "" {
@@ -135,71 +138,77 @@
 	c.secret("entry.operator_token", s.Entry.OperatorToken)
 	c.platform(s.Platform)
 	c.fleet(s.Fleet)
-	c.within("stop.notice_ms", s.Stop.NoticeMS, 0, 60000)
-	c.within("stop.grace_ms", s.Stop.GraceMS, 0, 600000)
+	c.inRange("stop.notice_ms", s.Stop.NoticeMS, 0, 60000)
+	c.inRange("stop.grace_ms", s.Stop.GraceMS, 0, 600000)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
 	c.oneOf("policy.order", s.Policy.Order, "fair", "arrival")
 	c.oneOf("policy.choice", s.Policy.Choice, "load", "random")
-	return c.list
+	return c.invalid
 }
 
-// Check returns what is wrong, as a list of Mistakes.
+// Check returns all invalid values.
 func (s *Admin) Check() []Mistake {
 	c := &checker{}
 	c.address("admin.listen", s.Admin.Listen)
 	c.secret("admin.operator_token", s.Admin.OperatorToken)
-	c.within("admin.accept_ms", s.Admin.AcceptMS, 100, 60000)
+	c.inRange("admin.accept_ms", s.Admin.AcceptMS, 100, 60000)
 	c.platform(s.Platform)
 	c.fleet(s.Fleet)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
-	return c.list
+	return c.invalid
 }
 
-// Mistake is one wrong value.
+// Mistake has the key of an invalid value, and a message on what would be accepted.
 type Mistake struct {
 	Key     string // section.key
 	Message string
 }
 
-type checker struct{ list []Mistake }
+// checker collects the invalid values of one program's settings.
+type checker struct{ invalid []Mistake }
 
 func (c *checker) add(key, format string, args ...any) {
-	c.list = append(c.list, Mistake{key, fmt.Sprintf(format, args...)})
+	c.invalid = append(c.invalid, Mistake{key, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) word(key, v string) {
+// name requires a name that is not empty and has no spaces, # or /. A # separates the
+// instance's name from the rest of a member's ID.
+func (c *checker) name(key, v string) {
 	if v == "" || strings.ContainsAny(v, " \t\n#/") {
-		c.add(key, "%q is not accepted; a name without spaces, # and / is", v)
+		c.add(key, "%q is not a valid name; it must not be empty nor contain spaces, # or /", v)
 	}
 }
 
-// secret wants enough characters that a token can't be guessed.
+// secret requires enough characters that a token can't be guessed.
 func (c *checker) secret(key, v string) {
-	const shortest = 8
-	if len(v) < shortest {
-		c.add(key, "it is shorter than %d characters", shortest)
+	const minLength = 8
+	if len(v) < minLength {
+		c.add(key, "it is shorter than %d characters", minLength)
 	}
 }
 
+// address requires an IP address and a port.
 func (c *checker) address(key, v string) {
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		c.add(key, "%q is not accepted; an IP number and a port are, as in 10.0.0.7:8080", v)
+		c.add(key, "%q is not a valid address; it must be an IP address and a port, as in 10.0.0.7:8080", v)
 	}
 }
 
-func (c *checker) within(key string, v, low, high int) {
+// inRange requires low <= v <= high.
+func (c *checker) inRange(key string, v, low, high int) {
 	if v < low || v > high {
-		c.add(key, "%d is not accepted; %d to %d is", v, low, high)
+		c.add(key, "%d is out of range; it must be %d to %d", v, low, high)
 	}
 }
 
+// oneOf requires one of words.
 func (c *checker) oneOf(key, v string, words ...string) {
 	for _, w := range words {
 		if v == w {
 			return
 		}
 	}
-	c.add(key, "%q is not accepted; one of %s is", v, strings.Join(words, ", "))
+	c.add(key, "%q is not a valid value; it must be one of %s", v, strings.Join(words, ", "))
 }
 
 func (c *checker) platform(p PlatformPart) {
@@ -209,26 +218,27 @@
 
 func (c *checker) fleet(f FleetPart) {
 	c.secret("fleet.secret", f.Secret)
-	c.within("fleet.heartbeat_ms", f.HeartbeatMS, 20, 10000)
-	c.within("fleet.suspect", f.Suspect, 1, 20)
-	c.within("fleet.list_ms", f.ListMS, 20, 60000)
-	c.within("fleet.claim_retention_s", f.ClaimRetention, 1, 86400)
+	c.inRange("fleet.heartbeat_ms", f.HeartbeatMS, 20, 10000)
+	c.inRange("fleet.suspect", f.Suspect, 1, 20)
+	c.inRange("fleet.list_ms", f.ListMS, 20, 60000)
+	c.inRange("fleet.claim_retention_s", f.ClaimRetention, 1, 86400)
 }
 
-// Heartbeat is the time between heartbeats.
+// Heartbeat returns the time between heartbeats to one peer.
 func (f FleetPart) Heartbeat() time.Duration { return time.Duration(f.HeartbeatMS) * time.Millisecond }
 
-// List is the time between reads of the instance list.
+// List returns the time between reads of the instance list.
 func (f FleetPart) List() time.Duration { return time.Duration(f.ListMS) * time.Millisecond }
 
-// Retention is how long a claim is kept.
+// Retention returns how long a claim is kept.
 func (f FleetPart) Retention() time.Duration { return time.Duration(f.ClaimRetention) * time.Second }
 
-// checkable is a program's settings.
-type checkable interface{ Check() []Mistake }
+// validator is implemented by the settings of each program.
+type validator interface{ Check() []Mistake }
 
-// Load reads a file into s, which holds the defaults, and checks it.
-func Load(path string, s checkable) error {
+// Load reads the settings file at path into s, which must hold the defaults, and checks
+// the result. Its error has one line for each invalid value.
+func Load(path string, s validator) error {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return errors.Wrap(err, "settings")
@@ -236,11 +246,11 @@
 	return Parse(path, b, s)
 }
 
-// Parse is Load of bytes.
-func Parse(path string, b []byte, s checkable) error {
-	d := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields()
-	if err := d.Decode(s); err != nil {
-		return located(path, err)
+// Parse is like Load, but takes the content b of the file; path appears in errors only.
+func Parse(path string, b []byte, s validator) error {
+	decoder := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields()
+	if err := decoder.Decode(s); err != nil {
+		return withPosition(path, err)
 	}
 	var lines []string
 	for _, m := range s.Check() {
@@ -252,27 +262,27 @@
 	return nil
 }
 
-// located turns the decoder's errors into lines with positions.
-func located(path string, err error) error {
-	var strict *toml.StrictMissingError
-	if errors.As(err, &strict) {
+// withPosition turns an error of the decoder into lines with path, line and key.
+func withPosition(path string, err error) error {
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
 		var lines []string
-		for _, e := range strict.Errors {
+		for _, e := range unknownKeys.Errors {
 			row, _ := e.Position()
 			lines = append(lines, fmt.Sprintf("%s:%d: %s: unknown key; docs/OPERATING.md lists the keys", path, row, strings.Join(e.Key(), ".")))
 		}
 		return errors.New(strings.Join(lines, "\n"))
 	}
-	var wrong *toml.DecodeError
-	if errors.As(err, &wrong) {
-		row, _ := wrong.Position()
-		return errors.Errorf("%s:%d: %s: %v", path, row, strings.Join(wrong.Key(), "."), wrong)
+	var decodeError *toml.DecodeError
+	if errors.As(err, &decodeError) {
+		row, _ := decodeError.Position()
+		return errors.Errorf("%s:%d: %s: %v", path, row, strings.Join(decodeError.Key(), "."), decodeError)
 	}
 	return errors.Errorf("%s: %v", path, err)
 }
 
-// lineOf finds the line of section.key; a key that is missing is reported at
-// its section, or at line 1.
+// lineOf returns the line number, from 1, of key, which is "section.key". A key that is
+// missing has the line of its section, or line 1 if that is missing too.
 func lineOf(b []byte, key string) int {
 	section, name, _ := strings.Cut(key, ".")
 	at, current := 1, ""
