--- a/internal/app/admin/admin.go
+++ b/internal/app/admin/admin.go
@@ -90,8 +90,8 @@
 	return State{clock.Since(a.started).Seconds(), a.kv.Calls()}
 }
 
-// Status describes the fleet by the stored view and by a heartbeat to each member.
-// Version is the newest table version that a member reported. Error is set, and all
+// Status describes the fleet by the stored view and by a heartbeat to each member. The
+// table version is the newest that a member reported. Error is set, and all
 // else empty, if the view can't be read.
 type Status struct {
 	Epoch    uint64            `json:"epoch"`
--- a/internal/app/gateway/state.go
+++ b/internal/app/gateway/state.go
@@ -16,10 +16,9 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// State is the state dump of a gateway: its own state, and the state of the store, the
-// targets and the fleet as it knows it. Table is a version, AgeMS the age of the
-// known targets; Buffered and Bodies are the bytes held of answers and of request
-// bodies. Rejected lists keys of the store that name no target.
+// State is the state dump of a gateway: its own state, and the store, the targets and
+// the fleet as it knows them. Rejected keys are keys of the store, among those of
+// targets, that name no target. Buffered bytes are those held of answers.
 type State struct {
 	Instance string                     `json:"instance"`
 	Stopping bool                       `json:"stopping"`
