--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -280,10 +280,10 @@
 	)
 }
 
-// newServer returns an HTTP server that passes all requests on l to h.
+// newServer returns an HTTP server that passes all requests at listener to handler.
 func newServer(listener net.Listener, handler http.Handler) *khttp.Server {
-	// Without an address the framework lists the machine'httpServer network interfaces, which
-	// some platforms don't allow.
+	// Without an address the framework lists the machine's network interfaces, which some
+	// platforms don't allow.
 	httpServer := khttp.NewServer(khttp.Listener(listener), khttp.Address(listener.Addr().String()), khttp.Timeout(0))
 	httpServer.Handler = handler
 	httpServer.IdleTimeout = idleTimeout
@@ -331,9 +331,9 @@
 	return errors.Wrap(err, "gateway")
 }
 
-// stop carries out the planned stop and returns when no request is in progress. Those
-// that still are killMargin before the end of the grace period it ends, within
-// finalAnswersTimeout, and logs how many were cut off.
+// stop carries out the planned stop and returns when no request is in progress. At
+// killMargin before the end of the grace period it ends the remaining requests, which
+// takes up to finalAnswersTimeout, and logs how many were cut off.
 func (g *Gateway) stop() {
 	stopStart := clock.Now()
 	notice := time.Duration(g.settings.Bounds.NoticeMS) * time.Millisecond
--- a/internal/app/gateway/shares.go
+++ b/internal/app/gateway/shares.go
@@ -34,7 +34,7 @@
 const nonOwnerShare = 0.25
 
 // grants returns the share of the rates of limited targets that this instance grants,
-// for targets whose owner key determines. It is 0 while no target is limited, or while
+// for the targets whose owner is the owner of key. It is 0 while no target is limited, or while
 // this instance does not know all members yet.
 func (g *Gateway) grants(key string) advisory.Grants {
 	now := clock.Now()
--- a/internal/app/logging/async.go
+++ b/internal/app/logging/async.go
@@ -31,7 +31,7 @@
 	flushRequests chan chan struct{}
 }
 
-// NewAsync returns an Async that writes to the writer to.
+// NewAsync returns a writer that passes lines on to the writer to.
 func NewAsync(to io.Writer) *Async {
 	a := &Async{out: to, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go a.run()
