--- a/cmd/hookhallctl/cmd/client.go
+++ b/cmd/hookhallctl/cmd/client.go
@@ -20,84 +20,97 @@
 )
 
 const (
-	callTime = 15 * time.Second
-	// settleTries is how often an edit without a known outcome is sent again
-	// under the same id.
-	settleTries = 3
-	maxAnswer   = 64 << 20
+	// callTimeout bounds one call, from connecting to the last byte of the
+	// answer. It is longer than the default of the setting admin.accept_ms (5 s),
+	// so that the admin reports the outcome of an edit first.
+	callTimeout = 15 * time.Second
+	// maxEditAttempts is the number of times that an edit is submitted under one
+	// ID while its outcome is unknown.
+	maxEditAttempts = 3
+	// maxAnswerBytes caps the body of an answer; a longer one fails to decode.
+	maxAnswerBytes = 64 << 20
 )
 
-// call makes one call; a status other than 200 is an error with the answer's
-// own words.
+// call sends one request with the operators' token to address, with body as
+// JSON if it is not nil, and decodes the answer into into. It returns the
+// status, or 0 if there was no complete answer. A status other than 200 is an
+// error that carries the detail from the answer.
 func call(method, address, path string, query url.Values, body, into any) (int, error) {
 	if address == "" {
-		return 0, errors.New("no address: give --admin or HOOKHALL_ADMIN")
+		return 0, errors.New("no address: set --admin or HOOKHALL_ADMIN")
 	}
-	var b bytes.Buffer
+	var payload bytes.Buffer
 	if body != nil {
-		if err := json.NewEncoder(&b).Encode(body); err != nil {
+		if err := json.NewEncoder(&payload).Encode(body); err != nil {
 			return 0, err
 		}
 	}
 	u := url.URL{Scheme: "http", Host: address, Path: path, RawQuery: query.Encode()}
-	req, err := http.NewRequest(method, u.String(), &b)
+	req, err := http.NewRequest(method, u.String(), &payload)
 	if err != nil {
 		return 0, err
 	}
 	req.Header.Set("Authorization", "Bearer "+options.Token)
-	resp, err := (&http.Client{Timeout: callTime}).Do(req)
+	resp, err := (&http.Client{Timeout: callTimeout}).Do(req)
 	if err != nil {
 		return 0, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return resp.StatusCode, failure(resp.StatusCode, answer)
+		return resp.StatusCode, responseError(resp.StatusCode, answer)
 	}
 	return resp.StatusCode, json.Unmarshal(answer, into)
 }
 
-func failure(status int, answer []byte) error {
-	var f operators.EditFailure
-	if json.Unmarshal(answer, &f) != nil || f.Detail == "" {
+// responseError returns the detail of an operators.EditFailure, or the status
+// and the body of any other answer.
+func responseError(status int, answer []byte) error {
+	var refusal operators.EditFailure
+	if json.Unmarshal(answer, &refusal) != nil || refusal.Detail == "" {
 		return errors.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
 	}
-	return errors.New(f.Detail)
+	return errors.New(refusal.Detail)
 }
 
+// readTable returns the rows of a sheet, or of all sheets if sheet is empty.
 func readTable(sheet string) (operators.TableAnswer, error) {
-	var a operators.TableAnswer
-	_, err := call(http.MethodGet, options.Admin, operators.PathTable, url.Values{"sheet": {sheet}}, nil, &a)
-	return a, err
+	var answer operators.TableAnswer
+	_, err := call(http.MethodGet, options.Admin, operators.PathTable, url.Values{"sheet": {sheet}}, nil, &answer)
+	return answer, err
 }
 
-// edit sends edits under one id until their outcome is known.
-func edit(edits []hookhall.Edit) (tables.Outcome, error) {
+// submitEdits sends edits to the admin under one new ID, up to maxEditAttempts
+// times. It retries only while the outcome is unknown: after a call without a
+// complete answer, or with status 503.
+func submitEdits(edits []hookhall.Edit) (tables.Outcome, error) {
 	var out tables.Outcome
-	q := operators.EditRequest{ID: uuid.NewString(), Edits: edits}
+	request := operators.EditRequest{ID: uuid.NewString(), Edits: edits}
 	for i := 1; ; i++ {
-		status, err := call(http.MethodPost, options.Admin, operators.PathEdits, nil, q, &out)
+		status, err := call(http.MethodPost, options.Admin, operators.PathEdits, nil, request, &out)
 		settled := status != 0 && status != http.StatusServiceUnavailable
-		if err == nil || settled || i == settleTries {
+		if err == nil || settled || i == maxEditAttempts {
 			return out, err
 		}
 	}
 }
 
-// splitRow takes SHEET/ROW apart.
-func splitRow(s string) (hookhall.Sheet, string, error) {
+// parseRow splits SHEET/ROW at its first slash. It returns an error if there is
+// no slash or no row.
+func parseRow(s string) (hookhall.Sheet, string, error) {
 	sheet, row, ok := strings.Cut(s, "/")
 	if !ok || row == "" {
-		return "", "", errors.Errorf("%q is not SHEET/ROW, as in accounts/acme", s)
+		return "", "", errors.Errorf("invalid row %q: want SHEET/ROW, for example accounts/acme", s)
 	}
 	return hookhall.Sheet(sheet), row, nil
 }
 
+// printJSON prints v as one indented JSON document.
 func printJSON(v any) error {
-	e := json.NewEncoder(stdout)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+	encoder := json.NewEncoder(stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(v)
 }
--- a/cmd/hookhallctl/cmd/crashes.go
+++ b/cmd/hookhallctl/cmd/crashes.go
@@ -16,9 +16,9 @@
 	"github.com/pkg/errors"
 )
 
-const longCrashes = `Shows the requests that a gateway refuses since targets ended while they ran
+const crashesDescription = `Shows the requests that a gateway refuses because targets crashed while running
 them, by the digest of their content; all gateways refuse the same ones. With --lift,
-the content is served again, everywhere. GATEWAY is the address of a gateway's setting
+all gateways serve the content again. GATEWAY is the address in a gateway's setting
 gateway.metrics.
 
 Examples:
@@ -32,21 +32,23 @@
 	} `positional-args:"true"`
 }
 
-// crashesTime bounds a question to a gateway.
-const crashesTime = 5 * time.Second
+// crashesTimeout bounds one call to a gateway, from connecting to the last byte
+// of the answer.
+const crashesTimeout = 5 * time.Second
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It releases the content of --lift, or
+// lists the refused contents.
 func (c *crashesCommand) Execute([]string) error {
 	if c.Lift != "" {
 		_, err := c.ask(http.MethodDelete, "/crashes/"+c.Lift)
 		return err
 	}
-	b, err := c.ask(http.MethodGet, "/crashes")
+	body, err := c.ask(http.MethodGet, "/crashes")
 	if err != nil {
 		return err
 	}
 	var list []gateway.RefusedContent
-	if err := json.Unmarshal(b, &list); err != nil {
+	if err := json.Unmarshal(body, &list); err != nil {
 		return errors.Wrap(err, "crashes")
 	}
 	if options.JSON {
@@ -55,29 +57,32 @@
 	return printCrashes(list)
 }
 
+// printCrashes prints one line for each refused content.
 func printCrashes(list []gateway.RefusedContent) error {
-	t := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "CONTENT\tACCOUNT\tSINCE\tSOFTWARE\tTARGETS")
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "CONTENT\tACCOUNT\tSINCE\tSOFTWARE\tTARGETS")
 	for _, r := range list {
 		since := time.Duration(r.AgeMS) * time.Millisecond
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\n", r.Content, r.Account, since.Round(time.Second), strings.Join(r.Software, ", "), strings.Join(r.Targets, " "))
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", r.Content, r.Account, since.Round(time.Second), strings.Join(r.Software, ", "), strings.Join(r.Targets, " "))
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
+// ask calls the gateway and returns the body of its answer. A status other than
+// 200 is an error with that body as its text.
 func (c *crashesCommand) ask(method, path string) ([]byte, error) {
 	req, err := http.NewRequest(method, "http://"+c.Args.Gateway+path, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "crashes")
 	}
-	resp, err := (&http.Client{Timeout: crashesTime}).Do(req)
+	resp, err := (&http.Client{Timeout: crashesTimeout}).Do(req)
 	if err != nil {
 		return nil, errors.Wrap(err, "crashes")
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = errors.New(strings.TrimSpace(string(b)))
+		err = errors.New(strings.TrimSpace(string(body)))
 	}
-	return b, errors.Wrap(err, "crashes")
+	return body, errors.Wrap(err, "crashes")
 }
--- a/cmd/hookhallctl/cmd/delete.go
+++ b/cmd/hookhallctl/cmd/delete.go
@@ -5,7 +5,7 @@
 
 import "github.com/hookhall/hookhall"
 
-const longDelete = `Deletes a row with all its cells.
+const deleteDescription = `Deletes a row with all its cells.
 
 Example:
   hookhallctl delete accounts/acme`
@@ -16,11 +16,11 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It deletes the row and prints the outcome.
 func (c *deleteCommand) Execute([]string) error {
-	sheet, row, err := splitRow(c.Args.Row)
+	sheet, row, err := parseRow(c.Args.Row)
 	if err != nil {
 		return err
 	}
-	return editAndPrint([]hookhall.Edit{{Sheet: sheet, Row: row, Delete: true}})
+	return submitAndPrint([]hookhall.Edit{{Sheet: sheet, Row: row, Delete: true}})
 }
--- a/cmd/hookhallctl/cmd/dump.go
+++ b/cmd/hookhallctl/cmd/dump.go
@@ -9,7 +9,7 @@
 	"github.com/hookhall/hookhall/internal/transport/operators"
 )
 
-const longDump = `Prints the state of one entry or admin as JSON.
+const dumpDescription = `Prints the state of one entry or admin as JSON.
 
 Example:
   hookhallctl dump 10.0.0.7:8080`
@@ -20,7 +20,8 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the state of the process at
+// ADDRESS.
 func (c *dumpCommand) Execute([]string) error {
 	var state any
 	if _, err := call(http.MethodGet, c.Args.Address, operators.PathState, nil, nil, &state); err != nil {
--- a/cmd/hookhallctl/cmd/explain.go
+++ b/cmd/hookhallctl/cmd/explain.go
@@ -13,8 +13,8 @@
 	"github.com/hookhall/hookhall/internal/transport/operators"
 )
 
-const longExplain = `Says, from the live state of one entry, what became of an account's requests
-there, why they are refused, and which cell would change that.
+const explainDescription = `Explains from the live state of one entry how an account's requests ended there,
+why they are refused, and which cell of the table would change that.
 
 Example:
   hookhallctl explain acme --entry 10.0.0.7:8080`
@@ -26,36 +26,38 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints what the entry knows of the
+// account's requests since the entry started.
 func (c *explainCommand) Execute([]string) error {
-	var x entry.Explanation
-	q := url.Values{"account": {c.Args.Account}}
-	if _, err := call(http.MethodGet, c.Entry, operators.PathExplain, q, nil, &x); err != nil {
+	var explanation entry.Explanation
+	query := url.Values{"account": {c.Args.Account}}
+	if _, err := call(http.MethodGet, c.Entry, operators.PathExplain, query, nil, &explanation); err != nil {
 		return err
 	}
 	if options.JSON {
-		return printJSON(x)
+		return printJSON(explanation)
 	}
-	fmt.Fprintf(stdout, "account %s\n", x.Account)
-	if x.Row != nil {
+	fmt.Fprintf(stdout, "account %s\n", explanation.Account)
+	if explanation.Row != nil {
 		fmt.Fprintf(stdout, "  priority %d  weight %g  deadline %v  rate %g/s  concurrency %d\n",
-			x.Row.Priority, x.Row.Weight, x.Row.Deadline, x.Row.Rate, x.Row.Concurrency)
+			explanation.Row.Priority, explanation.Row.Weight, explanation.Row.Deadline, explanation.Row.Rate, explanation.Row.Concurrency)
 	}
-	for _, k := range sortedKeys(x.Counts) {
-		fmt.Fprintf(stdout, "  %s: %d\n", k, x.Counts[k])
+	for _, cause := range sortedKeys(explanation.Counts) {
+		fmt.Fprintf(stdout, "  %s: %d\n", cause, explanation.Counts[cause])
 	}
-	for _, k := range sortedKeys(x.WaitMS) {
-		fmt.Fprintf(stdout, "  wait at %s: %.1f ms\n", k, x.WaitMS[k])
+	for _, pool := range sortedKeys(explanation.WaitMS) {
+		fmt.Fprintf(stdout, "  wait at %s: %.1f ms\n", pool, explanation.WaitMS[pool])
 	}
-	if x.Last != nil {
-		fmt.Fprintf(stdout, "  last failure: %s: %s\n", x.Last.Cause, x.Last.Detail)
+	if explanation.Last != nil {
+		fmt.Fprintf(stdout, "  last failure: %s: %s\n", explanation.Last.Cause, explanation.Last.Detail)
 	}
-	for _, a := range x.Advice {
-		fmt.Fprintf(stdout, "  -> %s\n", a)
+	for _, advice := range explanation.Advice {
+		fmt.Fprintf(stdout, "  -> %s\n", advice)
 	}
 	return nil
 }
 
+// sortedKeys returns the keys of m in ascending order.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/cmd/hookhallctl/cmd/export.go
+++ b/cmd/hookhallctl/cmd/export.go
@@ -8,38 +8,39 @@
 	"sort"
 )
 
-const longExport = `Prints all cells as CSV, sorted, in the form that import reads.
+const exportDescription = `Prints all cells as CSV, sorted, in the form that import reads.
 
 Example:
   hookhallctl export > table.csv`
 
 type exportCommand struct{}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints all cells, sorted by column within
+// each row.
 func (c *exportCommand) Execute([]string) error {
-	a, err := readTable("")
+	answer, err := readTable("")
 	if err != nil {
 		return err
 	}
 	if options.JSON {
-		return printJSON(a.Rows)
+		return printJSON(answer.Rows)
 	}
-	w := csv.NewWriter(stdout)
-	if err := w.Write(columnsOfCSV); err != nil {
+	writer := csv.NewWriter(stdout)
+	if err := writer.Write(csvHeader); err != nil {
 		return err
 	}
-	for _, r := range a.Rows {
-		var names []string
-		for n := range r.Cells {
-			names = append(names, n)
+	for _, r := range answer.Rows {
+		var columns []string
+		for column := range r.Cells {
+			columns = append(columns, column)
 		}
-		sort.Strings(names)
-		for _, n := range names {
-			if err := w.Write([]string{string(r.Sheet), r.Name, n, r.Cells[n]}); err != nil {
+		sort.Strings(columns)
+		for _, column := range columns {
+			if err := writer.Write([]string{string(r.Sheet), r.Name, column, r.Cells[column]}); err != nil {
 				return err
 			}
 		}
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
--- a/cmd/hookhallctl/cmd/get.go
+++ b/cmd/hookhallctl/cmd/get.go
@@ -12,7 +12,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-const longGet = `Shows the rows of a sheet, or one row, as the service holds them.
+const getDescription = `Shows the rows of a sheet, or one row, as the key-value service stores them.
 
 Examples:
   hookhallctl get accounts
@@ -25,35 +25,37 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the rows that match SHEET[/ROW], or
+// all rows without it.
 func (c *getCommand) Execute([]string) error {
 	sheet, row, _ := strings.Cut(c.Args.What, "/")
-	a, err := readTable(sheet)
+	answer, err := readTable(sheet)
 	if err != nil {
 		return err
 	}
-	rows := a.Rows[:0]
-	for _, r := range a.Rows {
+	rows := answer.Rows[:0]
+	for _, r := range answer.Rows {
 		if row == "" || r.Name == row {
 			rows = append(rows, r)
 		}
 	}
-	a.Rows = rows
+	answer.Rows = rows
 	if options.JSON {
-		return printJSON(a)
+		return printJSON(answer)
 	}
 	return printRows(rows)
 }
 
+// printRows prints one line for each row, with its cells sorted by column.
 func printRows(rows []hookhall.Row) error {
-	t := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	for _, r := range rows {
 		var cells []string
-		for k, v := range r.Cells {
-			cells = append(cells, k+"="+v)
+		for column, value := range r.Cells {
+			cells = append(cells, column+"="+value)
 		}
 		sort.Strings(cells)
-		fmt.Fprintf(t, "%s/%s\t%s\n", r.Sheet, r.Name, strings.Join(cells, "  "))
+		fmt.Fprintf(table, "%s/%s\t%s\n", r.Sheet, r.Name, strings.Join(cells, "  "))
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/hookhallctl/cmd/hashkey.go
+++ b/cmd/hookhallctl/cmd/hashkey.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-const longHashKey = `Prints the SHA-256 of an account's key, for the cell key_sha256. The key is read
+const hashKeyDescription = `Prints the SHA-256 of an account's key, for the cell key_sha256. The key is read
 from standard input, so that it does not show in the process list.
 
 Example:
@@ -19,14 +19,15 @@
 
 type hashKeyCommand struct{}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It hashes the first line of standard
+// input, without the space around it.
 func (c *hashKeyCommand) Execute([]string) error {
-	s := bufio.NewScanner(stdin)
-	s.Scan()
-	if err := s.Err(); err != nil {
+	scanner := bufio.NewScanner(stdin)
+	scanner.Scan()
+	if err := scanner.Err(); err != nil {
 		return err
 	}
-	sum := sha256.Sum256([]byte(strings.TrimSpace(s.Text())))
+	sum := sha256.Sum256([]byte(strings.TrimSpace(scanner.Text())))
 	fmt.Fprintln(stdout, hex.EncodeToString(sum[:]))
 	return nil
 }
--- a/cmd/hookhallctl/cmd/history.go
+++ b/cmd/hookhallctl/cmd/history.go
@@ -5,23 +5,24 @@
 
 import "fmt"
 
-const longHistory = `Shows the ids and versions of the newest edits, oldest first.
+const historyDescription = `Shows the IDs and table versions of the newest edits, oldest first.
 
 Example:
   hookhallctl history`
 
 type historyCommand struct{}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints one line for each edit that the
+// admin lists.
 func (c *historyCommand) Execute([]string) error {
-	a, err := readTable("")
+	answer, err := readTable("")
 	if err != nil {
 		return err
 	}
 	if options.JSON {
-		return printJSON(a.Edits)
+		return printJSON(answer.Edits)
 	}
-	for _, e := range a.Edits {
+	for _, e := range answer.Edits {
 		fmt.Fprintf(stdout, "%d  %s\n", e.Version, e.ID)
 	}
 	return nil
--- a/cmd/hookhallctl/cmd/import.go
+++ b/cmd/hookhallctl/cmd/import.go
@@ -12,9 +12,9 @@
 	"github.com/pkg/errors"
 )
 
-const longImport = `Sets cells from a CSV file with the columns sheet, row, column, value, as export
+const importDescription = `Sets cells from a CSV file with the columns sheet, row, column, value, as export
 prints it. All cells change together or none; rows that the file does not name
-stay. "-" reads standard input.
+are left unchanged. "-" reads standard input.
 
 Examples:
   hookhallctl import table.csv
@@ -26,10 +26,11 @@
 	} `positional-args:"true"`
 }
 
-// columnsOfCSV is the file's first line.
-var columnsOfCSV = []string{"sheet", "row", "column", "value"}
+// csvHeader is the first line that export prints; import skips it.
+var csvHeader = []string{"sheet", "row", "column", "value"}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It sets the cells of FILE in one edit and
+// prints the outcome.
 func (c *importCommand) Execute([]string) error {
 	in := stdin
 	if c.Args.File != "-" {
@@ -44,25 +45,28 @@
 	if err != nil {
 		return err
 	}
-	return editAndPrint(edits)
+	return submitAndPrint(edits)
 }
 
+// readCSV returns one forced edit for each line of in, and an error if there is
+// none. A first line that begins like csvHeader is skipped. file is the name in
+// errors.
 func readCSV(file string, in io.Reader) ([]hookhall.Edit, error) {
-	r := csv.NewReader(in)
-	r.FieldsPerRecord = len(columnsOfCSV)
-	lines, err := r.ReadAll()
+	reader := csv.NewReader(in)
+	reader.FieldsPerRecord = len(csvHeader)
+	records, err := reader.ReadAll()
 	if err != nil {
 		return nil, errors.Wrap(err, file)
 	}
 	var edits []hookhall.Edit
-	for i, l := range lines {
-		if i == 0 && l[0] == columnsOfCSV[0] {
+	for i, record := range records {
+		if i == 0 && record[0] == csvHeader[0] {
 			continue
 		}
-		edits = append(edits, hookhall.Edit{Sheet: hookhall.Sheet(l[0]), Row: l[1], Column: l[2], Value: l[3], Force: true})
+		edits = append(edits, hookhall.Edit{Sheet: hookhall.Sheet(record[0]), Row: record[1], Column: record[2], Value: record[3], Force: true})
 	}
 	if len(edits) == 0 {
-		return nil, errors.Errorf("%s: no cells", file)
+		return nil, errors.Errorf("%s: no cells to set", file)
 	}
 	return edits, nil
 }
--- a/cmd/hookhallctl/cmd/leave.go
+++ b/cmd/hookhallctl/cmd/leave.go
@@ -5,13 +5,13 @@
 
 import "github.com/hookhall/hookhall"
 
-const longLeave = `Marks a target as leaving: it gets no new work from any entry within seconds,
-and finishes what it has.
+const leaveDescription = `Marks a target as leaving: within seconds no entry gives it new work, and it
+finishes the work that it has.
 
 Example:
   hookhallctl leave engines-hall-1-0`
 
-const longReturn = `Takes the mark of leaving off a target.
+const returnDescription = `Removes the leaving mark from a target, so that it gets new work again.
 
 Example:
   hookhallctl return engines-hall-1-0`
@@ -22,14 +22,20 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
-func (c *leaveCommand) Execute([]string) error { return editAndPrint(leaving(c.Args.Target, "true")) }
+// Execute implements flags.Commander. It sets the leaving mark of the target.
+func (c *leaveCommand) Execute([]string) error {
+	return submitAndPrint(leavingEdits(c.Args.Target, "true"))
+}
 
 type returnCommand leaveCommand
 
-// Execute implements flags.Commander.
-func (c *returnCommand) Execute([]string) error { return editAndPrint(leaving(c.Args.Target, "")) }
+// Execute implements flags.Commander. It removes the leaving mark of the target.
+func (c *returnCommand) Execute([]string) error {
+	return submitAndPrint(leavingEdits(c.Args.Target, ""))
+}
 
-func leaving(target, value string) []hookhall.Edit {
+// leavingEdits returns the edit that sets the cell leaving of a target: "true"
+// to mark it, empty to remove the mark.
+func leavingEdits(target, value string) []hookhall.Edit {
 	return []hookhall.Edit{{Sheet: hookhall.SheetTargets, Row: target, Column: "leaving", Value: value, Force: true}}
 }
--- a/cmd/hookhallctl/cmd/set.go
+++ b/cmd/hookhallctl/cmd/set.go
@@ -13,11 +13,11 @@
 	"github.com/pkg/errors"
 )
 
-const longSet = `Changes cells of one row; a row that does not exist is made.
+const setDescription = `Changes cells of one row; a row that does not exist is created.
 
 All cells change together or none. A cell that someone else changed since it was
-read is a conflict, which shows what it holds now; --force overrides. An empty
-value sets the default.
+read is a conflict, reported with the cell's current value; --force overwrites
+it. An empty value sets the default.
 
 Examples:
   hookhallctl set accounts/acme priority=7 rate=200
@@ -31,54 +31,58 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It reads the row, sets the cells if they have
+// not changed since, or in any case with --force, and prints the outcome.
 func (c *setCommand) Execute([]string) error {
-	sheet, row, err := splitRow(c.Args.Row)
+	sheet, row, err := parseRow(c.Args.Row)
 	if err != nil {
 		return err
 	}
-	a, err := readTable(string(sheet))
+	answer, err := readTable(string(sheet))
 	if err != nil {
 		return err
 	}
-	base := map[string]string{}
-	for _, r := range a.Rows {
+	baseCells := map[string]string{}
+	for _, r := range answer.Rows {
 		if r.Name == row {
-			base = r.Cells
+			baseCells = r.Cells
 		}
 	}
 	var edits []hookhall.Edit
 	for _, cell := range c.Args.Cells {
 		column, value, ok := strings.Cut(cell, "=")
 		if !ok {
-			return errors.Errorf("%q is not COLUMN=VALUE", cell)
+			return errors.Errorf("invalid cell %q: want COLUMN=VALUE, for example priority=7", cell)
 		}
-		edits = append(edits, hookhall.Edit{Sheet: sheet, Row: row, Column: column, Value: value, Base: base[column], Force: c.Force})
+		edits = append(edits, hookhall.Edit{Sheet: sheet, Row: row, Column: column, Value: value, Base: baseCells[column], Force: c.Force})
 	}
-	return editAndPrint(edits)
+	return submitAndPrint(edits)
 }
 
-func editAndPrint(edits []hookhall.Edit) error {
-	out, err := edit(edits)
+// submitAndPrint submits edits and prints their outcome.
+func submitAndPrint(edits []hookhall.Edit) error {
+	outcome, err := submitEdits(edits)
 	if err != nil {
 		return err
 	}
-	return printOutcome(out)
+	return printOutcome(outcome)
 }
 
-func printOutcome(out tables.Outcome) error {
+// printOutcome prints the accepted table version, the halls where it is in force
+// and the halls where no entry answered.
+func printOutcome(outcome tables.Outcome) error {
 	if options.JSON {
-		return printJSON(out)
+		return printJSON(outcome)
 	}
 	var halls []string
-	for h := range out.InForce {
-		halls = append(halls, h)
+	for hall := range outcome.InForce {
+		halls = append(halls, hall)
 	}
 	sort.Strings(halls)
-	fmt.Fprintf(stdout, "accepted as version %d; in force in %s\n", out.Version, strings.Join(halls, ", "))
-	if len(out.OutOfReach) > 0 {
-		sort.Strings(out.OutOfReach)
-		fmt.Fprintf(stdout, "out of reach, to follow: %s\n", strings.Join(out.OutOfReach, ", "))
+	fmt.Fprintf(stdout, "accepted as version %d; in force in %s\n", outcome.Version, strings.Join(halls, ", "))
+	if len(outcome.OutOfReach) > 0 {
+		sort.Strings(outcome.OutOfReach)
+		fmt.Fprintf(stdout, "out of reach, to follow: %s\n", strings.Join(outcome.OutOfReach, ", "))
 	}
 	return nil
 }
--- a/cmd/hookhallctl/cmd/status.go
+++ b/cmd/hookhallctl/cmd/status.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-const longStatus = `Shows the members of the fleet: whether each answers, and which epoch and table
+const statusDescription = `Shows the members of the fleet: whether each answers, and which epoch and table
 version it has in force.
 
 Example:
@@ -21,26 +21,27 @@
 
 type statusCommand struct{}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the view's epoch, the table
+// version and one line for each member, including unfenced ones.
 func (c *statusCommand) Execute([]string) error {
-	var s admin.Status
-	if _, err := call(http.MethodGet, options.Admin, operators.PathStatus, nil, nil, &s); err != nil {
+	var status admin.Status
+	if _, err := call(http.MethodGet, options.Admin, operators.PathStatus, nil, nil, &status); err != nil {
 		return err
 	}
 	if options.JSON {
-		return printJSON(s)
+		return printJSON(status)
 	}
-	if s.Error != "" {
-		return errors.New(s.Error)
+	if status.Error != "" {
+		return errors.New(status.Error)
 	}
-	fmt.Fprintf(stdout, "epoch %d  table version %d\n", s.Epoch, s.Version)
-	t := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "MEMBER\tHALL\tADDRESS\tANSWERS\tEPOCH\tTABLE")
-	for _, m := range s.Members {
-		fmt.Fprintf(t, "%s\t%s\t%s\t%t\t%d\t%d\n", m.ID, m.Hall, m.Address, m.Answers, m.Epoch, m.TableVersion)
+	fmt.Fprintf(stdout, "epoch %d  table version %d\n", status.Epoch, status.Version)
+	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "MEMBER\tHALL\tADDRESS\tANSWERS\tEPOCH\tTABLE")
+	for _, m := range status.Members {
+		fmt.Fprintf(table, "%s\t%s\t%s\t%t\t%d\t%d\n", m.ID, m.Hall, m.Address, m.Answers, m.Epoch, m.TableVersion)
 	}
-	for _, m := range s.Unfenced {
-		fmt.Fprintf(t, "%s\t%s\t%s\tunfenced\t-\t-\n", m.ID, m.Hall, m.Address)
+	for _, m := range status.Unfenced {
+		fmt.Fprintf(table, "%s\t%s\t%s\tunfenced\t-\t-\n", m.ID, m.Hall, m.Address)
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/cmd/hookhallctl/cmd/trace.go
+++ b/cmd/hookhallctl/cmd/trace.go
@@ -16,9 +16,9 @@
 	"github.com/pkg/errors"
 )
 
-const longTrace = `Prints what gateways logged of one request, in the order of time, over any
-number of log files; without files, or with -, it reads standard input. The word
-in front is the file's name.
+const traceDescription = `Prints the lines that gateways logged for one request, sorted by time, from any
+number of log files; without files, or with -, it reads standard input. Each line
+begins with the file's name without .log.
 
 Examples:
   hookhallctl trace 9c41d07be2a35f68 gateway-*.log
@@ -31,73 +31,78 @@
 	} `positional-args:"true"`
 }
 
-// traced is one line of a request's story.
-type traced struct {
+// logLine is one log line that names the request. Time is empty if the line has
+// none, From the name of the log.
+type logLine struct {
 	Time string `json:"time"`
 	From string `json:"from"`
 	Line string `json:"line"`
 }
 
-// mostLine bounds a log line in bytes.
-const mostLine = 1 << 20
+// maxLineBytes bounds a log line; a longer one ends the command with an error.
+const maxLineBytes = 1 << 20
 
+// timeField matches the time of a log line. Times are compared as strings.
 var timeField = regexp.MustCompile(`\btime=(\S+)`)
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the log lines that name the request,
+// and returns an error if there are none.
 func (c *traceCommand) Execute([]string) error {
 	files := c.Args.Files
 	if len(files) == 0 {
 		files = []string{"-"}
 	}
-	var story []traced
-	for _, f := range files {
-		lines, err := traceFile(f, c.Args.Request)
+	var matches []logLine
+	for _, path := range files {
+		lines, err := matchingLinesInFile(path, c.Args.Request)
 		if err != nil {
 			return err
 		}
-		story = append(story, lines...)
+		matches = append(matches, lines...)
 	}
-	if len(story) == 0 {
-		return errors.Errorf("no line names the request %s", c.Args.Request)
+	if len(matches) == 0 {
+		return errors.Errorf("no log line names the request %s; check the ID and the log files", c.Args.Request)
 	}
-	sort.SliceStable(story, func(i, j int) bool { return story[i].Time < story[j].Time })
+	sort.SliceStable(matches, func(i, j int) bool { return matches[i].Time < matches[j].Time })
 	if options.JSON {
-		return printJSON(story)
+		return printJSON(matches)
 	}
-	for _, l := range story {
+	for _, l := range matches {
 		fmt.Fprintf(stdout, "%s: %s\n", l.From, l.Line)
 	}
 	return nil
 }
 
-func traceFile(name, request string) ([]traced, error) {
-	if name == "-" {
-		return traceLines(stdin, "-", request)
+// matchingLinesInFile reads the log file path, or standard input if it is "-".
+func matchingLinesInFile(path, request string) ([]logLine, error) {
+	if path == "-" {
+		return matchingLines(stdin, "-", request)
 	}
-	f, err := os.Open(name)
+	f, err := os.Open(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "trace")
 	}
 	defer f.Close()
-	return traceLines(f, strings.TrimSuffix(filepath.Base(name), ".log"), request)
+	return matchingLines(f, strings.TrimSuffix(filepath.Base(path), ".log"), request)
 }
 
-// traceLines finds the lines that name a request, as request=ID, or as the first
-// one of a call that serves many, first=ID.
-func traceLines(r io.Reader, from, request string) ([]traced, error) {
-	named := regexp.MustCompile(`\b(request|first)="?` + regexp.QuoteMeta(request) + `"?(\s|$)`)
-	var list []traced
-	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, mostLine)
-	for lines.Scan() {
-		if !named.MatchString(lines.Text()) {
+// matchingLines returns the lines of r that name the request as request=ID, or as
+// first=ID, which is the first request of a call that serves several. from is the
+// name of the log in results and errors.
+func matchingLines(r io.Reader, from, request string) ([]logLine, error) {
+	namesRequest := regexp.MustCompile(`\b(request|first)="?` + regexp.QuoteMeta(request) + `"?(\s|$)`)
+	var matches []logLine
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		if !namesRequest.MatchString(scanner.Text()) {
 			continue
 		}
-		l := traced{From: from, Line: lines.Text()}
-		if m := timeField.FindStringSubmatch(l.Line); m != nil {
-			l.Time = m[1]
+		match := logLine{From: from, Line: scanner.Text()}
+		if m := timeField.FindStringSubmatch(match.Line); m != nil {
+			match.Time = m[1]
 		}
-		list = append(list, l)
+		matches = append(matches, match)
 	}
-	return list, errors.Wrap(lines.Err(), from)
+	return matches, errors.Wrap(scanner.Err(), from)
 }
--- a/cmd/hookhallctl/cmd/trace_test.go
+++ b/cmd/hookhallctl/cmd/trace_test.go
@@ -11,7 +11,10 @@
 	"testing"
 )
 
-// TestTrace follows one request over two files and standard input.
+// TestTrace guards against wrong results of trace over several logs: lines of
+// two files and standard input are sorted by time, lines of a request whose ID
+// only begins alike (r12) are left out, and a request that no line names is an
+// error.
 func TestTrace(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -21,29 +24,29 @@
 		}
 		return path
 	}
-	a := write("a.log", "time=2026-01-01T00:00:02 msg=Answered. request=r1 sends=2\ntime=2026-01-01T00:00:01 msg=Answered. request=r12\n")
-	b := write("b.log", "time=2026-01-01T00:00:01 msg=\"A send failed.\" request=r1\ntime=2026-01-01T00:00:03 msg=call first=r1\n")
+	logA := write("a.log", "time=2026-01-01T00:00:02 msg=answered request=r1 sends=2\ntime=2026-01-01T00:00:01 msg=answered request=r12\n")
+	logB := write("b.log", "time=2026-01-01T00:00:01 msg=\"attempt failed\" request=r1\ntime=2026-01-01T00:00:03 msg=call first=r1\n")
 	var out bytes.Buffer
 	oldIn, oldOut := stdin, stdout
 	stdin, stdout = strings.NewReader("time=2026-01-01T00:00:00 request=r1 msg=x\n"), &out
 	defer func() { stdin, stdout = oldIn, oldOut }()
-	c := &traceCommand{}
-	c.Args.Request = "r1"
-	c.Args.Files = []string{a, b, "-"}
-	if err := c.Execute(nil); err != nil {
+	command := &traceCommand{}
+	command.Args.Request = "r1"
+	command.Args.Files = []string{logA, logB, "-"}
+	if err := command.Execute(nil); err != nil {
 		t.Fatal(err)
 	}
-	var from []string
+	var logNames []string
 	for _, l := range strings.Split(strings.TrimSpace(out.String()), "\n") {
 		name, _, _ := strings.Cut(l, ":")
-		from = append(from, name)
+		logNames = append(logNames, name)
 	}
-	if got := strings.Join(from, " "); got != "- b a b" {
-		t.Errorf("%s\n%s", got, out.String())
+	if got := strings.Join(logNames, " "); got != "- b a b" {
+		t.Errorf("order of the logs: got %q, want \"- b a b\"; output:\n%s", got, out.String())
 	}
-	c.Args.Request = "r3"
-	c.Args.Files = []string{a}
-	if err := c.Execute(nil); err == nil || !strings.Contains(err.Error(), "r3") {
-		t.Errorf("a request that nobody knows: %v", err)
+	command.Args.Request = "r3"
+	command.Args.Files = []string{logA}
+	if err := command.Execute(nil); err == nil || !strings.Contains(err.Error(), "r3") {
+		t.Errorf("request that no line names: got error %v, want one that names r3", err)
 	}
 }
