--- a/cmd/hookhall-load/edits.go
+++ b/cmd/hookhall-load/edits.go
@@ -19,11 +19,13 @@
 	Seed    uint64        `long:"seed" default:"1" description:"Seed of the arrivals."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It edits cells one after another, --phase
+// apart, during one load and prints the accounts' attainment before the first
+// edit and after each.
 func (c *editsCommand) Execute([]string) error {
-	p, err := load.Named(c.Profile)
+	profile, err := load.Named(c.Profile)
 	if err != nil {
 		return err
 	}
-	return lab.Edits(context.Background(), os.Stdout, p, c.Times, c.Phase, c.Seed)
+	return lab.Edits(context.Background(), os.Stdout, profile, c.Times, c.Phase, c.Seed)
 }
--- a/cmd/hookhall-load/experiment.go
+++ b/cmd/hookhall-load/experiment.go
@@ -26,29 +26,30 @@
 	Seed     uint64        `long:"seed" default:"1" description:"Seed of the arrivals."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It plays the chosen scenarios under each
+// policy with the same arrivals and prints the results.
 func (c *experimentCommand) Execute([]string) error {
-	p, err := load.Named(c.Profile)
+	profile, err := load.Named(c.Profile)
 	if err != nil {
 		return err
 	}
-	x := lab.Experiment{Profile: p, Entries: c.Entries, Length: c.Time, Seed: c.Seed}
+	experiment := lab.Experiment{Profile: profile, Entries: c.Entries, Length: c.Time, Seed: c.Seed}
 	for _, name := range strings.Split(c.Policies, ",") {
 		policy, err := lab.PolicyNamed(name)
 		if err != nil {
 			return err
 		}
-		x.Policies = append(x.Policies, policy)
+		experiment.Policies = append(experiment.Policies, policy)
 	}
-	for _, s := range lab.Scenarios[c.Scenario] {
-		if strings.Contains(s.Name, c.Only) {
-			x.Scenarios = append(x.Scenarios, s)
+	for _, scenario := range lab.Scenarios[c.Scenario] {
+		if strings.Contains(scenario.Name, c.Only) {
+			experiment.Scenarios = append(experiment.Scenarios, scenario)
 		}
 	}
-	if len(x.Scenarios) == 0 {
-		return errors.Errorf("no scenario in group %q has %q in its name", c.Scenario, c.Only)
+	if len(experiment.Scenarios) == 0 {
+		return errors.Errorf("no scenario of group %q has a name that contains %q; the groups are load and faults", c.Scenario, c.Only)
 	}
-	rows, err := x.Run(context.Background(), os.Stdout)
+	rows, err := experiment.Run(context.Background(), os.Stdout)
 	for _, r := range rows {
 		if c.Kinds {
 			fmt.Printf("%s, %s\n", r.Scenario, r.Policy)
--- a/cmd/hookhall-load/main.go
+++ b/cmd/hookhall-load/main.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Command hookhall-load makes load, measures and audits.
+// Command hookhall-load generates open-loop load on entries, measures the
+// outcomes and audits them against the targets' ledgers.
 package main
 
 import (
@@ -9,10 +10,11 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const long = `hookhall-load makes open-loop load on entries and audits what became of it.
+const longDescription = `hookhall-load generates open-loop load on entries and audits the outcomes.
 
-It ends with 1 if any request was lost, swapped, doubled or falsely called not
-run.
+Its exit code is 1 if any request was lost, got the answer of another request,
+ran twice although it must run once, was reported as not run although it ran, or
+was answered without a finished run.
 
 Examples:
   hookhall-load table fuel | hookhallctl import -
@@ -22,26 +24,26 @@
 
 func main() {
 	var common cli.Common
-	p := flags.NewNamedParser("hookhall-load", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = long
-	p.SubcommandsOptional = true
-	if _, err := p.AddGroup("Options", "", &common); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	parser := flags.NewNamedParser("hookhall-load", flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = longDescription
+	parser.SubcommandsOptional = true
+	if _, err := parser.AddGroup("Options", "", &common); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
 	for _, c := range []struct {
 		name, short string
 		data        any
 	}{
-		{"run", "Make load on running entries", &runCommand{}},
+		{"run", "Generate load on running entries", &runCommand{}},
 		{"once", "Send one request and print its answer", &onceCommand{}},
 		{"table", "Print a profile's table as CSV", &tableCommand{}},
-		{"edits", "Edit cells during load and show what they do", &editsCommand{}},
-		{"slopes", "Measure what control costs as things grow, in this process", &slopesCommand{}},
+		{"edits", "Edit cells under load and show the effect of each edit", &editsCommand{}},
+		{"slopes", "Measure how coordination costs grow with fleet and load, in this process", &slopesCommand{}},
 		{"experiment", "Compare policies on the same arrivals, in this process", &experimentCommand{}},
 	} {
-		if _, err := p.AddCommand(c.name, c.short, c.short+".", c.data); err != nil {
-			cli.Fail(p.Name, err, cli.ExitUsage)
+		if _, err := parser.AddCommand(c.name, c.short, c.short+".", c.data); err != nil {
+			cli.Fail(parser.Name, err, cli.ExitUsage)
 		}
 	}
-	cli.Parse(p, &common)
+	cli.Parse(parser, &common)
 }
--- a/cmd/hookhall-load/run.go
+++ b/cmd/hookhall-load/run.go
@@ -27,19 +27,21 @@
 	List    string        `long:"list" description:"IP:port of the instance list, whose targets' ledgers are audited."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It sends the profile's requests to the
+// entries, prints a summary and, with --list, audits the targets' ledgers. It
+// returns an error if the audit finds a fault.
 func (c *runCommand) Execute([]string) error {
-	p, err := load.Named(c.Profile)
+	profile, err := load.Named(c.Profile)
 	if err != nil {
 		return err
 	}
 	entries := strings.Split(c.Entries, ",")
-	list := load.Plan{Profile: p, Rate: c.Rate, Duration: c.Time, Seed: c.Seed, Entries: len(entries), Burst: c.Burst}.Draw()
-	first, _ := cli.Signals()
+	arrivals := load.Plan{Profile: profile, Rate: c.Rate, Duration: c.Time, Seed: c.Seed, Entries: len(entries), Burst: c.Burst}.Draw()
+	stop, _ := cli.Signals()
 	client := load.NewClient()
 	defer client.Close()
-	outcomes := load.Run(first, client, entries, p, list, func(sent, ended int) {
-		fmt.Fprintf(os.Stderr, "sent %d of %d, ended %d\n", sent, len(list), ended)
+	outcomes := load.Run(stop, client, entries, profile, arrivals, func(sent, ended int) {
+		fmt.Fprintf(os.Stderr, "sent %d of %d, ended %d\n", sent, len(arrivals), ended)
 	})
 	var audit *load.Audit
 	if c.List != "" {
@@ -47,12 +49,12 @@
 		if err != nil {
 			return err
 		}
-		audit = load.Check(p, outcomes, ledger)
+		audit = load.Check(profile, outcomes, ledger)
 	}
 	all, kinds := load.Summarize(outcomes)
 	load.Print(os.Stdout, all, kinds, audit)
 	if audit != nil && !audit.Clean() {
-		return errors.New("the audit found faults")
+		return errors.New("the audit found faults; see the counts and examples in the report")
 	}
 	return nil
 }
@@ -63,35 +65,36 @@
 	Entries string `long:"entries" required:"true" description:"IP:port of an entry."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It sends one request of the kind and prints
+// its answer, or its problem document, as JSON.
 func (c *onceCommand) Execute([]string) error {
-	p, err := load.Named(c.Profile)
+	profile, err := load.Named(c.Profile)
 	if err != nil {
 		return err
 	}
-	for _, k := range p.Kinds {
-		if k.Name != c.Kind {
+	for _, kind := range profile.Kinds {
+		if kind.Name != c.Kind {
 			continue
 		}
 		tag := fmt.Sprintf("once-%d", time.Now().UnixNano())
-		key := load.Account{Name: k.Account}.Key()
-		o := load.NewClient().Send(context.Background(), c.Entries, key, k, tag, tag)
-		e := json.NewEncoder(os.Stdout)
-		e.SetIndent("", "  ")
-		if o.Problem != nil {
-			return e.Encode(o.Problem)
+		key := load.Account{Name: kind.Account}.Key()
+		outcome := load.NewClient().Send(context.Background(), c.Entries, key, kind, tag, tag)
+		encoder := json.NewEncoder(os.Stdout)
+		encoder.SetIndent("", "  ")
+		if outcome.Problem != nil {
+			return encoder.Encode(outcome.Problem)
 		}
-		if o.Err != nil {
-			return o.Err
+		if outcome.Err != nil {
+			return outcome.Err
 		}
-		return e.Encode(struct {
+		return encoder.Encode(struct {
 			RequestID string  `json:"request_id"`
 			Output    string  `json:"output"`
 			TookMS    float64 `json:"took_ms"`
 			Cost      any     `json:"cost"`
-		}{o.RequestID, o.Output, float64(o.Took.Microseconds()) / 1000, o.Cost})
+		}{outcome.RequestID, outcome.Output, float64(outcome.Took.Microseconds()) / 1000, outcome.Cost})
 	}
-	return errors.Errorf("profile %s has no kind %q", p.Name, c.Kind)
+	return errors.Errorf("profile %s has no request kind %q", profile.Name, c.Kind)
 }
 
 type tableCommand struct {
@@ -100,21 +103,22 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the cells of the profile's table as
+// CSV, in the form that hookhallctl import reads.
 func (c *tableCommand) Execute([]string) error {
-	p, err := load.Named(c.Args.Profile)
+	profile, err := load.Named(c.Args.Profile)
 	if err != nil {
 		return err
 	}
-	w := csv.NewWriter(os.Stdout)
-	if err := w.Write([]string{"sheet", "row", "column", "value"}); err != nil {
+	writer := csv.NewWriter(os.Stdout)
+	if err := writer.Write([]string{"sheet", "row", "column", "value"}); err != nil {
 		return err
 	}
-	for _, e := range p.Edits() {
-		if err := w.Write([]string{string(e.Sheet), e.Row, e.Column, e.Value}); err != nil {
+	for _, edit := range profile.Edits() {
+		if err := writer.Write([]string{string(edit.Sheet), edit.Row, edit.Column, edit.Value}); err != nil {
 			return err
 		}
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
--- a/cmd/hookhall-load/slopes.go
+++ b/cmd/hookhall-load/slopes.go
@@ -12,7 +12,8 @@
 
 type slopesCommand struct{}
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It prints the sizes of stored documents in
+// bytes, then how costs grow with entries, targets, accounts and requests.
 func (c *slopesCommand) Execute([]string) error {
 	if err := lab.Sizes(os.Stdout); err != nil {
 		return err
