--- a/cmd/hookhall-standin/main.go
+++ b/cmd/hookhall-standin/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Command hookhall-standin runs stand-ins of the platform and of targets, for
-// tests and the demo.
+// Command hookhall-standin runs stand-ins for the platform's services and for
+// targets, for tests and the demo.
 package main
 
 import (
@@ -10,10 +10,10 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const long = `hookhall-standin runs thin stand-ins of what hookhall works with.
+const longDescription = `hookhall-standin runs simple stand-ins for the services that hookhall depends on.
 
-Each prints its address when it listens, has its fault switches and counters
-below /standin/, and ends on SIGTERM.
+Each prints its address once it listens, serves its fault switches and counters
+under the path /standin/, and ends on SIGTERM.
 
 Examples:
   hookhall-standin kv --listen 127.0.0.1:8500
@@ -22,28 +22,30 @@
 
 func main() {
 	var common cli.Common
-	p := flags.NewNamedParser("hookhall-standin", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = long
-	p.SubcommandsOptional = true
+	parser := flags.NewNamedParser("hookhall-standin", flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = longDescription
+	parser.SubcommandsOptional = true
 	for _, err := range []error{
-		group(p, &common),
-		command(p, "kv", "Run the key-value service", &kvCommand{}),
-		command(p, "instances", "Run the instance list", &instancesCommand{}),
-		command(p, "targets", "Run targets of one pool", &targetsCommand{}),
+		addOptionGroup(parser, &common),
+		addCommand(parser, "kv", "Run the key-value service", &kvCommand{}),
+		addCommand(parser, "instances", "Run the instance list", &instancesCommand{}),
+		addCommand(parser, "targets", "Run targets of one pool", &targetsCommand{}),
 	} {
 		if err != nil {
-			cli.Fail(p.Name, err, cli.ExitUsage)
+			cli.Fail(parser.Name, err, cli.ExitUsage)
 		}
 	}
-	cli.Parse(p, &common)
+	cli.Parse(parser, &common)
 }
 
-func group(p *flags.Parser, c *cli.Common) error {
-	_, err := p.AddGroup("Options", "", c)
+// addOptionGroup adds the flags of every hookhall program to parser.
+func addOptionGroup(parser *flags.Parser, common *cli.Common) error {
+	_, err := parser.AddGroup("Options", "", common)
 	return err
 }
 
-func command(p *flags.Parser, name, short string, data any) error {
-	_, err := p.AddCommand(name, short, short+".", data)
+// addCommand adds a command to parser, with short as its help text.
+func addCommand(parser *flags.Parser, name, short string, data any) error {
+	_, err := parser.AddCommand(name, short, short+".", data)
 	return err
 }
--- a/cmd/hookhall-standin/platform.go
+++ b/cmd/hookhall-standin/platform.go
@@ -15,13 +15,14 @@
 	Listen string `long:"listen" default:"127.0.0.1:0" description:"IP:port to listen at."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It serves the key-value service until SIGTERM
+// or SIGINT.
 func (c *kvCommand) Execute([]string) error {
-	s, err := standin.Listen(c.Listen, standin.NewKeyValue())
+	server, err := standin.Listen(c.Listen, standin.NewKeyValue())
 	if err != nil {
 		return err
 	}
-	return untilSignal("kv", s)
+	return serveUntilSignal("kv", server)
 }
 
 type instancesCommand struct {
@@ -29,23 +30,26 @@
 	Lag    time.Duration `long:"lag" default:"1s" description:"How late changes are shown."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It serves the instance list until SIGTERM or
+// SIGINT.
 func (c *instancesCommand) Execute([]string) error {
-	s, err := standin.Listen(c.Listen, standin.NewInstances(c.Lag))
+	server, err := standin.Listen(c.Listen, standin.NewInstances(c.Lag))
 	if err != nil {
 		return err
 	}
-	return untilSignal("instances", s)
+	return serveUntilSignal("instances", server)
 }
 
-func untilSignal(name string, servers ...*standin.Server) error {
-	for _, s := range servers {
-		fmt.Printf("%s listening at %s\n", name, s.Address)
+// serveUntilSignal prints the servers' addresses, waits for SIGTERM or SIGINT and
+// closes the servers. The line "NAME listening at ADDRESS" is parsed by scripts.
+func serveUntilSignal(name string, servers ...*standin.Server) error {
+	for _, server := range servers {
+		fmt.Printf("%s listening at %s\n", name, server.Address)
 	}
-	first, _ := cli.Signals()
-	<-first.Done()
-	for _, s := range servers {
-		s.Close()
+	stop, _ := cli.Signals()
+	<-stop.Done()
+	for _, server := range servers {
+		server.Close()
 	}
 	return nil
 }
--- a/cmd/hookhall-standin/targets.go
+++ b/cmd/hookhall-standin/targets.go
@@ -27,49 +27,53 @@
 	Lag      time.Duration `long:"lag" default:"200ms" description:"Age of load reports."`
 }
 
-// Execute implements flags.Commander.
+// Execute implements flags.Commander. It serves --count targets until SIGTERM or
+// SIGINT.
 func (c *targetsCommand) Execute([]string) error {
 	var servers []*standin.Server
 	for i := 0; i < c.Count; i++ {
-		s, err := c.start(i)
+		server, err := c.start(i)
 		if err != nil {
 			return err
 		}
-		servers = append(servers, s)
+		servers = append(servers, server)
 	}
-	return untilSignal(c.Pool, servers...)
+	return serveUntilSignal(c.Pool, servers...)
 }
 
+// start serves the target with index i and announces it at the instance list, if
+// one is set.
 func (c *targetsCommand) start(i int) (*standin.Server, error) {
-	address, err := nth(c.Listen, i)
+	address, err := nthAddress(c.Listen, i)
 	if err != nil {
 		return nil, err
 	}
 	id := fmt.Sprintf("%s-%s-%d", c.Pool, c.Hall, i)
-	s, err := standin.Listen(address, standin.NewTarget(standin.TargetSettings{
+	server, err := standin.Listen(address, standin.NewTarget(standin.TargetSettings{
 		ID: id, Capacity: c.Capacity, Queue: c.Queue, Time: c.Time, Token: c.Token, Cache: c.Cache, Lag: c.Lag,
 	}))
 	if err != nil || c.List == "" {
-		return s, err
+		return server, err
 	}
-	return s, standin.Announce(c.List, hookhall.Instance{
-		ID: id, Role: hookhall.RoleTarget, Hall: c.Hall, Pool: c.Pool, Address: s.Address,
+	return server, standin.Announce(c.List, hookhall.Instance{
+		ID: id, Role: hookhall.RoleTarget, Hall: c.Hall, Pool: c.Pool, Address: server.Address,
 		Streams: c.Token > 0, State: hookhall.InstanceLive,
 	})
 }
 
-// nth is the address i ports after the first; port 0 stays 0.
-func nth(first string, i int) (string, error) {
+// nthAddress returns the address i ports after first. Port 0, which means any free
+// port, stays 0.
+func nthAddress(first string, i int) (string, error) {
 	host, port, err := net.SplitHostPort(first)
 	if err != nil {
 		return "", err
 	}
-	n, err := strconv.Atoi(port)
+	portNumber, err := strconv.Atoi(port)
 	if err != nil {
 		return "", err
 	}
-	if n > 0 {
-		n += i
+	if portNumber > 0 {
+		portNumber += i
 	}
-	return net.JoinHostPort(host, strconv.Itoa(n)), nil
+	return net.JoinHostPort(host, strconv.Itoa(portNumber)), nil
 }
