--- a/cmd/hookhall-admin/main.go
+++ b/cmd/hookhall-admin/main.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Command hookhall-admin serves the operators' interface to the table.
+// Command hookhall-admin serves the HTTP interface through which operators read
+// and edit their table.
 package main
 
 import (
@@ -15,42 +16,42 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const long = `hookhall-admin serves the operators' interface to the table.
+const longDescription = `hookhall-admin serves the operators' interface to the table.
 
-It keeps nothing: any number may run, beside the entries. SIGTERM ends it after
-the edits in progress; SIGUSR2 prints a state dump.
+It is stateless: any number of them may run beside the entries. On SIGTERM it
+finishes the edits in progress and ends; SIGUSR2 prints a state dump.
 
 Examples:
   hookhall-admin --config admin.toml
   hookhall-admin --config admin.toml --check-config`
 
 func main() {
-	var o struct {
+	var options struct {
 		cli.Common
 		Config string `long:"config" short:"c" description:"The TOML settings." value-name:"FILE"`
 		Check  bool   `long:"check-config" description:"Check the settings and exit."`
 	}
-	p := flags.NewNamedParser("hookhall-admin", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = long
-	if _, err := p.AddGroup("Options", "", &o); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	parser := flags.NewNamedParser("hookhall-admin", flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = longDescription
+	if _, err := parser.AddGroup("Options", "", &options); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
-	cli.Parse(p, &o.Common)
+	cli.Parse(parser, &options.Common)
 	s := settings.DefaultAdmin()
-	if err := settings.Load(o.Config, &s); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	if err := settings.Load(options.Config, &s); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
-	if o.Check {
+	if options.Check {
 		fmt.Println("settings are fine")
 		return
 	}
 	a, err := admin.New(s, os.Stderr)
 	if err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
 	cli.OnDump(func() { _ = json.NewEncoder(os.Stderr).Encode(a.State()) })
-	first, _ := cli.Signals()
-	if err := a.Run(first); err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+	stop, _ := cli.Signals()
+	if err := a.Run(stop); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
 }
--- a/cmd/hookhall-entry/main.go
+++ b/cmd/hookhall-entry/main.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Command hookhall-entry takes callers' requests and runs their pipelines.
+// Command hookhall-entry accepts callers' requests over HTTP and runs their
+// pipelines.
 package main
 
 import (
@@ -15,42 +16,43 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const long = `hookhall-entry takes callers' requests over HTTP and runs their pipelines.
+const longDescription = `hookhall-entry accepts callers' requests over HTTP and runs their pipelines.
 
 It joins the fleet named by its settings. SIGTERM begins a planned stop, which
-cuts nothing off; a second one ends it early. SIGUSR2 prints a state dump.
+lets the requests in progress finish; a second SIGTERM ends it early. SIGUSR2
+prints a state dump.
 
 Examples:
   hookhall-entry --config entry.toml
   hookhall-entry --config entry.toml --check-config`
 
 func main() {
-	var o struct {
+	var options struct {
 		cli.Common
 		Config string `long:"config" short:"c" description:"The TOML settings." value-name:"FILE"`
 		Check  bool   `long:"check-config" description:"Check the settings and exit."`
 	}
-	p := flags.NewNamedParser("hookhall-entry", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = long
-	if _, err := p.AddGroup("Options", "", &o); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	parser := flags.NewNamedParser("hookhall-entry", flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = longDescription
+	if _, err := parser.AddGroup("Options", "", &options); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
-	cli.Parse(p, &o.Common)
+	cli.Parse(parser, &options.Common)
 	s := settings.DefaultEntry()
-	if err := settings.Load(o.Config, &s); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	if err := settings.Load(options.Config, &s); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
-	if o.Check {
+	if options.Check {
 		fmt.Println("settings are fine")
 		return
 	}
 	e, err := entry.New(s, os.Stderr)
 	if err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
 	cli.OnDump(func() { _ = json.NewEncoder(os.Stderr).Encode(e.State()) })
-	first, second := cli.Signals()
-	if err := e.Run(first, second); err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+	stop, force := cli.Signals()
+	if err := e.Run(stop, force); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
 }
--- a/cmd/hookhall-gateway/main.go
+++ b/cmd/hookhall-gateway/main.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Command hookhall-gateway passes clients' requests on to the targets of the
+// Command hookhall-gateway forwards clients' requests to the targets of the
 // users' platform.
 package main
 
-import "C" // the platform links its programs against the system's C library
+import "C" // enables cgo: the platform links its programs against the system's C library
 
 import (
 	"encoding/json"
@@ -20,34 +20,35 @@
 	"github.com/jessevdk/go-flags"
 )
 
-const long = `hookhall-gateway passes clients' requests on to the targets of the users'
-platform, by the operators' table in the platform's store.
+const longDescription = `hookhall-gateway forwards clients' requests to the targets of the users'
+platform, as configured in the operators' table in the platform's store.
 
-SIGTERM begins a planned stop, which cuts nothing off. SIGHUP reads the settings
-again and tells what needs a restart. SIGUSR2 prints a state dump.
+SIGTERM begins a planned stop, which lets the requests in progress finish.
+SIGHUP reads the settings again and logs which changes need a restart. SIGUSR2
+prints a state dump.
 
 Examples:
   hookhall-gateway --config gateway.toml
   hookhall-gateway --config gateway.toml --check-config`
 
 func main() {
-	var o struct {
+	var options struct {
 		cli.Common
 		Config string `long:"config" short:"c" description:"The TOML settings." value-name:"FILE" required:"true"`
 		Check  bool   `long:"check-config" description:"Check the settings and exit."`
 	}
-	p := flags.NewNamedParser("hookhall-gateway", flags.HelpFlag|flags.PassDoubleDash)
-	p.LongDescription = long
-	if _, err := p.AddGroup("Options", "", &o); err != nil {
-		cli.Fail(p.Name, err, cli.ExitUsage)
+	parser := flags.NewNamedParser("hookhall-gateway", flags.HelpFlag|flags.PassDoubleDash)
+	parser.LongDescription = longDescription
+	if _, err := parser.AddGroup("Options", "", &options); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitUsage)
 	}
-	cli.Parse(p, &o.Common)
-	s := load(p.Name, o.Config)
-	if o.Check {
+	cli.Parse(parser, &options.Common)
+	s := loadSettings(parser.Name, options.Config)
+	if options.Check {
 		fmt.Println("settings are fine")
 		return
 	}
-	first, _ := cli.Signals()
+	stop, _ := cli.Signals()
 	pool := upstream.NewPool()
 	targets := &platform.Targets{Pool: pool}
 	g, err := gateway.New(s, gateway.Adapters{
@@ -55,16 +56,19 @@
 		Sender: targets, Pool: targets, Advisories: targets, Connections: pool,
 	}, os.Stdout)
 	if err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
-	cli.OnHangup(func() { g.Reload(o.Config) })
+	cli.OnHangup(func() { g.Reload(options.Config) })
 	cli.OnDump(func() { _ = json.NewEncoder(os.Stdout).Encode(g.State()) })
-	if err := g.Run(first); err != nil {
-		cli.Fail(p.Name, err, cli.ExitFailed)
+	if err := g.Run(stop); err != nil {
+		cli.Fail(parser.Name, err, cli.ExitFailed)
 	}
 }
 
-func load(name, path string) settings.Gateway {
+// loadSettings returns the settings in the file at path. If they can't be read or
+// are invalid, it exits the process with cli.ExitUsage; name is the program's
+// name in the message.
+func loadSettings(name, path string) settings.Gateway {
 	s := settings.DefaultGateway()
 	if err := settings.Load(path, &s); err != nil {
 		cli.Fail(name, err, cli.ExitUsage)
