--- a/internal/state/table/document.go
+++ b/internal/state/table/document.go
@@ -80,7 +80,7 @@
 	if len(b) == 0 {
 		return r, nil
 	}
-	return r, errors.Wrap(json.Unmarshal(b, &r), "decode table root")
+	return r, errors.Wrap(json.Unmarshal(b, &r), "table root")
 }
 
 // Chunk returns the encoded chunk i, from 0 to ChunkCount-1; nil when it is empty.
@@ -139,11 +139,11 @@
 		}
 		b := chunk(name)
 		if HashOf(b) != HashIn(name) {
-			return nil, errors.Errorf("table version %d: chunk %d is missing or does not match its hash", r.Version, i)
+			return nil, errors.Errorf("table version %d: chunk %d is missing or damaged", r.Version, i)
 		}
 		var rows []hookhall.Row
 		if err := json.Unmarshal(b, &rows); err != nil {
-			return nil, errors.Wrapf(err, "decode table chunk %d", i)
+			return nil, errors.Wrapf(err, "table chunk %d", i)
 		}
 		d.chunks[i] = b
 		for _, row := range rows {
--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -107,7 +107,7 @@
 	}
 	var pairs []pair
 	if err := json.Unmarshal(body, &pairs); err != nil || len(pairs) != 1 {
-		return hookhall.Entry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: the answer is not a list of one pair", key)
+		return hookhall.Entry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: not a pair", key)
 	}
 	return hookhall.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
 }
@@ -116,7 +116,7 @@
 // error, without a call.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	if len(value) > MaxValue {
-		return false, errors.Errorf("key %s: value has %d bytes, the limit of the service is %d", key, len(value), MaxValue)
+		return false, errors.Errorf("key %s: %d bytes are more than the service holds (%d)", key, len(value), MaxValue)
 	}
 	query := url.Values{"cas": {strconv.FormatUint(index, 10)}}
 	_, body, err := c.call(ctx, http.MethodPut, key, query, value, callTimeout)
@@ -133,7 +133,7 @@
 // returns the status, which is 200 or 404, and the body.
 func (c *Client) call(ctx context.Context, method, key string, query url.Values, value []byte, timeout time.Duration) (int, []byte, error) {
 	if err := c.limiter.Wait(ctx); err != nil {
-		return 0, nil, errors.Wrap(hookhall.ErrUnavailable, "waiting for the call rate limit")
+		return 0, nil, errors.Wrap(hookhall.ErrUnavailable, "call budget")
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -77,7 +77,7 @@
 	_, err := c.reader.Peek(1)
 	switch {
 	case err == nil:
-		return errors.New("received bytes before a request was sent")
+		return errors.New("bytes came before a request was sent")
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return c.SetReadDeadline(time.Time{})
 	}
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -195,7 +195,7 @@
 	if err := c.awaitReset(min(c.dialDuration+resetWaitMargin, maxResetWait)); err != nil {
 		_ = c.Close() // the target has closed it
 		p.recordReset(address, clock.Now())
-		return nil, errors.Wrap(err, "the target reset the new connection")
+		return nil, errors.Wrap(err, "the target turned the connection away")
 	}
 	return c, nil
 }
