--- a/internal/standin/instances.go
+++ b/internal/standin/instances.go
@@ -14,83 +14,87 @@
 	"github.com/hookhall/hookhall/internal/protocol/wire"
 )
 
-// Instances is a stand-in of the platform's list. A change is shown only after
-// the lag. PUT /standin/instance sets one, DELETE /standin/instance?id=ID
-// removes one, PUT /standin/faults {"down":true} makes the list fail.
+// Instances is a stand-in of the platform's instance list. A change becomes visible
+// only after a fixed lag. PUT /standin/instance adds or changes an instance, DELETE
+// /standin/instance?id=ID removes one, and PUT /standin/faults {"down":true} makes
+// the list answer 503. It is safe for concurrent use.
 type Instances struct {
-	lag  time.Duration
-	mu   sync.Mutex
-	now  map[string]hookhall.Instance
-	past []listed // oldest first
-	down bool
+	lag       time.Duration
+	mu        sync.Mutex
+	current   map[string]hookhall.Instance
+	snapshots []listSnapshot // oldest first
+	down      bool
 }
 
-type listed struct {
-	at   time.Time
-	list []hookhall.Instance
+// listSnapshot is the whole list, by ID, as it was from takenAt on.
+type listSnapshot struct {
+	takenAt   time.Time
+	instances []hookhall.Instance
 }
 
-// NewInstances makes an empty list that lags.
+// NewInstances returns an empty list whose changes become visible after lag.
 func NewInstances(lag time.Duration) *Instances {
-	return &Instances{lag: lag, now: map[string]hookhall.Instance{}}
+	return &Instances{lag: lag, current: map[string]hookhall.Instance{}}
 }
 
-// Set adds or changes an instance.
+// Set adds i, or replaces the instance that has its ID, and stamps it as seen now.
 func (l *Instances) Set(i hookhall.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	i.Seen = time.Now()
-	l.now[i.ID] = i
-	l.snapshot()
+	l.current[i.ID] = i
+	l.recordSnapshot()
 }
 
-// Remove takes an instance off the list.
+// Remove deletes the instance with this ID, if there is one.
 func (l *Instances) Remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.now, id)
-	l.snapshot()
+	delete(l.current, id)
+	l.recordSnapshot()
 }
 
-func (l *Instances) snapshot() {
-	list := make([]hookhall.Instance, 0, len(l.now))
-	for _, i := range l.now {
+// recordSnapshot appends the current list to the snapshots. l.mu must be held.
+func (l *Instances) recordSnapshot() {
+	list := make([]hookhall.Instance, 0, len(l.current))
+	for _, i := range l.current {
 		list = append(list, i)
 	}
 	sort.Slice(list, func(a, b int) bool { return list[a].ID < list[b].ID })
-	l.past = append(l.past, listed{time.Now(), list})
+	l.snapshots = append(l.snapshots, listSnapshot{time.Now(), list})
 }
 
-// shown is the newest list that is older than the lag.
-func (l *Instances) shown() []hookhall.Instance {
+// visible returns the newest snapshot that is at least as old as the lag, and drops
+// older ones. It returns an empty list as long as there is none.
+func (l *Instances) visible() []hookhall.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	limit := time.Now().Add(-l.lag)
-	for len(l.past) > 1 && !l.past[1].at.After(limit) {
-		l.past = l.past[1:]
+	newestVisible := time.Now().Add(-l.lag)
+	for len(l.snapshots) > 1 && !l.snapshots[1].takenAt.After(newestVisible) {
+		l.snapshots = l.snapshots[1:]
 	}
-	if len(l.past) == 0 || l.past[0].at.After(limit) {
+	if len(l.snapshots) == 0 || l.snapshots[0].takenAt.After(newestVisible) {
 		return []hookhall.Instance{}
 	}
-	return l.past[0].list
+	return l.snapshots[0].instances
 }
 
-// show sends the list, unless the asker has it by its tag.
-func (l *Instances) show(w http.ResponseWriter, r *http.Request) {
-	list := l.shown()
-	b, err := json.Marshal(list)
+// writeList answers with the visible list, or with 304 if the request's ETag matches it.
+func (l *Instances) writeList(w http.ResponseWriter, r *http.Request) {
+	list := l.visible()
+	body, err := json.Marshal(list)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	tag := `"` + wire.Checksum(b) + `"`
+	tag := `"` + wire.Checksum(body) + `"`
 	w.Header().Set("ETag", tag)
 	if r.Header.Get("If-None-Match") == tag {
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(b) // whoever asked may be gone
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
 
 // ServeHTTP implements http.Handler.
@@ -104,21 +108,21 @@
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		l.show(w, r)
+		l.writeList(w, r)
 	case r.URL.Path == "/standin/faults":
-		var f struct{ Down bool }
-		if json.NewDecoder(r.Body).Decode(&f) == nil {
+		var faults struct{ Down bool }
+		if json.NewDecoder(r.Body).Decode(&faults) == nil {
 			l.mu.Lock()
-			l.down = f.Down
+			l.down = faults.Down
 			l.mu.Unlock()
 		}
 	case r.Method == http.MethodPut:
-		var i hookhall.Instance
-		if err := json.NewDecoder(r.Body).Decode(&i); err != nil {
+		var instance hookhall.Instance
+		if err := json.NewDecoder(r.Body).Decode(&instance); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		l.Set(i)
+		l.Set(instance)
 	case r.Method == http.MethodDelete:
 		l.Remove(r.URL.Query().Get("id"))
 	default:
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -15,78 +15,84 @@
 	"golang.org/x/time/rate"
 )
 
-// The service's documented rates and bound on a value.
+// Limits of the key-value service as its platform documents them.
 const (
+	// WritesPerSecond and ReadsPerSecond are rate limits, and the size of the burst.
 	WritesPerSecond = 100
 	ReadsPerSecond  = 2000
-	maxValue        = 1 << 20
+	// maxValueBytes limits the size of one value.
+	maxValueBytes = 1 << 20
 )
 
-// KeyValueFaults are the switches of a KeyValue.
+// KeyValueFaults are the fault switches of a KeyValue. The zero value has none.
 type KeyValueFaults struct {
-	Down       bool `json:"down"`        // every call fails
-	SlowMS     int  `json:"slow_ms"`     // every call takes this much longer
-	LoseWrites int  `json:"lose_writes"` // the answers of the next writes are lost after their effect
-	StaleReads int  `json:"stale_reads"` // the next reads show what a key held before its last change
+	Down       bool `json:"down"`        // every call fails with 503
+	SlowMS     int  `json:"slow_ms"`     // delay added to every call, in milliseconds
+	LoseWrites int  `json:"lose_writes"` // number of next writes whose answer is lost after their effect
+	StaleReads int  `json:"stale_reads"` // number of next reads that return the value before the last change
 }
 
-// KeyValueStats are the calls counted, waiting watches included.
+// KeyValueStats counts calls by kind, rejected ones included.
 type KeyValueStats struct {
-	Reads   int64 `json:"reads"`
-	Writes  int64 `json:"writes"`
-	Watches int64 `json:"watches"`
-	Limited int64 `json:"limited"`
-	// Most are the most calls in any one second.
+	Reads   int64 `json:"reads"`   // reads without an index
+	Writes  int64 `json:"writes"`  // puts and deletes
+	Watches int64 `json:"watches"` // reads that wait for a change of an index
+	Limited int64 `json:"limited"` // calls rejected by a rate limit
+	// MostReads and MostWrites are the highest counts within one second of the clock;
+	// watches count as reads.
 	MostReads  int64 `json:"most_reads_per_s"`
 	MostWrites int64 `json:"most_writes_per_s"`
 }
 
-// KeyValue is a stand-in of the platform's key-value service.
+// KeyValue is a stand-in of the platform's key-value service: keys with a modify index,
+// compare-and-swap writes and blocking reads. It is safe for concurrent use.
 type KeyValue struct {
-	mu      sync.Mutex
-	index   uint64
-	pairs   map[string]kvPair
-	changed chan struct{}
-	faults  KeyValueFaults
-	stats   KeyValueStats
-	second  int64
-	inRead  int64
-	inWrite int64
-	reads   *rate.Limiter
-	writes  *rate.Limiter
+	mu               sync.Mutex
+	lastIndex        uint64
+	pairs            map[string]kvPair
+	changed          chan struct{} // closed and replaced by every change
+	faults           KeyValueFaults
+	stats            KeyValueStats
+	currentSecond    int64 // Unix time that the next two counters belong to
+	readsThisSecond  int64
+	writesThisSecond int64
+	readLimiter      *rate.Limiter
+	writeLimiter     *rate.Limiter
 }
 
+// kvPair is a value with its modify index, and both as they were before the last write.
 type kvPair struct {
-	value, before []byte
-	index         uint64
-	indexBefore   uint64
+	value, previousValue []byte
+	index                uint64
+	previousIndex        uint64
 }
 
-// NewKeyValue makes an empty service.
+// NewKeyValue returns an empty service without faults.
 func NewKeyValue() *KeyValue {
 	return &KeyValue{
 		pairs: map[string]kvPair{}, changed: make(chan struct{}),
-		reads:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
-		writes: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
+		readLimiter:  rate.NewLimiter(ReadsPerSecond, ReadsPerSecond),
+		writeLimiter: rate.NewLimiter(WritesPerSecond, WritesPerSecond),
 	}
 }
 
-// SetFaults sets the switches.
-func (k *KeyValue) SetFaults(f KeyValueFaults) {
+// SetFaults replaces all fault switches.
+func (k *KeyValue) SetFaults(faults KeyValueFaults) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.faults = f
-	k.wake() // watches in progress meet the fault too
+	k.faults = faults
+	k.notifyWatches() // watches in progress are subject to the new faults
 }
 
-// Stats reads the counters.
+// Stats returns the counters.
 func (k *KeyValue) Stats() KeyValueStats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.stats
 }
 
-func (k *KeyValue) wake() {
+// notifyWatches makes all watches in progress check their key. k.mu must be held.
+func (k *KeyValue) notifyWatches() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
@@ -95,7 +101,7 @@
 func (k *KeyValue) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	key, ok := strings.CutPrefix(r.URL.Path, "/v1/kv/")
 	if !ok {
-		k.control(w, r)
+		k.serveControl(w, r)
 		return
 	}
 	if !k.admit(w, r) {
@@ -113,29 +119,31 @@
 	}
 }
 
-func (k *KeyValue) control(w http.ResponseWriter, r *http.Request) {
+// serveControl sets the faults, or returns the counters for any other path.
+func (k *KeyValue) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/standin/faults" {
 		reply(w, k.Stats())
 		return
 	}
-	var f KeyValueFaults
-	if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
+	var faults KeyValueFaults
+	if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k.SetFaults(f)
+	k.SetFaults(faults)
 }
 
-// admit counts the call and applies rate limit, slowness and outage.
+// admit counts a call and applies the rate limit, the delay and the outage. It returns
+// false if it has answered the call.
 func (k *KeyValue) admit(w http.ResponseWriter, r *http.Request) bool {
 	write := r.Method != http.MethodGet
 	k.mu.Lock()
-	k.count(write, r.URL.Query().Has("index"))
-	f := k.faults
+	k.countCall(write, r.URL.Query().Has("index"))
+	faults := k.faults
 	k.mu.Unlock()
-	limiter := k.reads
+	limiter := k.readLimiter
 	if write {
-		limiter = k.writes
+		limiter = k.writeLimiter
 	}
 	if !limiter.Allow() {
 		k.mu.Lock()
@@ -144,37 +152,38 @@
 		http.Error(w, "rate limit", http.StatusTooManyRequests)
 		return false
 	}
-	time.Sleep(time.Duration(f.SlowMS) * time.Millisecond)
-	if f.Down {
+	time.Sleep(time.Duration(faults.SlowMS) * time.Millisecond)
+	if faults.Down {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return false
 	}
 	return true
 }
 
-func (k *KeyValue) count(write, watch bool) {
-	if now := time.Now().Unix(); now != k.second {
-		k.second, k.inRead, k.inWrite = now, 0, 0
+// countCall counts one call. k.mu must be held.
+func (k *KeyValue) countCall(write, watch bool) {
+	if now := time.Now().Unix(); now != k.currentSecond {
+		k.currentSecond, k.readsThisSecond, k.writesThisSecond = now, 0, 0
 	}
 	switch {
 	case write:
 		k.stats.Writes++
-		k.inWrite++
+		k.writesThisSecond++
 	case watch:
 		k.stats.Watches++
-		k.inRead++
+		k.readsThisSecond++
 	default:
 		k.stats.Reads++
-		k.inRead++
+		k.readsThisSecond++
 	}
-	k.stats.MostReads = max(k.stats.MostReads, k.inRead)
-	k.stats.MostWrites = max(k.stats.MostWrites, k.inWrite)
+	k.stats.MostReads = max(k.stats.MostReads, k.readsThisSecond)
+	k.stats.MostWrites = max(k.stats.MostWrites, k.writesThisSecond)
 }
 
 func (k *KeyValue) get(w http.ResponseWriter, r *http.Request, key string) {
-	q := r.URL.Query()
-	if q.Has("index") {
-		k.await(r, key, q.Get("index"), q.Get("wait"))
+	query := r.URL.Query()
+	if query.Has("index") {
+		k.awaitChange(r, key, query.Get("index"), query.Get("wait"))
 	}
 	k.mu.Lock()
 	if k.faults.Down {
@@ -182,10 +191,10 @@
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
 	}
-	p, ok := k.pairs[key]
-	if k.faults.StaleReads > 0 && p.indexBefore > 0 {
+	pair, ok := k.pairs[key]
+	if k.faults.StaleReads > 0 && pair.previousIndex > 0 {
 		k.faults.StaleReads--
-		p.value, p.index = p.before, p.indexBefore
+		pair.value, pair.index = pair.previousValue, pair.previousIndex
 	}
 	k.mu.Unlock()
 	if !ok {
@@ -196,13 +205,14 @@
 		Key         string
 		Value       []byte
 		ModifyIndex uint64
-	}{{key, p.value, p.index}})
+	}{{key, pair.value, pair.index}})
 }
 
-// await waits until the key's index differs, the wait is over, an outage
-// begins or the caller goes away.
-func (k *KeyValue) await(r *http.Request, key, index, wait string) {
-	seen, err := strconv.ParseUint(index, 10, 64)
+// awaitChange returns when the key's modify index differs from index, the time wait has
+// passed, an outage begins or the client goes away; at once if index or wait is
+// malformed.
+func (k *KeyValue) awaitChange(r *http.Request, key, index, wait string) {
+	knownIndex, err := strconv.ParseUint(index, 10, 64)
 	if err != nil {
 		return
 	}
@@ -214,7 +224,7 @@
 	defer timer.Stop()
 	for {
 		k.mu.Lock()
-		done, changed := k.pairs[key].index != seen || k.faults.Down, k.changed
+		done, changed := k.pairs[key].index != knownIndex || k.faults.Down, k.changed
 		k.mu.Unlock()
 		if done {
 			return
@@ -229,30 +239,32 @@
 	}
 }
 
+// put writes a value if the parameter cas equals the modify index of its key (0 for a new
+// one), and answers whether it did.
 func (k *KeyValue) put(w http.ResponseWriter, r *http.Request, key string) {
-	value, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
+	value, err := io.ReadAll(io.LimitReader(r.Body, maxValueBytes+1))
 	cas, casErr := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
-	if err != nil || casErr != nil || len(value) > maxValue {
+	if err != nil || casErr != nil || len(value) > maxValueBytes {
 		http.Error(w, "wrong value or index", http.StatusRequestEntityTooLarge)
 		return
 	}
 	k.mu.Lock()
-	old := k.pairs[key]
-	ok := old.index == cas
-	if ok {
-		k.index++
-		k.pairs[key] = kvPair{value: value, before: old.value, index: k.index, indexBefore: old.index}
-		k.wake()
+	current := k.pairs[key]
+	matches := current.index == cas
+	if matches {
+		k.lastIndex++
+		k.pairs[key] = kvPair{value: value, previousValue: current.value, index: k.lastIndex, previousIndex: current.index}
+		k.notifyWatches()
 	}
-	lose := k.faults.LoseWrites > 0
-	if lose {
+	loseAnswer := k.faults.LoseWrites > 0
+	if loseAnswer {
 		k.faults.LoseWrites--
 	}
 	k.mu.Unlock()
-	if lose {
-		panic(http.ErrAbortHandler) // the connection breaks after the effect
+	if loseAnswer {
+		panic(http.ErrAbortHandler) // breaks the connection after the write took effect
 	}
-	reply(w, ok)
+	reply(w, matches)
 }
 
 func (k *KeyValue) remove(w http.ResponseWriter, key string) {
@@ -262,7 +274,8 @@
 	reply(w, true)
 }
 
+// reply answers with v as JSON.
 func reply(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // whoever asked may be gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -15,56 +15,57 @@
 	"github.com/pkg/errors"
 )
 
-// Server is a stand-in that listens.
+// Server is a stand-in that listens at Address, an IP:port.
 type Server struct {
 	Address string
 	server  *http.Server
 }
 
-// Listen serves a stand-in at address; port 0 takes a free one.
+// Listen serves h at address; with port 0 the system chooses a free port.
 func Listen(address string, h http.Handler) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "stand-in")
 	}
 	s := &Server{Address: l.Addr().String(), server: &http.Server{Handler: h}}
-	go func() { _ = s.server.Serve(l) }() // ends with Close
+	go func() { _ = s.server.Serve(l) }() // returns on Close or Shutdown
 	return s, nil
 }
 
-// Close ends the stand-in at once, cutting off what is in progress.
+// Close stops the server at once and breaks its open connections.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// Shutdown ends it when nothing is in progress any more.
+// Shutdown stops the server once all calls in progress have ended, or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-// callTime bounds one control call.
-const callTime = 5 * time.Second
+// controlTimeout limits one call of Control.
+const controlTimeout = 5 * time.Second
 
-// Control sends a switch or another control message to a stand-in.
+// Control sends body as JSON to a path of the stand-in at address, such as a fault
+// switch. It fails unless the answer is 200.
 func Control(method, address, path string, body any) error {
-	b, err := json.Marshal(body)
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), callTime)
+	ctx, cancel := context.WithTimeout(context.Background(), controlTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(b))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(encoded))
 	if err != nil {
 		return err
 	}
-	resp, err := http.DefaultClient.Do(req)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("%s%s: status %d", address, path, resp.StatusCode)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return errors.Errorf("%s%s: status %d", address, path, response.StatusCode)
 	}
 	return nil
 }
 
-// Announce puts an instance on the list at address.
+// Announce adds or changes an instance on the list stand-in at address list.
 func Announce(list string, i hookhall.Instance) error {
 	return Control(http.MethodPut, list, "/standin/instance", i)
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -9,40 +9,44 @@
 	"sync"
 )
 
-// slots lets in as many calls as run at once; the others wait, higher
-// priorities first.
+// slots limits how many calls run at once. Further calls wait; a free slot goes to the
+// waiting call of the highest priority, and among equals to the one that came first.
 type slots struct {
-	mu    sync.Mutex
-	open  int
-	queue waiters
-	count int
+	mu        sync.Mutex
+	available int // free slots
+	queue     waiterHeap
+	enqueued  int // calls that ever waited
 }
 
+// waiter is a call that waits for a slot.
 type waiter struct {
-	priority int
-	order    int
-	index    int
-	granted  chan struct{}
+	priority  int
+	sequence  int           // order of arrival
+	heapIndex int           // position in waiterHeap
+	granted   chan struct{} // closed when the call has its slot
 }
 
-func newSlots(n int) *slots { return &slots{open: max(n, 1)} }
+// newSlots returns n free slots, but at least one.
+func newSlots(n int) *slots { return &slots{available: max(n, 1)} }
 
+// waiting returns the number of calls that wait for a slot.
 func (s *slots) waiting() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue)
 }
 
-// take waits for a slot; false when ctx ended first.
-func (s *slots) take(ctx context.Context, priority int) bool {
+// acquire waits for a slot and reports whether it got one before ctx ended. After true,
+// the caller must call release.
+func (s *slots) acquire(ctx context.Context, priority int) bool {
 	s.mu.Lock()
-	if s.open > 0 {
-		s.open--
+	if s.available > 0 {
+		s.available--
 		s.mu.Unlock()
 		return true
 	}
-	s.count++
-	w := &waiter{priority: priority, order: s.count, granted: make(chan struct{})}
+	s.enqueued++
+	w := &waiter{priority: priority, sequence: s.enqueued, granted: make(chan struct{})}
 	heap.Push(&s.queue, w)
 	s.mu.Unlock()
 	select {
@@ -54,46 +58,49 @@
 	defer s.mu.Unlock()
 	select {
 	case <-w.granted:
-		s.give()
+		s.grantNext()
 	default:
-		heap.Remove(&s.queue, w.index)
+		heap.Remove(&s.queue, w.heapIndex)
 	}
 	return false
 }
 
-func (s *slots) free() {
+// release returns a slot.
+func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.give()
+	s.grantNext()
 }
 
-func (s *slots) give() {
+// grantNext passes a slot to the first waiting call, if any. s.mu must be held.
+func (s *slots) grantNext() {
 	if len(s.queue) == 0 {
-		s.open++
+		s.available++
 		return
 	}
 	close(heap.Pop(&s.queue).(*waiter).granted)
 }
 
-type waiters []*waiter
+// waiterHeap implements heap.Interface; the next call to run is its first element.
+type waiterHeap []*waiter
 
-func (w waiters) Len() int { return len(w) }
-func (w waiters) Less(i, j int) bool {
+func (w waiterHeap) Len() int { return len(w) }
+func (w waiterHeap) Less(i, j int) bool {
 	if w[i].priority != w[j].priority {
 		return w[i].priority > w[j].priority
 	}
-	return w[i].order < w[j].order
+	return w[i].sequence < w[j].sequence
 }
-func (w waiters) Swap(i, j int) {
+func (w waiterHeap) Swap(i, j int) {
 	w[i], w[j] = w[j], w[i]
-	w[i].index, w[j].index = i, j
+	w[i].heapIndex, w[j].heapIndex = i, j
 }
-func (w *waiters) Push(x any) {
+func (w *waiterHeap) Push(x any) {
 	n := x.(*waiter)
-	n.index = len(*w)
+	n.heapIndex = len(*w)
 	*w = append(*w, n)
 }
-func (w *waiters) Pop() any {
+func (w *waiterHeap) Pop() any {
 	last := len(*w) - 1
 	n := (*w)[last]
 	*w = (*w)[:last]
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -20,81 +20,86 @@
 	"github.com/hookhall/hookhall/internal/protocol/wire"
 )
 
-// TargetSettings are what a target is like.
+// TargetSettings configures a Target.
 type TargetSettings struct {
+	// ID names the target in its ledger.
 	ID string
-	// Capacity is how many calls run at once.
+	// Capacity is the number of calls that run at once.
 	Capacity int
-	// Queue is how many wait before further ones are refused; 0 for no bound.
+	// Queue is the number of waiting calls from which on further ones are refused; 0 for
+	// no limit.
 	Queue int
-	// Time is what a call takes; for engines, the prefill without the cache.
+	// Time is the duration of a call; for engines, of a prefill without a cached prefix.
 	Time time.Duration
-	// Token is the time of one token; 0 for targets that do not stream.
+	// Token is the time of one token in an otherwise empty batch; 0 for targets that do
+	// not stream.
 	Token time.Duration
-	// Cache is how many prompt prefixes an engine keeps; a prefix in the cache
-	// makes the prefill ten times shorter.
+	// Cache is the number of prompt prefixes that an engine caches, the least recently
+	// used evicted first; a cached prefix makes the prefill ten times shorter.
 	Cache int
-	// Lag is how old load reports are.
+	// Lag is the maximum age of a load report; within it, the same report is repeated.
 	Lag time.Duration
 }
 
-// TargetFaults are the switches of a target. Shares are from 0 to 1.
+// TargetFaults are the fault switches of a Target. The zero value has none. Shares are
+// probabilities from 0 to 1 for each call.
 type TargetFaults struct {
-	Slow       float64 `json:"slow"`        // factor on all times; 0 is 1
-	FailBefore float64 `json:"fail_before"` // share refused as not run
+	Slow       float64 `json:"slow"`        // factor on all times; values below 1 count as 1
+	FailBefore float64 `json:"fail_before"` // share refused with 503 and marked as not run
 	FailAfter  float64 `json:"fail_after"`  // share that fails after running, with status 500
-	Lose       float64 `json:"lose"`        // share whose answer is lost after running
-	Truncate   float64 `json:"truncate"`    // share whose answer is cut in the middle
-	Misdirect  float64 `json:"misdirect"`   // share that is the answer to another request
-	Corrupt    float64 `json:"corrupt"`     // share whose answer has a changed byte
-	Duplicate  float64 `json:"duplicate"`   // share whose first word comes twice
-	Leaving    bool    `json:"leaving"`     // refuses new work and reports to be leaving
-	Quiet      bool    `json:"quiet"`       // with Leaving: only refuses, reports nothing
+	Lose       float64 `json:"lose"`        // share whose connection breaks after running, before the answer
+	Truncate   float64 `json:"truncate"`    // share whose connection breaks in the middle of the answer
+	Misdirect  float64 `json:"misdirect"`   // share answered with the answer of another request
+	Corrupt    float64 `json:"corrupt"`     // share whose answer has a changed last byte
+	Duplicate  float64 `json:"duplicate"`   // share whose first word is sent twice
+	Leaving    bool    `json:"leaving"`     // refuses new calls and reports that it is leaving
+	Quiet      bool    `json:"quiet"`       // with Leaving: refuses new calls, but load reports do not say so
 }
 
-// Run is one line of the ledger: a call that began to run.
+// Run is one entry of the ledger: a call that began to run.
 type Run struct {
 	Target   string    `json:"target"`
 	Request  string    `json:"request"`
 	Stage    string    `json:"stage"`
 	Attempt  string    `json:"attempt"`
-	Key      string    `json:"key,omitempty"`
+	Key      string    `json:"key,omitempty"` // idempotency key
 	Tag      string    `json:"tag"`
 	Began    time.Time `json:"began"`
-	Finished bool      `json:"finished"`
-	// BusyMS is how long it held a slot, also when it was canceled.
+	Finished bool      `json:"finished"` // ran to its end, even if its answer was then lost
+	// BusyMS is the time in milliseconds that the call held a slot, also if it was canceled.
 	BusyMS float64 `json:"busy_ms"`
 }
 
-// Target is a stand-in of an engine, a pool's target or a plain service.
+// Target is a stand-in of a target: an engine, another pool's target or a plain service.
+// It is safe for concurrent use.
 type Target struct {
-	settings TargetSettings
-	slots    *slots
-	running  atomic.Int64
-	tokens   atomic.Int64
-	hits     atomic.Int64
+	settings   TargetSettings
+	slots      *slots
+	running    atomic.Int64
+	tokensSent atomic.Int64
+	cacheHits  atomic.Int64
 
-	mu     sync.Mutex
-	faults TargetFaults
-	ledger []*Run
-	cache  []uint64 // newest last
-	report hookhall.LoadReport
-	taken  time.Time
+	mu             sync.Mutex
+	faults         TargetFaults
+	ledger         []*Run
+	cachedPrefixes []uint64 // least recently used first, as hashes
+	lastReport     hookhall.LoadReport
+	lastReportAt   time.Time
 }
 
-// NewTarget makes a target.
+// NewTarget returns a target without faults; which runs at least one call at a time.
 func NewTarget(s TargetSettings) *Target {
 	return &Target{settings: s, slots: newSlots(s.Capacity)}
 }
 
-// SetFaults sets the switches.
-func (t *Target) SetFaults(f TargetFaults) {
+// SetFaults replaces all fault switches; calls in progress keep the earlier ones.
+func (t *Target) SetFaults(faults TargetFaults) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.faults = f
+	t.faults = faults
 }
 
-// Ledger copies the runs so far.
+// Ledger returns a copy of all runs so far, in the order in which they began.
 func (t *Target) Ledger() []Run {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,70 +114,71 @@
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case wire.PathCall:
-		t.call(w, r)
+		t.serveCall(w, r)
 	case wire.PathLoad:
-		reply(w, t.load())
+		reply(w, t.loadReport())
 	case "/standin/ledger":
 		reply(w, t.Ledger())
 	case "/standin/stats":
-		reply(w, map[string]int64{"tokens": t.tokens.Load(), "cache_hits": t.hits.Load()})
+		reply(w, map[string]int64{"tokens": t.tokensSent.Load(), "cache_hits": t.cacheHits.Load()})
 	case "/standin/faults":
-		var f TargetFaults
-		if err := json.NewDecoder(r.Body).Decode(&f); err != nil {
+		var faults TargetFaults
+		if err := json.NewDecoder(r.Body).Decode(&faults); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		t.SetFaults(f)
+		t.SetFaults(faults)
 	default:
 		http.NotFound(w, r)
 	}
 }
 
-// load is the report as it was Lag ago at most.
-func (t *Target) load() hookhall.LoadReport {
+// loadReport returns a load report that is at most TargetSettings.Lag old.
+func (t *Target) loadReport() hookhall.LoadReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if time.Since(t.taken) >= t.settings.Lag {
-		t.taken = time.Now()
-		t.report = hookhall.LoadReport{
+	if time.Since(t.lastReportAt) >= t.settings.Lag {
+		t.lastReportAt = time.Now()
+		t.lastReport = hookhall.LoadReport{
 			Running: int(t.running.Load()), Waiting: t.slots.waiting(), Capacity: t.settings.Capacity,
 		}
 	}
-	r := t.report
-	r.Leaving = t.faults.Leaving && !t.faults.Quiet
-	return r
+	report := t.lastReport
+	report.Leaving = t.faults.Leaving && !t.faults.Quiet
+	return report
 }
 
-func (t *Target) call(w http.ResponseWriter, r *http.Request) {
+// serveCall answers one stage call: it refuses the call, or runs it in a slot.
+func (t *Target) serveCall(w http.ResponseWriter, r *http.Request) {
 	t.mu.Lock()
-	f := t.faults
+	faults := t.faults
 	t.mu.Unlock()
 	input, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // the call was cut off before it was whole
+		return // the connection broke before the call was complete
 	}
 	wire.Echo(w.Header(), r.Header)
-	if refused := t.refuse(w, f); refused {
+	if refused := t.refuse(w, faults); refused {
 		return
 	}
 	arrived := time.Now()
-	if !t.slots.take(r.Context(), number(r, wire.HeaderPriority)) {
+	if !t.slots.acquire(r.Context(), headerInt(r, wire.HeaderPriority)) {
 		return
 	}
-	defer t.slots.free()
+	defer t.slots.release()
 	t.running.Add(1)
 	defer t.running.Add(-1)
-	t.run(w, r, f, string(input), time.Since(arrived))
+	t.runCall(w, r, faults, string(input), time.Since(arrived))
 }
 
-// refuse answers calls that are not run.
-func (t *Target) refuse(w http.ResponseWriter, f TargetFaults) bool {
+// refuse answers a call that is not to run, and reports whether it did.
+func (t *Target) refuse(w http.ResponseWriter, faults TargetFaults) bool {
 	status := 0
 	switch {
-	case f.Leaving:
+	case faults.Leaving:
 		w.Header().Set(wire.HeaderLeaving, "true")
 		status = http.StatusServiceUnavailable
-	case rand.Float64() < f.FailBefore:
+	case rand.Float64() < faults.FailBefore:
 		status = http.StatusServiceUnavailable
 	case t.settings.Queue > 0 && t.slots.waiting() >= t.settings.Queue:
 		status = http.StatusTooManyRequests
@@ -184,165 +190,176 @@
 	return true
 }
 
-func (t *Target) run(w http.ResponseWriter, r *http.Request, f TargetFaults, input string, waited time.Duration) {
-	line := t.begin(r, input)
+// runCall runs a call that has a slot and writes its answer.
+func (t *Target) runCall(w http.ResponseWriter, r *http.Request, faults TargetFaults, input string, waited time.Duration) {
+	record := t.beginRun(r, input)
 	began := time.Now()
 	defer func() {
 		t.mu.Lock()
-		line.BusyMS = millis(time.Since(began))
+		record.BusyMS = milliseconds(time.Since(began))
 		t.mu.Unlock()
 	}()
-	slow := max(f.Slow, 1)
+	slow := max(faults.Slow, 1)
 	tokens := 0
 	if t.settings.Token > 0 {
-		tokens = max(number(r, wire.HeaderMaxTokens), 1)
+		tokens = max(headerInt(r, wire.HeaderMaxTokens), 1)
 	}
 	words := Transform(r.Header.Get(wire.HeaderStage), input, tokens)
-	if !sleep(r.Context(), scale(t.prefill(input), slow)) {
+	if !sleepContext(r.Context(), scaleDuration(t.prefillTime(input), slow)) {
 		return
 	}
-	a := &answer{w: w, fault: f, words: append([]string(nil), words...)}
-	if err := a.begin(); err != nil {
-		t.finish(line)
+	output := &answer{w: w, faults: faults, words: append([]string(nil), words...)}
+	if err := output.applyFault(); err != nil {
+		t.finishRun(record)
 		return
 	}
 	for i, word := range words {
-		if t.settings.Token > 0 && i > 0 && !sleep(r.Context(), scale(t.tokenTime(), slow)) {
+		if t.settings.Token > 0 && i > 0 && !sleepContext(r.Context(), scaleDuration(t.currentTokenTime(), slow)) {
 			return
 		}
-		a.word(i, word)
-		t.tokens.Add(1)
+		output.writeWord(i, word)
+		t.tokensSent.Add(1)
 	}
-	t.finish(line)
-	a.end(&wire.TargetEnd{
-		Tokens: len(words), QueueMS: millis(waited), BusyMS: millis(time.Since(began)), Load: t.load(),
+	t.finishRun(record)
+	output.finish(&wire.TargetEnd{
+		Tokens: len(words), QueueMS: milliseconds(waited), BusyMS: milliseconds(time.Since(began)), Load: t.loadReport(),
 	})
 }
 
-func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
+func scaleDuration(d time.Duration, factor float64) time.Duration {
+	return time.Duration(float64(d) * factor)
+}
 
-// tokenTime grows by half from an empty batch to a full one.
-func (t *Target) tokenTime() time.Duration {
-	full := float64(t.running.Load()) / float64(t.settings.Capacity)
-	return scale(t.settings.Token, 1+full/2)
+// currentTokenTime returns the time of one token, which grows linearly with the batch: in
+// a full one it is half as long again as in an empty one.
+func (t *Target) currentTokenTime() time.Duration {
+	batchShare := float64(t.running.Load()) / float64(t.settings.Capacity)
+	return scaleDuration(t.settings.Token, 1+batchShare/2)
 }
 
-// cachedPart is how much shorter a prefill with a cached prefix is.
 const (
-	cachedPart   = 10
-	prefixLength = 64
+	// cachedPrefillDivisor divides the prefill time if the prefix is cached.
+	cachedPrefillDivisor = 10
+	// prefixBytes is the length of the prompt prefix that the cache is keyed by.
+	prefixBytes = 64
 )
 
-// prefill is the time before the first word.
-func (t *Target) prefill(input string) time.Duration {
+// prefillTime returns the time before the first word and adds the prefix to the cache.
+func (t *Target) prefillTime(input string) time.Duration {
 	if t.settings.Cache == 0 {
 		return t.settings.Time
 	}
-	prefix := xxhash.Sum64String(input[:min(prefixLength, len(input))])
+	prefix := xxhash.Sum64String(input[:min(prefixBytes, len(input))])
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for i, p := range t.cache {
-		if p == prefix {
-			t.cache = append(append(t.cache[:i:i], t.cache[i+1:]...), p)
-			t.hits.Add(1)
-			return t.settings.Time / cachedPart
+	for i, cached := range t.cachedPrefixes {
+		if cached == prefix {
+			t.cachedPrefixes = append(append(t.cachedPrefixes[:i:i], t.cachedPrefixes[i+1:]...), cached)
+			t.cacheHits.Add(1)
+			return t.settings.Time / cachedPrefillDivisor
 		}
 	}
-	t.cache = append(t.cache, prefix)
-	if len(t.cache) > t.settings.Cache {
-		t.cache = t.cache[1:]
+	t.cachedPrefixes = append(t.cachedPrefixes, prefix)
+	if len(t.cachedPrefixes) > t.settings.Cache {
+		t.cachedPrefixes = t.cachedPrefixes[1:]
 	}
 	return t.settings.Time
 }
 
-func (t *Target) begin(r *http.Request, input string) *Run {
-	line := &Run{
+// beginRun appends the call to the ledger.
+func (t *Target) beginRun(r *http.Request, input string) *Run {
+	record := &Run{
 		Target: t.settings.ID, Request: r.Header.Get(wire.HeaderRequestID), Stage: r.Header.Get(wire.HeaderStage),
 		Attempt: r.Header.Get(wire.HeaderAttempt), Key: r.Header.Get(wire.HeaderKey),
 		Tag: Tag(input), Began: time.Now(),
 	}
 	t.mu.Lock()
-	t.ledger = append(t.ledger, line)
+	t.ledger = append(t.ledger, record)
 	t.mu.Unlock()
-	return line
+	return record
 }
 
-func (t *Target) finish(line *Run) {
+// finishRun marks a run as finished.
+func (t *Target) finishRun(record *Run) {
 	t.mu.Lock()
-	line.Finished = true
+	record.Finished = true
 	t.mu.Unlock()
 }
 
-// answer writes a target's answer, with its faults.
+// answer writes a target's answer and applies its faults.
 type answer struct {
-	w     http.ResponseWriter
-	fault TargetFaults
-	words []string
-	text  string
-	cut   int
-	// other is set when the words are another request's, whole and in order.
-	other bool
+	w            http.ResponseWriter
+	faults       TargetFaults
+	words        []string
+	intendedText string // what the checksum covers: the words before corruption
+	cutAt        int    // index of the first word that is not sent; -1 for none
+	// misdirected is set if words are the complete answer of another request.
+	misdirected bool
 }
 
-// begin decides the faults of this answer. An error means that it has been
-// given already.
-func (a *answer) begin() error {
-	a.cut = -1
-	f := a.fault
-	switch x := rand.Float64(); {
-	case x < f.FailAfter:
+// applyFault draws which fault, if any, this answer has. It returns errAlreadyAnswered if
+// the fault is a complete answer of its own.
+func (a *answer) applyFault() error {
+	a.cutAt = -1
+	faults := a.faults
+	switch draw := rand.Float64(); {
+	case draw < faults.FailAfter:
 		http.Error(a.w, "failed after running", http.StatusInternalServerError)
-		return errFault
-	case x < f.FailAfter+f.Lose:
-		a.cut = 0
-	case x < f.FailAfter+f.Lose+f.Truncate:
-		a.cut = (len(a.words) + 1) / 2
-	case x < f.FailAfter+f.Lose+f.Truncate+f.Misdirect:
+		return errAlreadyAnswered
+	case draw < faults.FailAfter+faults.Lose:
+		a.cutAt = 0
+	case draw < faults.FailAfter+faults.Lose+faults.Truncate:
+		a.cutAt = (len(a.words) + 1) / 2
+	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect:
 		a.w.Header().Set(wire.HeaderRequestID, "another-request")
 		a.words = Transform("another-stage", "another input another-tag", len(a.words)+1)[:len(a.words)]
-		a.other = true
-	case x < f.FailAfter+f.Lose+f.Truncate+f.Misdirect+f.Corrupt:
+		a.misdirected = true
+	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect+faults.Corrupt:
 		last := a.words[len(a.words)-1]
 		a.words[len(a.words)-1] = last[:len(last)-1] + "#"
-	case x < f.FailAfter+f.Lose+f.Truncate+f.Misdirect+f.Corrupt+f.Duplicate:
+	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect+faults.Corrupt+faults.Duplicate:
 		a.words[0] += a.words[0]
 	}
 	return nil
 }
 
-var errFault = fmt.Errorf("fault")
+var errAlreadyAnswered = fmt.Errorf("fault")
 
-func (a *answer) word(i int, word string) {
-	if a.cut >= 0 && i >= a.cut {
-		return // the rest of the run goes on, unseen
+// writeWord sends word i, or what the fault makes of it.
+func (a *answer) writeWord(i int, word string) {
+	if a.cutAt >= 0 && i >= a.cutAt {
+		return // the run continues, but nothing more is sent
 	}
-	if a.other {
+	if a.misdirected {
 		word = a.words[i]
 	}
-	a.text += word
+	a.intendedText += word
 	if a.words[i] != word {
-		word = a.words[i] // corrupted on its way: the checksum is of what was meant
+		word = a.words[i] // corrupted in transit: the checksum covers the intended word
 	}
-	a.write(wire.TargetLine{Text: word})
+	a.writeLine(wire.TargetLine{Text: word})
 }
 
-func (a *answer) end(e *wire.TargetEnd) {
-	if a.cut >= 0 {
-		panic(http.ErrAbortHandler) // the connection breaks
+// finish writes the last line with length and checksum, or breaks the connection.
+func (a *answer) finish(e *wire.TargetEnd) {
+	if a.cutAt >= 0 {
+		panic(http.ErrAbortHandler) // breaks the connection
 	}
-	e.Length, e.Checksum = len(a.text), wire.Checksum([]byte(a.text))
-	a.write(wire.TargetLine{End: e})
+	e.Length, e.Checksum = len(a.intendedText), wire.Checksum([]byte(a.intendedText))
+	a.writeLine(wire.TargetLine{End: e})
 }
 
-func (a *answer) write(l wire.TargetLine) {
+// writeLine sends one line at once.
+func (a *answer) writeLine(l wire.TargetLine) {
 	if json.NewEncoder(a.w).Encode(l) == nil {
-		_ = http.NewResponseController(a.w).Flush() // the next write shows it
+		_ = http.NewResponseController(a.w).Flush() // a broken connection fails the next write
 	}
 }
 
-func number(r *http.Request, header string) int {
+// headerInt returns the number in a header field, 0 if there is none.
+func headerInt(r *http.Request, header string) int {
 	n, err := strconv.Atoi(r.Header.Get(header))
 	if err != nil {
 		return 0
@@ -350,7 +367,8 @@
 	return n
 }
 
-func sleep(ctx context.Context, d time.Duration) bool {
+// sleepContext waits for d and reports whether it passed before ctx ended.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/standin/transform.go
+++ b/internal/standin/transform.go
@@ -11,33 +11,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// headLength is how much of an input its stage results keep as their beginning,
-// as a prompt template would be kept. It is what prefix caches see.
-const headLength = 64
+// headBytes is the length in bytes of the input's beginning that non-streaming stages
+// copy into their output, as a prompt template would be kept. Prefix caches of later
+// stages match on it.
+const headBytes = 64
 
-// Transform is what a target makes of an input: the words it answers with, one
-// a token. The last word of the input is kept as the last one, so that an
-// answer shows whose it is; the rest depends on stage and input alone. Targets
-// that do not stream keep the input's head and add a word; engines give tokens
-// words.
+// Transform returns the answer of a target as a list of words, one per token. The last
+// word is the tag of the input (see Tag), so that an answer can be matched to its
+// request; the other words depend on stage and input alone. With tokens 0, as for
+// targets that do not stream, the answer is the head of the input, a word derived from
+// the hash, and the tag; otherwise it has exactly tokens words.
 func Transform(stage, input string, tokens int) []string {
 	tag := Tag(input)
-	h := xxhash.Sum64String(stage + "\x00" + input)
+	hash := xxhash.Sum64String(stage + "\x00" + input)
 	if tokens == 0 {
-		head := input[:min(headLength, len(input)-len(tag))]
-		return []string{head, stage + "-" + strconv.FormatUint(h, 16), " " + tag}
+		head := input[:min(headBytes, len(input)-len(tag))]
+		return []string{head, stage + "-" + strconv.FormatUint(hash, 16), " " + tag}
 	}
 	words := make([]string, 0, tokens)
 	for i := 1; i < tokens; i++ {
-		words = append(words, fmt.Sprintf("w%d-%04x ", i, (h>>(i%48))&0xffff))
+		words = append(words, fmt.Sprintf("w%d-%04x ", i, (hash>>(i%48))&0xffff))
 	}
 	return append(words, tag)
 }
 
-// Tag is the last word of an input.
+// Tag returns the last space-separated word of an input, which identifies its request.
 func Tag(input string) string { return input[strings.LastIndexByte(input, ' ')+1:] }
 
-// Output is Transform's words as one output.
+// Output returns the words of Transform joined into one string.
 func Output(stage, input string, tokens int) string {
 	return strings.Join(Transform(stage, input, tokens), "")
 }
--- a/internal/standin/wire.go
+++ b/internal/standin/wire.go
@@ -8,70 +8,72 @@
 	"sync/atomic"
 )
 
-// Wire is a proxy whose open connections can fall silent: they stay open, and no byte
-// passes any more, nor any end. New ones work.
+// Wire is a TCP proxy whose open connections can be stalled, as by a network that drops
+// packets without a reset: they stay open, but neither bytes nor the end of the stream
+// pass any more. Connections opened afterwards work. It is safe for concurrent use.
 type Wire struct {
-	listener net.Listener
-	to       string
-	era      atomic.Int64 // connections of earlier eras are silent
-	opened   atomic.Int64
+	listener        net.Listener
+	upstreamAddress string
+	generation      atomic.Int64 // connections of an earlier generation are stalled
+	opened          atomic.Int64
 }
 
-// NewWire makes a proxy to an address.
-func NewWire(to string) (*Wire, error) {
+// NewWire starts a proxy on a free loopback port that forwards to upstreamAddress.
+func NewWire(upstreamAddress string) (*Wire, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Wire{listener: l, to: to}
-	go w.accept()
+	w := &Wire{listener: l, upstreamAddress: upstreamAddress}
+	go w.acceptConnections()
 	return w, nil
 }
 
-// Address is where it listens.
+// Address returns the address that the proxy listens at.
 func (w *Wire) Address() string { return w.listener.Addr().String() }
 
-// Silence has all open connections fall silent.
-func (w *Wire) Silence() { w.era.Add(1) }
+// Silence stalls all connections that are open now.
+func (w *Wire) Silence() { w.generation.Add(1) }
 
-// Opened is how many connections were opened.
+// Opened returns the number of connections accepted since the start.
 func (w *Wire) Opened() int64 { return w.opened.Load() }
 
-// Close takes no more connections.
+// Close stops accepting connections; those that are open stay.
 func (w *Wire) Close() { _ = w.listener.Close() }
 
-func (w *Wire) accept() {
+func (w *Wire) acceptConnections() {
 	for {
-		c, err := w.listener.Accept()
+		client, err := w.listener.Accept()
 		if err != nil {
 			return
 		}
 		w.opened.Add(1)
-		s, err := net.Dial("tcp", w.to)
+		upstream, err := net.Dial("tcp", w.upstreamAddress)
 		if err != nil {
-			_ = c.Close()
+			_ = client.Close()
 			continue
 		}
-		era := w.era.Load()
-		go w.pass(c, s, era)
-		go w.pass(s, c, era)
+		generation := w.generation.Load()
+		go w.copyDirection(client, upstream, generation)
+		go w.copyDirection(upstream, client, generation)
 	}
 }
 
-// pass copies one direction. What a silent connection sends is swallowed.
-func (w *Wire) pass(from, to net.Conn, era int64) {
-	b := make([]byte, 4096)
+// copyDirection copies one direction of a connection. Bytes and ends on a stalled
+// connection are discarded.
+func (w *Wire) copyDirection(from, to net.Conn, generation int64) {
+	buffer := make([]byte, 4096)
 	for {
-		n, err := from.Read(b)
-		silent := w.era.Load() != era
+		length, err := from.Read(buffer)
+		stalled := w.generation.Load() != generation
 		if err != nil {
-			if !silent {
+			if !stalled {
 				_ = to.Close()
 			}
 			return
 		}
-		if !silent {
-			_, _ = to.Write(b[:n]) // the next read shows a broken connection
+		if !stalled {
+			_, _ = to.Write(buffer[:length]) // a broken connection fails the next read
 		}
 	}
 }
