--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -12,69 +12,74 @@
 	"context"
 )
 
-// Arrival is one request to come.
+// Arrival is a request that is to be sent.
 type Arrival struct {
-	At   time.Duration
+	At   time.Duration // since the start of the load
 	Kind Kind
-	Tag  string
-	Key  string
-	// Entry is the number of the entry it goes to.
+	Tag  string // unique within a plan; the last word of the input
+	Key  string // idempotency key; empty for repeatable kinds
+	// Entry is the index of the entry that it goes to, from 0 to Plan.Entries - 1.
 	Entry int
 }
 
-// Plan draws arrivals.
+// Plan describes a load from which arrivals are drawn.
 type Plan struct {
 	Profile  Profile
-	Rate     float64 // requests a second on average
+	Rate     float64 // requests per second, averaged over the load, without the flood
 	Duration time.Duration
 	Seed     uint64
-	Entries  int
-	// Burst, if above 1, makes each tenth second carry this many times the
-	// average, and the others less.
+	Entries  int // number of entries; arrivals are spread over them at random
+	// Burst, if above 1, is the factor on the average rate in the first tenth of each
+	// second; the rate in the rest of the second is lower, which keeps the average.
 	Burst float64
-	// Flood multiplies the weight of one account's kinds.
+	// Flood names an account, if any, whose kinds have their weight multiplied by
+	// FloodTimes. The additional requests come on top of Rate.
 	Flood      string
 	FloodTimes float64
 }
 
-// Draw returns the arrivals in order of time. The same plan gives the same.
+// Draw returns the arrivals in order of time, as a Poisson process. The result depends on
+// the plan alone, so that variants of the software can be compared on the same load.
 func (p Plan) Draw() []Arrival {
-	r := rand.New(rand.NewPCG(p.Seed, 0x68616c6c))
-	kinds, total := p.weights()
+	random := rand.New(rand.NewPCG(p.Seed, 0x68616c6c))
+	kinds, total := p.weightedKinds()
 	rate := p.Rate
 	if p.Flood != "" {
-		_, plain := Plan{Profile: p.Profile}.weights()
-		rate *= total / plain // the flood comes on top
+		_, weightWithoutFlood := Plan{Profile: p.Profile}.weightedKinds()
+		rate *= total / weightWithoutFlood // the flood is additional load
 	}
-	var list []Arrival
-	for at := 0.0; ; {
-		at += r.ExpFloat64() / (rate * p.factor(at))
-		d := time.Duration(at * float64(time.Second))
-		if d >= p.Duration {
-			return list
+	var arrivals []Arrival
+	for seconds := 0.0; ; {
+		seconds += random.ExpFloat64() / (rate * p.rateFactor(seconds))
+		offset := time.Duration(seconds * float64(time.Second))
+		if offset >= p.Duration {
+			return arrivals
 		}
-		k := pick(kinds, r.Float64()*total)
-		a := Arrival{At: d, Kind: k, Tag: fmt.Sprintf("t%x-%d", p.Seed, len(list)), Entry: r.IntN(max(p.Entries, 1))}
-		if !k.Repeatable {
-			a.Key = "k-" + a.Tag
+		kind := pickKind(kinds, random.Float64()*total)
+		arrival := Arrival{At: offset, Kind: kind, Tag: fmt.Sprintf("t%x-%d", p.Seed, len(arrivals)), Entry: random.IntN(max(p.Entries, 1))}
+		if !kind.Repeatable {
+			arrival.Key = "k-" + arrival.Tag
 		}
-		list = append(list, a)
+		arrivals = append(arrivals, arrival)
 	}
 }
 
-// factor is the rate at a moment against the average.
-func (p Plan) factor(at float64) float64 {
+// rateFactor returns the rate at a moment, in seconds since the start, relative to the
+// average. Between bursts it is at least 0.05, so that a burst factor of 10 or more does
+// not stop the load.
+func (p Plan) rateFactor(seconds float64) float64 {
 	if p.Burst <= 1 {
 		return 1
 	}
-	const period, part = 1.0, 0.1
-	if phase := at - float64(int(at/period))*period; phase < part {
+	const period, burstShare = 1.0, 0.1
+	if phase := seconds - float64(int(seconds/period))*period; phase < burstShare {
 		return p.Burst
 	}
-	return max((1-part*p.Burst)/(1-part), 0.05)
+	return max((1-burstShare*p.Burst)/(1-burstShare), 0.05)
 }
 
-func (p Plan) weights() ([]Kind, float64) {
+// weightedKinds returns the kinds with the flood in their weights, and the sum of these.
+func (p Plan) weightedKinds() ([]Kind, float64) {
 	kinds := append([]Kind(nil), p.Profile.Kinds...)
 	total := 0.0
 	for i := range kinds {
@@ -86,7 +91,8 @@
 	return kinds, total
 }
 
-func pick(kinds []Kind, x float64) Kind {
+// pickKind returns the kind that x, from 0 to the sum of weights, falls on.
+func pickKind(kinds []Kind, x float64) Kind {
 	for _, k := range kinds {
 		if x < k.Weight {
 			return k
@@ -96,20 +102,22 @@
 	return kinds[len(kinds)-1]
 }
 
-// Run sends arrivals to entries when their time comes and waits for all
-// outcomes. progress, if set, is called once a second.
-func Run(ctx context.Context, c *Client, entries []string, p Profile, list []Arrival, progress func(sent, ended int)) []*Outcome {
+// Run sends every arrival to its entry when it is due, without waiting for earlier
+// answers, and returns the outcomes in the order of the arrivals once all have ended.
+// If ctx ends, the remaining arrivals are not sent and have no outcome. progress, if set,
+// is called at most once per second with the numbers of requests sent and ended.
+func Run(ctx context.Context, c *Client, entries []string, p Profile, arrivals []Arrival, progress func(sent, ended int)) []*Outcome {
 	keys := map[string]string{}
-	for _, a := range p.Accounts {
-		keys[a.Name] = a.Key()
+	for _, account := range p.Accounts {
+		keys[account.Name] = account.Key()
 	}
-	outcomes := make([]*Outcome, len(list))
+	outcomes := make([]*Outcome, len(arrivals))
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ended := 0
-	began, told := time.Now(), time.Now()
-	for i, a := range list {
-		timer := time.NewTimer(a.At - time.Since(began))
+	began, lastProgress := time.Now(), time.Now()
+	for i, arrival := range arrivals {
+		timer := time.NewTimer(arrival.At - time.Since(began))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -120,14 +128,14 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			o := c.Send(context.WithoutCancel(ctx), entries[a.Entry%len(entries)], keys[a.Kind.Account], a.Kind, a.Tag, a.Key)
+			outcome := c.Send(context.WithoutCancel(ctx), entries[arrival.Entry%len(entries)], keys[arrival.Kind.Account], arrival.Kind, arrival.Tag, arrival.Key)
 			mu.Lock()
-			outcomes[i] = o
+			outcomes[i] = outcome
 			ended++
 			mu.Unlock()
 		}()
-		if progress != nil && time.Since(told) >= time.Second {
-			told = time.Now()
+		if progress != nil && time.Since(lastProgress) >= time.Second {
+			lastProgress = time.Now()
 			mu.Lock()
 			progress(i+1, ended)
 			mu.Unlock()
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -16,83 +16,92 @@
 	"github.com/hookhall/hookhall/internal/transport/instances"
 )
 
-// Audit is what comparing outcomes with ledgers shows.
+// Audit counts the differences between outcomes and the targets' ledgers.
 type Audit struct {
+	// Requests is the number of outcomes that were compared.
 	Requests int `json:"requests"`
-	// Lost requests got no whole answer and no final problem.
+	// Lost counts requests that got neither a complete answer nor a problem document.
 	Lost int `json:"lost"`
-	// Swapped answers are not those of their request.
+	// Swapped counts complete answers that are not the expected one of their request.
 	Swapped int `json:"swapped"`
-	// Doubled requests that must run once ran more often.
+	// Doubled counts stages with side effects that ran more than once for a request that
+	// is not repeatable.
 	Doubled int `json:"doubled"`
-	// FalseNotRun were called not run and ran.
+	// FalseNotRun counts requests that were reported as not run although a stage with side
+	// effects had begun before the refusal.
 	FalseNotRun int `json:"false_not_run"`
-	// Unfounded answers have no finished run behind them.
-	Unfounded int      `json:"unfounded"`
-	Examples  []string `json:"examples,omitempty"`
+	// Unfounded counts answers of pipelines with side effects for which no run of such a
+	// stage has finished.
+	Unfounded int `json:"unfounded"`
+	// Examples describes the first differences, at most maxExamples.
+	Examples []string `json:"examples,omitempty"`
 }
 
-// Clean tells whether nothing was found.
+// Clean reports whether no difference was found.
 func (a *Audit) Clean() bool {
 	return a.Lost+a.Swapped+a.Doubled+a.FalseNotRun+a.Unfounded == 0
 }
 
+// maxExamples keeps a report of many differences readable.
 const maxExamples = 8
 
-func (a *Audit) note(count *int, format string, args ...any) {
+// addFinding increments count and adds an example while there is room.
+func (a *Audit) addFinding(count *int, format string, args ...any) {
 	*count++
 	if len(a.Examples) < maxExamples {
 		a.Examples = append(a.Examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// Check compares outcomes with the runs in ledgers. Outcomes with the same key
-// are submissions of one request.
+// Check compares outcomes with the runs in the targets' ledgers. Outcomes with the same
+// tag are submissions of one request, whose runs are counted once. Nil outcomes are
+// ignored.
 func Check(p Profile, outcomes []*Outcome, ledger []standin.Run) *Audit {
-	a := &Audit{}
-	runs := map[string][]standin.Run{}
-	for _, r := range ledger {
-		runs[r.Tag] = append(runs[r.Tag], r)
+	audit := &Audit{}
+	runsByTag := map[string][]standin.Run{}
+	for _, run := range ledger {
+		runsByTag[run.Tag] = append(runsByTag[run.Tag], run)
 	}
 	seen := map[string]bool{}
-	for _, o := range outcomes {
-		if o == nil {
+	for _, outcome := range outcomes {
+		if outcome == nil {
 			continue
 		}
-		a.Requests++
-		mine := effectRuns(p, o.Kind, runs[o.Tag])
-		a.checkAnswer(p, o, mine)
-		if !o.Kind.Repeatable && !seen[o.Tag] {
-			seen[o.Tag] = true
-			for stage, n := range countStages(mine) {
-				if n > 1 {
-					a.note(&a.Doubled, "%s ran %d times at stage %s", o.Tag, n, stage)
+		audit.Requests++
+		effects := sideEffectRuns(p, outcome.Kind, runsByTag[outcome.Tag])
+		audit.checkAnswer(p, outcome, effects)
+		if !outcome.Kind.Repeatable && !seen[outcome.Tag] {
+			seen[outcome.Tag] = true
+			for stage, count := range countRunsByStage(effects) {
+				if count > 1 {
+					audit.addFinding(&audit.Doubled, "%s ran %d times at stage %s", outcome.Tag, count, stage)
 				}
 			}
 		}
 	}
-	return a
+	return audit
 }
 
-func (a *Audit) checkAnswer(p Profile, o *Outcome, mine []standin.Run) {
+// checkAnswer checks one outcome against its runs of stages with side effects.
+func (a *Audit) checkAnswer(p Profile, o *Outcome, effects []standin.Run) {
 	switch {
 	case o.Answered:
 		if o.Output != p.Expected(o.Kind, Input(o.Kind, o.Tag)) {
-			a.note(&a.Swapped, "%s got another answer: %.60q", o.Tag, o.Output)
+			a.addFinding(&a.Swapped, "%s got another answer: %.60q", o.Tag, o.Output)
 		}
-		if len(p.effects(o.Kind)) > 0 && !anyFinished(mine) {
-			a.note(&a.Unfounded, "%s has an answer and no finished run", o.Tag)
+		if len(p.sideEffectStages(o.Kind)) > 0 && !anyFinished(effects) {
+			a.addFinding(&a.Unfounded, "%s has an answer and no finished run", o.Tag)
 		}
 	case o.Problem == nil:
-		a.note(&a.Lost, "%s at %s: no final answer: %v", o.Tag, o.Entry, o.Err)
-	case o.Problem.Verdict == hookhall.NotRun.String() && anyBefore(mine, o.Began.Add(o.Took)):
-		a.note(&a.FalseNotRun, "%s was called not run (%s: %s) and ran at %s", o.Tag, o.Problem.Cause, o.Problem.Detail, mine[0].Target)
+		a.addFinding(&a.Lost, "%s at %s: no final answer: %v", o.Tag, o.Entry, o.Err)
+	case o.Problem.Verdict == hookhall.NotRun.String() && anyStartedBefore(effects, o.Began.Add(o.Took)):
+		a.addFinding(&a.FalseNotRun, "%s was called not run (%s: %s) and ran at %s", o.Tag, o.Problem.Cause, o.Problem.Detail, effects[0].Target)
 	}
 }
 
-// anyBefore tells whether a run began before a refusal came: one that began
-// after it is of a later submission.
-func anyBefore(runs []standin.Run, at time.Time) bool {
+// anyStartedBefore reports whether a run began before a moment. A run that began after a
+// refusal belongs to a later submission of the same request.
+func anyStartedBefore(runs []standin.Run, at time.Time) bool {
 	for _, r := range runs {
 		if r.Began.Before(at) {
 			return true
@@ -101,23 +110,25 @@
 	return false
 }
 
-func effectRuns(p Profile, k Kind, runs []standin.Run) []standin.Run {
-	effects := p.effects(k)
-	var mine []standin.Run
+// sideEffectRuns returns the runs of stages that are not pure in the pipeline of k.
+func sideEffectRuns(p Profile, k Kind, runs []standin.Run) []standin.Run {
+	stages := p.sideEffectStages(k)
+	var selected []standin.Run
 	for _, r := range runs {
-		if effects[r.Stage] {
-			mine = append(mine, r)
+		if stages[r.Stage] {
+			selected = append(selected, r)
 		}
 	}
-	return mine
+	return selected
 }
 
-func countStages(runs []standin.Run) map[string]int {
-	n := map[string]int{}
+// countRunsByStage returns the number of runs of each stage.
+func countRunsByStage(runs []standin.Run) map[string]int {
+	counts := map[string]int{}
 	for _, r := range runs {
-		n[r.Stage]++
+		counts[r.Stage]++
 	}
-	return n
+	return counts
 }
 
 func anyFinished(runs []standin.Run) bool {
@@ -129,34 +140,35 @@
 	return false
 }
 
-// ledgerTime bounds reading one ledger.
-const ledgerTime = 10 * time.Second
+// ledgerReadTimeout limits one read of a ledger or of the instance list.
+const ledgerReadTimeout = 10 * time.Second
 
-// Targets reads the addresses of listed targets.
+// Targets returns the targets on the instance list at the address list.
 func Targets(list string) ([]hookhall.Instance, error) {
 	var all []hookhall.Instance
-	if err := get("http://"+list+instances.Path, &all); err != nil {
+	if err := getJSON("http://"+list+instances.Path, &all); err != nil {
 		return nil, err
 	}
-	var ts []hookhall.Instance
+	var targets []hookhall.Instance
 	for _, i := range all {
 		if i.Role == hookhall.RoleTarget {
-			ts = append(ts, i)
+			targets = append(targets, i)
 		}
 	}
-	return ts, nil
+	return targets, nil
 }
 
-// ReadLedgers reads the ledgers of all listed targets.
+// ReadLedgers returns the runs in the ledgers of all targets on the instance list at the
+// address list, in order of their start. It fails if any of them can't be read.
 func ReadLedgers(list string) ([]standin.Run, error) {
-	ts, err := Targets(list)
+	targets, err := Targets(list)
 	if err != nil {
 		return nil, err
 	}
 	var all []standin.Run
-	for _, t := range ts {
+	for _, target := range targets {
 		var runs []standin.Run
-		if err := get("http://"+t.Address+"/standin/ledger", &runs); err != nil {
+		if err := getJSON("http://"+target.Address+"/standin/ledger", &runs); err != nil {
 			return nil, err
 		}
 		all = append(all, runs...)
@@ -165,17 +177,18 @@
 	return all, nil
 }
 
-func get(url string, v any) error {
-	c := &http.Client{Timeout: ledgerTime}
-	resp, err := c.Get(url)
+// getJSON reads a JSON document into v.
+func getJSON(url string, v any) error {
+	client := &http.Client{Timeout: ledgerReadTimeout}
+	response, err := client.Get(url)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	return json.NewDecoder(resp.Body).Decode(v)
+	defer response.Body.Close()
+	return json.NewDecoder(response.Body).Decode(v)
 }
 
-// problemCause is the cause of a refusal, or what stands in its place.
+// problemCause returns the cause of a refusal, or "lost" if p is nil.
 func problemCause(p *wire.Problem) string {
 	if p == nil {
 		return "lost"
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -18,44 +18,46 @@
 	"github.com/pkg/errors"
 )
 
-// graceAfterDeadline is how long a caller waits beyond its deadline for the
-// final answer.
-const graceAfterDeadline = 2 * time.Second
+// answerGracePeriod is the time that a client waits beyond its deadline for the final
+// answer, so that a refusal at the deadline is received and not counted as lost.
+const answerGracePeriod = 2 * time.Second
 
+// hashKey returns the SHA-256 of an account key in hexadecimal, as the table stores it.
 func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Outcome is what became of one request.
+// Outcome is the result of one request. With neither Answered nor Problem, the request was
+// lost, and Err has the reason.
 type Outcome struct {
 	Kind      Kind
 	Tag       string
-	Key       string
+	Key       string // idempotency key, if any
 	RequestID string
-	Entry     string
+	Entry     string // IP:port
 	Began     time.Time
-	Took      time.Duration
-	First     time.Duration
-	// Answered: a whole answer came, with Output.
+	Took      time.Duration // from Began until the last byte
+	First     time.Duration // from Began until the first text of a stream; 0 without one
+	// Answered is set if a complete answer came: length and checksum of Output match.
 	Answered bool
 	Output   string
-	Replayed bool
+	Replayed bool // the answer is of an earlier request with the same key
 	Cost     []hookhall.StageCost
-	// Problem is the final refusal; with neither, the request was lost.
+	// Problem is the final refusal, if there was one.
 	Problem *wire.Problem
 	Err     error
 }
 
-// InTime tells whether the whole answer came within the deadline.
+// InTime reports whether the complete answer came within the deadline.
 func (o *Outcome) InTime() bool {
 	return o.Answered && o.Took <= time.Duration(o.Kind.DeadlineMS)*time.Millisecond
 }
 
-// Client sends requests to entries.
+// Client sends requests to entries. It is safe for concurrent use.
 type Client struct{ http *http.Client }
 
-// NewClient makes a Client.
+// NewClient returns a Client that reuses connections.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 512, DisableCompression: true}}}
 }
@@ -63,91 +65,96 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Send runs one request at an entry.
-func (c *Client) Send(ctx context.Context, entry, accountKey string, k Kind, tag, key string) *Outcome {
-	o := &Outcome{Kind: k, Tag: tag, Key: key, Entry: entry, Began: time.Now()}
-	limit := time.Duration(k.DeadlineMS)*time.Millisecond + graceAfterDeadline
-	ctx, cancel := context.WithTimeout(ctx, limit)
+// Send sends one request of a kind to the entry at an IP:port and waits for its outcome,
+// at most until answerGracePeriod after the deadline. key is the idempotency key; "" for
+// none. It never retries.
+func (c *Client) Send(ctx context.Context, entry, accountKey string, kind Kind, tag, key string) *Outcome {
+	outcome := &Outcome{Kind: kind, Tag: tag, Key: key, Entry: entry, Began: time.Now()}
+	timeout := time.Duration(kind.DeadlineMS)*time.Millisecond + answerGracePeriod
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	repeatable := k.Repeatable
+	repeatable := kind.Repeatable
 	body, err := json.Marshal(wire.RunRequest{
-		Pipeline: k.Pipeline, Input: Input(k, tag), MaxTokens: k.Tokens,
-		DeadlineMS: k.DeadlineMS, Repeatable: &repeatable, Stream: k.Stream,
+		Pipeline: kind.Pipeline, Input: Input(kind, tag), MaxTokens: kind.Tokens,
+		DeadlineMS: kind.DeadlineMS, Repeatable: &repeatable, Stream: kind.Stream,
 	})
 	if err != nil {
-		o.Err = err
-		return o
+		outcome.Err = err
+		return outcome
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/v1/run", bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry+"/v1/run", bytes.NewReader(body))
 	if err != nil {
-		o.Err = err
-		return o
+		outcome.Err = err
+		return outcome
 	}
-	// The tool's own client must not send twice either.
-	req.GetBody = nil
-	req.Header.Set("Authorization", "Bearer "+accountKey)
+	// Without a body to replay, net/http can't retry the request by itself.
+	request.GetBody = nil
+	request.Header.Set("Authorization", "Bearer "+accountKey)
 	if key != "" {
-		req.Header.Set(wire.HeaderKey, key)
+		request.Header.Set(wire.HeaderKey, key)
 	}
-	o.Err = c.exchange(req, o)
-	o.Took = time.Since(o.Began)
-	return o
+	outcome.Err = c.exchange(request, outcome)
+	outcome.Took = time.Since(outcome.Began)
+	return outcome
 }
 
-func (c *Client) exchange(req *http.Request, o *Outcome) error {
-	resp, err := c.http.Do(req)
+// exchange sends a request and reads its answer into o.
+func (c *Client) exchange(request *http.Request, o *Outcome) error {
+	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	o.RequestID = resp.Header.Get(wire.HeaderRequestID)
-	if resp.StatusCode != http.StatusOK {
+	defer response.Body.Close()
+	o.RequestID = response.Header.Get(wire.HeaderRequestID)
+	if response.StatusCode != http.StatusOK {
 		o.Problem = &wire.Problem{}
-		if err := json.NewDecoder(resp.Body).Decode(o.Problem); err != nil {
+		if err := json.NewDecoder(response.Body).Decode(o.Problem); err != nil {
 			o.Problem = nil
-			return errors.Wrapf(err, "status %d", resp.StatusCode)
+			return errors.Wrapf(err, "status %d", response.StatusCode)
 		}
 		return nil
 	}
 	if !o.Kind.Stream {
-		var a wire.RunAnswer
-		if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
+		var answer wire.RunAnswer
+		if err := json.NewDecoder(response.Body).Decode(&answer); err != nil {
 			return err
 		}
-		return o.take(a.Output, &a)
+		return o.acceptAnswer(answer.Output, &answer)
 	}
-	return o.readStream(resp.Body)
+	return o.readStream(response.Body)
 }
 
+// readStream reads a streamed answer. A restart line discards the text before it.
 func (o *Outcome) readStream(body io.Reader) error {
-	d := json.NewDecoder(body)
+	decoder := json.NewDecoder(body)
 	var text []byte
 	for {
-		var l wire.StreamLine
-		if err := d.Decode(&l); err != nil {
-			return errors.Wrap(err, "the stream broke off")
+		var line wire.StreamLine
+		if err := decoder.Decode(&line); err != nil {
+			return errors.Wrap(err, "answer stream ended early")
 		}
 		switch {
-		case l.Restart:
+		case line.Restart:
 			text = text[:0]
-		case l.Error != nil:
-			o.Problem = l.Error
+		case line.Error != nil:
+			o.Problem = line.Error
 			return nil
-		case l.End != nil:
-			return o.take(string(text), l.End)
+		case line.End != nil:
+			return o.acceptAnswer(string(text), line.End)
 		default:
 			if o.First == 0 {
 				o.First = time.Since(o.Began)
 			}
-			text = append(text, l.Text...)
+			text = append(text, line.Text...)
 		}
 	}
 }
 
-func (o *Outcome) take(output string, a *wire.RunAnswer) error {
-	if a.Length != len(output) || a.Checksum != wire.Checksum([]byte(output)) {
-		return errors.New("the answer is not whole")
+// acceptAnswer completes o with an answer, after checking its length and checksum.
+func (o *Outcome) acceptAnswer(output string, answer *wire.RunAnswer) error {
+	if answer.Length != len(output) || answer.Checksum != wire.Checksum([]byte(output)) {
+		return errors.New("answer does not match its length and checksum")
 	}
-	o.Answered, o.Output, o.Cost, o.Replayed = true, output, a.Cost, a.Replayed
+	o.Answered, o.Output, o.Cost, o.Replayed = true, output, answer.Cost, answer.Replayed
 	return nil
 }
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -1,20 +1,20 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package load makes open-loop load, measures what became of it, and audits
-// the targets' ledgers.
+// Package load generates open-loop load, summarizes its outcomes, and audits them
+// against the ledgers of stand-in targets.
 //
 // # Model
 //
-// A Profile is a weighted mix of kinds of request. Arrivals are drawn from a
-// seed before the run, so that variants are compared on the same ones. Every
-// request carries a tag as the last word of its input; stand-ins keep it and
-// answer by a known function, so that the whole answer can be checked.
+// A Profile is a weighted mix of kinds of request. Arrivals are drawn from a seed
+// before the run, so that variants are compared on the same load. Every request
+// carries a tag as the last word of its input. Stand-ins keep the tag and answer by a
+// known function, so that the complete answer can be checked.
 //
 // # Invariants
 //
 //   - Arrivals never wait for answers.
-//   - A request without a whole answer or a final problem document is counted
+//   - A request without a complete answer or a final problem document is counted
 //     as lost, whatever the reason.
 package load
 
@@ -30,24 +30,24 @@
 // Kind is one kind of request in a profile.
 type Kind struct {
 	Name       string
-	Account    string
+	Account    string // client account that sends it
 	Pipeline   string
-	Weight     float64
-	Tokens     int
+	Weight     float64 // share of the arrivals, relative to the other kinds
+	Tokens     int     // maximum number of tokens; 0 if the last stage does not stream
 	DeadlineMS int
-	Repeatable bool
-	Stream     bool
+	Repeatable bool // may run more than once; else it is sent with an idempotency key
+	Stream     bool // asks for a streamed answer
 }
 
-// Step is one stage of a pipeline as a profile's table has it.
+// Step is one stage of a pipeline in a profile's table.
 type Step struct {
 	Name    string
 	Pool    string
-	Pure    bool
-	Streams bool
+	Pure    bool // has no side effects, so that it may run more than once
+	Streams bool // its targets answer token by token
 }
 
-// Profile is a mix of requests with the table that it needs.
+// Profile is a mix of requests with the accounts and pipelines that it needs in the table.
 type Profile struct {
 	Name      string
 	Kinds     []Kind
@@ -55,7 +55,8 @@
 	Pipelines map[string][]Step
 }
 
-// Account is a row of the accounts sheet.
+// Account is a row of the table's accounts sheet. Rate is in requests per second; 0 leaves
+// Rate or Concurrency unlimited.
 type Account struct {
 	Name        string
 	Priority    int
@@ -65,9 +66,11 @@
 	Concurrency int
 }
 
-// Key is the account's key in tests and demos.
+// Key returns the secret key that the account sends in tests and demos.
 func (a Account) Key() string { return "key-of-" + a.Name }
 
+// ragSteps is a pipeline of retrieval-augmented generation: an engine generates from
+// retrieved and reranked documents.
 var ragSteps = []Step{
 	{"encode", "encoders", true, false},
 	{"retrieve", "retrievers", true, false},
@@ -75,8 +78,8 @@
 	{"generate", "engines", false, true},
 }
 
-// Fuel is like an issuers' association: approvals that a driver waits for,
-// explanations, and dispute summaries with hard deadlines.
+// Fuel returns a profile like that of an association of fuel card issuers: approvals that a
+// driver waits for, explanations, and dispute summaries with hard deadlines.
 func Fuel() Profile {
 	return Profile{
 		Name: "fuel",
@@ -100,8 +103,8 @@
 	}
 }
 
-// Venue is like a highlights network: captions that are billed once, recaps
-// that screens wait for, and replays from a plain service.
+// Venue returns a profile like that of a network of highlights: captions that are billed
+// once, recaps that screens wait for, and replays from a plain service.
 func Venue() Profile {
 	return Profile{
 		Name: "venue",
@@ -124,21 +127,21 @@
 	}
 }
 
-// Mixed has both.
+// Mixed returns a profile with all requests of Fuel and Venue.
 func Mixed() Profile {
-	f, v := Fuel(), Venue()
-	m := Profile{Name: "mixed", Pipelines: map[string][]Step{}}
-	for _, p := range []Profile{f, v} {
-		m.Kinds = append(m.Kinds, p.Kinds...)
-		m.Accounts = append(m.Accounts, p.Accounts...)
-		for n, s := range p.Pipelines {
-			m.Pipelines[n] = s
+	fuel, venue := Fuel(), Venue()
+	mixed := Profile{Name: "mixed", Pipelines: map[string][]Step{}}
+	for _, profile := range []Profile{fuel, venue} {
+		mixed.Kinds = append(mixed.Kinds, profile.Kinds...)
+		mixed.Accounts = append(mixed.Accounts, profile.Accounts...)
+		for n, s := range profile.Pipelines {
+			mixed.Pipelines[n] = s
 		}
 	}
-	return m
+	return mixed
 }
 
-// Named finds a profile.
+// Named returns the profile fuel, venue or mixed, and an error for other names.
 func Named(name string) (Profile, error) {
 	for _, p := range []Profile{Fuel(), Venue(), Mixed()} {
 		if p.Name == name {
@@ -148,7 +151,8 @@
 	return Profile{}, fmt.Errorf("unknown profile %q; there are fuel, venue and mixed", name)
 }
 
-// Edits are the table that the profile needs.
+// Edits returns the edits that write the profile's accounts and pipelines into the table.
+// They are forced, so that they apply whatever the cells hold.
 func (p Profile) Edits() []hookhall.Edit {
 	var edits []hookhall.Edit
 	set := func(s hookhall.Sheet, row, column, value string) {
@@ -176,7 +180,7 @@
 	return edits
 }
 
-// Pools names the profile's pools and whether they stream.
+// Pools returns the profile's pools by name, and whether the targets of each stream.
 func (p Profile) Pools() map[string]bool {
 	pools := map[string]bool{}
 	for _, steps := range p.Pipelines {
@@ -187,7 +191,7 @@
 	return pools
 }
 
-// Expected is the answer that a request must get, if its targets are stand-ins.
+// Expected returns the only right output of a request whose targets are all stand-ins.
 func (p Profile) Expected(k Kind, input string) string {
 	for _, s := range p.Pipelines[k.Pipeline] {
 		tokens := 0
@@ -199,8 +203,8 @@
 	return input
 }
 
-// effects are the stages of a kind's pipeline that must not run twice.
-func (p Profile) effects(k Kind) map[string]bool {
+// sideEffectStages returns the stages of a kind's pipeline that must not run twice.
+func (p Profile) sideEffectStages(k Kind) map[string]bool {
 	stages := map[string]bool{}
 	for _, s := range p.Pipelines[k.Pipeline] {
 		if !s.Pure {
@@ -210,12 +214,12 @@
 	return stages
 }
 
-// templates is how many prompt templates a kind of request has.
-const templates = 16
+// templatesPerKind is the number of distinct prompt prefixes of a kind of request.
+const templatesPerKind = 16
 
-// Input is the input of a request with a tag: a template, longer than what
-// counts as a prompt's prefix, and the tag.
+// Input returns the input of a request: one of the kind's prompt templates, which is longer
+// than the prefix that prompt caches match on, and the tag as the last word.
 func Input(k Kind, tag string) string {
-	n := xxhash.Sum64String(tag) % templates
-	return fmt.Sprintf("%s-template-%02d %s %s", k.Name, n, strings.Repeat("some words ", 8), tag)
+	template := xxhash.Sum64String(tag) % templatesPerKind
+	return fmt.Sprintf("%s-template-%02d %s %s", k.Name, template, strings.Repeat("some words ", 8), tag)
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -15,38 +15,45 @@
 	"github.com/hookhall/hookhall"
 )
 
-// Summary is what a run shows, for all requests or a part of them.
+// Summary aggregates the outcomes of a run, of all requests or of one kind.
 type Summary struct {
-	Name     string
+	Name     string // kind, or "all"
 	Requests int
-	InTime   int
-	Late     int
+	InTime   int // complete answers within the deadline
+	Late     int // complete answers after the deadline
 	Refused  int
-	Lost     int
-	Causes   map[string]int
-	// Took is of answers, First of first tokens, Refusal of refusals given.
+	Lost     int            // neither an answer nor a refusal
+	Causes   map[string]int // requests refused or lost, by cause
+	// Latencies in microseconds: Took of complete answers, First of first tokens, Refusal
+	// of refusals.
 	Took    *hdrhistogram.Histogram
 	First   *hdrhistogram.Histogram
 	Refusal *hdrhistogram.Histogram
-	// Cost is by stage; Missed is the part spent on requests without an
-	// answer in time.
+	// Cost is the cost of all requests by stage; Missed is the part of it spent on
+	// requests without an answer in time.
 	Cost   map[string]hookhall.StageCost
 	Missed map[string]hookhall.StageCost
 }
 
+// Range of the histograms, in microseconds, and their precision in decimal digits.
+// Latencies out of range are clamped; a minute is beyond every deadline.
 const (
-	lowest  = 1          // microseconds
-	highest = 60_000_000 // microseconds
-	digits  = 3
+	minRecordedMicroseconds = 1
+	maxRecordedMicroseconds = 60_000_000
+	significantDigits       = 3
 )
 
+// newSummary returns an empty summary.
 func newSummary(name string) *Summary {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
-	return &Summary{Name: name, Causes: map[string]int{}, Took: h(), First: h(), Refusal: h(),
+	newHistogram := func() *hdrhistogram.Histogram {
+		return hdrhistogram.New(minRecordedMicroseconds, maxRecordedMicroseconds, significantDigits)
+	}
+	return &Summary{Name: name, Causes: map[string]int{}, Took: newHistogram(), First: newHistogram(), Refusal: newHistogram(),
 		Cost: map[string]hookhall.StageCost{}, Missed: map[string]hookhall.StageCost{}}
 }
 
-// Attainment is the share of requests with a whole answer in time.
+// Attainment returns the share of requests answered completely and in time, from 0 to 1;
+// 0 without requests.
 func (s *Summary) Attainment() float64 {
 	if s.Requests == 0 {
 		return 0
@@ -54,7 +61,8 @@
 	return float64(s.InTime) / float64(s.Requests)
 }
 
-// Summarize makes the summary of all outcomes and one for each kind, by name.
+// Summarize returns the summary of all outcomes and one for each kind, by name. Nil
+// outcomes are ignored.
 func Summarize(outcomes []*Outcome) (*Summary, []*Summary) {
 	all := newSummary("all")
 	kinds := map[string]*Summary{}
@@ -88,16 +96,16 @@
 	case o.Problem != nil:
 		s.Refused++
 		s.Causes[problemCause(o.Problem)]++
-		record(s.Refusal, o.Took)
+		recordLatency(s.Refusal, o.Took)
 	default:
 		s.Lost++
 		s.Causes[problemCause(nil)]++
 	}
 	if o.Answered {
-		record(s.Took, o.Took)
+		recordLatency(s.Took, o.Took)
 	}
 	if o.First > 0 {
-		record(s.First, o.First)
+		recordLatency(s.First, o.First)
 	}
 	cost := o.Cost
 	if o.Problem != nil {
@@ -111,53 +119,55 @@
 	}
 }
 
-func addCost(to map[string]hookhall.StageCost, c hookhall.StageCost) {
-	x := to[c.Stage]
-	x.Stage = c.Stage
-	x.Calls += c.Calls
-	x.Tokens += c.Tokens
-	x.WaitMS += c.WaitMS
-	x.BusyMS += c.BusyMS
-	to[c.Stage] = x
+// addCost adds c to the cost of its stage.
+func addCost(costs map[string]hookhall.StageCost, c hookhall.StageCost) {
+	sum := costs[c.Stage]
+	sum.Stage = c.Stage
+	sum.Calls += c.Calls
+	sum.Tokens += c.Tokens
+	sum.WaitMS += c.WaitMS
+	sum.BusyMS += c.BusyMS
+	costs[c.Stage] = sum
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := min(max(d.Microseconds(), lowest), highest)
-	_ = h.RecordValue(us) // clamped to the range
+func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	microseconds := min(max(latency.Microseconds(), minRecordedMicroseconds), maxRecordedMicroseconds)
+	_ = histogram.RecordValue(microseconds) // clamped to the range
 }
 
-// Quantile prints a quantile in milliseconds, "-" without values.
-func Quantile(h *hdrhistogram.Histogram, q float64) string {
-	if h.TotalCount() == 0 {
+// Quantile returns a percentile, from 0 to 100, formatted in milliseconds; "-" without
+// values.
+func Quantile(histogram *hdrhistogram.Histogram, percentile float64) string {
+	if histogram.TotalCount() == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f", float64(h.ValueAtQuantile(q))/1000)
+	return fmt.Sprintf("%.1f", float64(histogram.ValueAtQuantile(percentile))/1000)
 }
 
-// Print writes the tables of a run.
-func Print(w io.Writer, all *Summary, kinds []*Summary, a *Audit) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "KIND\tREQUESTS\tATTAINMENT\tLATE\tREFUSED\tLOST\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tREFUSAL p99\tCAUSES")
+// Print writes the tables of a run. A nil audit is left out.
+func Print(w io.Writer, all *Summary, kinds []*Summary, audit *Audit) {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "KIND\tREQUESTS\tATTAINMENT\tLATE\tREFUSED\tLOST\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tREFUSAL p99\tCAUSES")
 	for _, s := range append(kinds, all) {
-		fmt.Fprintf(t, "%s\t%d\t%.4f\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Requests, s.Attainment(),
+		fmt.Fprintf(table, "%s\t%d\t%.4f\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Requests, s.Attainment(),
 			s.Late, s.Refused, s.Lost, Quantile(s.Took, 50), Quantile(s.Took, 95), Quantile(s.Took, 99),
-			Quantile(s.First, 95), Quantile(s.Refusal, 99), causes(s.Causes))
+			Quantile(s.First, 95), Quantile(s.Refusal, 99), formatCauses(s.Causes))
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 	fmt.Fprintln(w)
 	printCost(w, all)
-	if a != nil {
+	if audit != nil {
 		fmt.Fprintf(w, "\nAUDIT  requests %d  lost %d  swapped %d  doubled %d  false not-run %d  unfounded %d\n",
-			a.Requests, a.Lost, a.Swapped, a.Doubled, a.FalseNotRun, a.Unfounded)
-		for _, e := range a.Examples {
+			audit.Requests, audit.Lost, audit.Swapped, audit.Doubled, audit.FalseNotRun, audit.Unfounded)
+		for _, e := range audit.Examples {
 			fmt.Fprintln(w, "  "+e)
 		}
 	}
 }
 
 func printCost(w io.Writer, all *Summary) {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "STAGE\tCALLS\tTOKENS\tBUSY ms\tWAIT ms\tBUSY/CALL\tMISSED SHARE")
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "STAGE\tCALLS\tTOKENS\tBUSY ms\tWAIT ms\tBUSY/CALL\tMISSED SHARE")
 	var names []string
 	for n := range all.Cost {
 		names = append(names, n)
@@ -169,21 +179,22 @@
 		if c.BusyMS > 0 {
 			missed = all.Missed[n].BusyMS / c.BusyMS
 		}
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.0f\t%.0f\t%.2f\t%.4f\n", n, c.Calls, c.Tokens, c.BusyMS, c.WaitMS,
+		fmt.Fprintf(table, "%s\t%d\t%d\t%.0f\t%.0f\t%.2f\t%.4f\n", n, c.Calls, c.Tokens, c.BusyMS, c.WaitMS,
 			c.BusyMS/float64(max(c.Calls, 1)), missed)
 	}
-	_ = t.Flush()
+	_ = table.Flush()
 }
 
-func causes(m map[string]int) string {
+// formatCauses returns the causes with their counts, by name.
+func formatCauses(countByCause map[string]int) string {
 	var names []string
-	for n := range m {
+	for n := range countByCause {
 		names = append(names, n)
 	}
 	sort.Strings(names)
 	var parts []string
 	for _, n := range names {
-		parts = append(parts, fmt.Sprintf("%s=%d", n, m[n]))
+		parts = append(parts, fmt.Sprintf("%s=%d", n, countByCause[n]))
 	}
 	return strings.Join(parts, " ")
 }
