--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -17,70 +17,75 @@
 )
 
 const (
-	// warmup is left out of the figures: estimates are learned in it. So is
-	// cooldown, in which the load goes on: without it, requests that were still
-	// waiting at the end would find the targets empty.
-	warmup   = 2 * time.Second
-	cooldown = 2 * time.Second
-	// settleTime is between runs, so that one does not disturb the next.
-	settleTime = 300 * time.Millisecond
+	// warmupTime is left out of the figures, because the entries' estimates are not yet
+	// reliable. cooldownTime is left out too: the load continues in it, as requests
+	// still waiting at the end of the run would otherwise find idle targets.
+	warmupTime   = 2 * time.Second
+	cooldownTime = 2 * time.Second
+	// settleDelay separates runs, so that closing one does not disturb the next.
+	settleDelay = 300 * time.Millisecond
 )
 
-// Engines of an experiment.
+// Engines of an experiment: their number, concurrent calls, prefill time, time per token
+// and cached prompt prefixes, each of one engine.
 const (
-	engines       = 4
-	engineSlots   = 4
-	enginePrefill = 20 * time.Millisecond
-	engineToken   = 4 * time.Millisecond
-	engineCache   = 24
-	// fullBatch is how much slower a token is in a full batch.
-	fullBatch = 1.5
-	// cachedShare is the part of prefills that a good cache saves.
-	cachedShare = 0.5
+	engineCount          = 4
+	engineSlots          = 4
+	enginePrefillTime    = 20 * time.Millisecond
+	engineTokenTime      = 4 * time.Millisecond
+	engineCachedPrefixes = 24
+	// fullBatchFactor is the time of a token in a full batch relative to an empty one.
+	fullBatchFactor = 1.5
+	// savedPrefillShare is the share of prefill time that prefix caching is assumed to save.
+	savedPrefillShare = 0.5
 )
 
-// pools of an experiment: engines are what runs short.
-func pools(lag time.Duration) []PoolSettings {
-	plain := func(name string, t time.Duration) PoolSettings {
-		return PoolSettings{name, 3, standin.TargetSettings{Capacity: 8, Time: t, Lag: lag}}
+// experimentPools returns the pools of an experiment. The engines are the bottleneck.
+func experimentPools(lag time.Duration) []PoolSettings {
+	plain := func(name string, callTime time.Duration) PoolSettings {
+		return PoolSettings{name, 3, standin.TargetSettings{Capacity: 8, Time: callTime, Lag: lag}}
 	}
 	return []PoolSettings{
 		plain("encoders", 4*time.Millisecond), plain("retrievers", 6*time.Millisecond), plain("rerankers", 8*time.Millisecond),
 		plain("authorisation", 10*time.Millisecond), plain("replays", 10*time.Millisecond),
-		{"engines", engines, standin.TargetSettings{Capacity: engineSlots, Time: enginePrefill, Token: engineToken, Cache: engineCache, Lag: lag}},
+		{"engines", engineCount, standin.TargetSettings{Capacity: engineSlots, Time: enginePrefillTime, Token: engineTokenTime, Cache: engineCachedPrefixes, Lag: lag}},
 	}
 }
 
-// Capacity is how many requests a second of a profile the engines can run.
+// Capacity returns the number of requests of a profile that the engines can run per second.
 func Capacity(p load.Profile) float64 {
-	var weight, busy float64
-	for _, k := range p.Kinds {
-		weight += k.Weight
-		if k.Tokens > 0 {
-			prefill := enginePrefill.Seconds() * (1 - cachedShare)
-			busy += k.Weight * (prefill + float64(k.Tokens)*engineToken.Seconds()*fullBatch)
+	var totalWeight, engineSeconds float64
+	for _, kind := range p.Kinds {
+		totalWeight += kind.Weight
+		if kind.Tokens > 0 {
+			prefill := enginePrefillTime.Seconds() * (1 - savedPrefillShare)
+			engineSeconds += kind.Weight * (prefill + float64(kind.Tokens)*engineTokenTime.Seconds()*fullBatchFactor)
 		}
 	}
-	return engines * engineSlots * weight / busy
+	return engineCount * engineSlots * totalWeight / engineSeconds
 }
 
-// Scenario is a load with what goes wrong in it.
+// Scenario is a load with the faults that occur in it.
 type Scenario struct {
 	Name string
-	// Times is the load against the capacity.
+	// Times is the average load relative to the capacity.
 	Times float64
+	// Burst is the factor on the rate in bursts, as in load.Plan.
 	Burst float64
+	// Flood is the factor on the requests of fleet-portal; 0 for none.
 	Flood float64
-	Lag   time.Duration
-	// Fault is switched on when the warm-up is over.
+	// Lag is the age of the targets' load reports; 0 for defaultReportLag.
+	Lag time.Duration
+	// Fault, if set, switches on faults at the end of the warm-up.
 	Fault func(*Lab)
-	// During runs beside the load.
+	// During, if set, runs concurrently with the load; it gets the length of the run.
 	During func(*Lab, time.Duration)
 }
 
-const defaultLag = 200 * time.Millisecond
+// defaultReportLag is the age of the targets' load reports unless a scenario sets it.
+const defaultReportLag = 200 * time.Millisecond
 
-// Scenarios by group.
+// Scenarios holds the scenarios by group.
 var Scenarios = map[string][]Scenario{
 	"load": {
 		{Name: "0.7x", Times: 0.7}, {Name: "1.0x", Times: 1}, {Name: "1.5x", Times: 1.5}, {Name: "3.0x", Times: 3},
@@ -100,63 +105,63 @@
 		}},
 		{Name: "fleet-portal floods 10 times", Times: 0.7, Flood: 10},
 		{Name: "reports 2 s late at 1.0x", Times: 1, Lag: 2 * time.Second},
-		{Name: "an engine dies and returns", Times: 0.7, During: dieAndReturn},
+		{Name: "an engine dies and returns", Times: 0.7, During: stopAndRestartEngine},
 	},
 }
 
-// dieAndReturn ends an engine for a third of the run.
-func dieAndReturn(l *Lab, length time.Duration) {
-	time.Sleep(warmup + length/3)
+// stopAndRestartEngine stops an engine for the middle third of the run.
+func stopAndRestartEngine(l *Lab, length time.Duration) {
+	time.Sleep(warmupTime + length/3)
 	const id = "engines-1"
 	address := l.Servers[id].Address
 	l.Servers[id].Close()
 	time.Sleep(length / 3)
-	if s, err := standin.Listen(address, l.Targets[id]); err == nil {
-		l.Servers[id] = s
+	if server, err := standin.Listen(address, l.Targets[id]); err == nil {
+		l.Servers[id] = server
 	}
 }
 
-// Experiment compares policies.
+// Experiment compares policies in the same scenarios under the same load.
 type Experiment struct {
 	Profile   load.Profile
 	Policies  []Policy
 	Scenarios []Scenario
-	Entries   int
-	Length    time.Duration
-	Seed      uint64
+	Entries   int           // number of entries
+	Length    time.Duration // of a run, without warm-up and cool-down
+	Seed      uint64        // of the arrivals
 }
 
-// Row is one run's figures.
+// Row is the result of one run: a scenario with a policy.
 type Row struct {
 	Scenario, Policy string
 	All              *load.Summary
 	Kinds            []*load.Summary
-	Outcomes         []*load.Outcome
-	Audit            *load.Audit
-	Ledger           []standin.Run
+	Outcomes         []*load.Outcome // of arrivals outside of warm-up and cool-down
+	Audit            *load.Audit     // of the whole run
+	Ledger           []standin.Run   // of the whole run
 	Length           time.Duration
 }
 
-// Run plays every scenario with every policy on the same arrivals, and prints
-// a line for each run as it ends.
+// Run runs every scenario with every policy on the same arrivals and prints a line for
+// each run as its scenario ends. On an error, it returns the rows so far.
 func (x Experiment) Run(ctx context.Context, out io.Writer) ([]Row, error) {
 	var rows []Row
 	capacity := Capacity(x.Profile)
 	fmt.Fprintf(out, "profile %s, %d entries, capacity %.0f requests/s, seed %d, %v a run after %v of warm-up\n\n",
-		x.Profile.Name, x.Entries, capacity, x.Seed, x.Length, warmup)
-	for _, s := range x.Scenarios {
-		fmt.Fprintf(out, "%s\n", s.Name)
-		t := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-		fmt.Fprintln(t, "  POLICY\tATTAIN\tHIGH\tGOODPUT/s\tOF CAP\tTOKENS/s\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tMISSED\tUSED\tREFUSED\tREF p50 ms\tREF p99 ms\tFAIR\tAMPL\tAUDIT")
-		for _, p := range x.Policies {
-			r, err := x.one(ctx, s, p, capacity)
+		x.Profile.Name, x.Entries, capacity, x.Seed, x.Length, warmupTime)
+	for _, scenario := range x.Scenarios {
+		fmt.Fprintf(out, "%s\n", scenario.Name)
+		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+		fmt.Fprintln(table, "  POLICY\tATTAIN\tHIGH\tGOODPUT/s\tOF CAP\tTOKENS/s\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tMISSED\tUSED\tREFUSED\tREF p50 ms\tREF p99 ms\tFAIR\tAMPL\tAUDIT")
+		for _, policy := range x.Policies {
+			row, err := x.runOne(ctx, scenario, policy, capacity)
 			if err != nil {
 				return rows, err
 			}
-			rows = append(rows, r)
-			r.print(t, capacity)
+			rows = append(rows, row)
+			row.print(table, capacity)
 		}
-		if err := t.Flush(); err != nil {
+		if err := table.Flush(); err != nil {
 			return rows, err
 		}
 		fmt.Fprintln(out)
@@ -164,133 +169,135 @@
 	return rows, nil
 }
 
-func (x Experiment) one(ctx context.Context, s Scenario, p Policy, capacity float64) (Row, error) {
-	lag := s.Lag
+// runOne runs one scenario with one policy.
+func (x Experiment) runOne(ctx context.Context, scenario Scenario, policy Policy, capacity float64) (Row, error) {
+	lag := scenario.Lag
 	if lag == 0 {
-		lag = defaultLag
+		lag = defaultReportLag
 	}
-	l, err := Start(Settings{
-		Entries: x.Entries, Pools: pools(lag), Profile: x.Profile,
-		Adjust: func(_ int, e *settings.Entry) { p.Adjust(&e.Policy) },
+	lab, err := Start(Settings{
+		Entries: x.Entries, Pools: experimentPools(lag), Profile: x.Profile,
+		Adjust: func(_ int, e *settings.Entry) { policy.Adjust(&e.Policy) },
 	})
 	if err != nil {
 		return Row{}, err
 	}
-	defer time.Sleep(settleTime)
-	defer l.Stop()
-	plan := load.Plan{Profile: x.Profile, Rate: capacity * s.Times, Duration: warmup + x.Length + cooldown, Seed: x.Seed, Entries: x.Entries, Burst: s.Burst}
-	if s.Flood > 0 {
-		plan.Flood, plan.FloodTimes = "fleet-portal", s.Flood
+	defer time.Sleep(settleDelay)
+	defer lab.Stop()
+	plan := load.Plan{Profile: x.Profile, Rate: capacity * scenario.Times, Duration: warmupTime + x.Length + cooldownTime, Seed: x.Seed, Entries: x.Entries, Burst: scenario.Burst}
+	if scenario.Flood > 0 {
+		plan.Flood, plan.FloodTimes = "fleet-portal", scenario.Flood
 	}
-	if s.Fault != nil {
-		time.AfterFunc(warmup, func() { s.Fault(l) })
+	if scenario.Fault != nil {
+		time.AfterFunc(warmupTime, func() { scenario.Fault(lab) })
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		if s.During != nil {
-			s.During(l, x.Length)
+		if scenario.During != nil {
+			scenario.During(lab, x.Length)
 		}
 	}()
 	client := load.NewClient()
 	defer client.Close()
 	arrivals := plan.Draw()
-	outcomes := load.Run(ctx, client, l.Addresses(), x.Profile, arrivals, nil)
+	outcomes := load.Run(ctx, client, lab.Addresses(), x.Profile, arrivals, nil)
 	<-ended
-	ledger := l.Ledger()
+	ledger := lab.Ledger()
 	audit := load.Check(x.Profile, outcomes, ledger)
 	counted := outcomes[:0:0]
-	for i, o := range outcomes {
-		if arrivals[i].At >= warmup && arrivals[i].At < warmup+x.Length {
-			counted = append(counted, o)
+	for i, outcome := range outcomes {
+		if arrivals[i].At >= warmupTime && arrivals[i].At < warmupTime+x.Length {
+			counted = append(counted, outcome)
 		}
 	}
 	all, kinds := load.Summarize(counted)
-	return Row{Scenario: s.Name, Policy: p.Name, All: all, Kinds: kinds, Outcomes: counted, Audit: audit, Ledger: ledger, Length: x.Length}, nil
+	return Row{Scenario: scenario.Name, Policy: policy.Name, All: all, Kinds: kinds, Outcomes: counted, Audit: audit, Ledger: ledger, Length: x.Length}, nil
 }
 
-// highPriority is from which priority on an account's requests count as high.
-const highPriority = 7
+// minHighPriority is the lowest priority of an account that counts as high.
+const minHighPriority = 7
 
-// high is the attainment of requests of high priority, and fair that of the
-// worse of the two equal accounts against the better.
-func (r Row) high(p load.Profile) float64 {
-	high := map[string]bool{}
-	for _, a := range p.Accounts {
-		high[a.Name] = a.Priority >= highPriority
+// highPriorityAttainment returns the attainment of the requests of high priority.
+func (r Row) highPriorityAttainment(p load.Profile) float64 {
+	isHighPriority := map[string]bool{}
+	for _, account := range p.Accounts {
+		isHighPriority[account.Name] = account.Priority >= minHighPriority
 	}
-	n, ok := 0, 0
-	for _, o := range r.Outcomes {
-		if o != nil && high[o.Kind.Account] {
-			n++
-			if o.InTime() {
-				ok++
+	total, inTime := 0, 0
+	for _, outcome := range r.Outcomes {
+		if outcome != nil && isHighPriority[outcome.Kind.Account] {
+			total++
+			if outcome.InTime() {
+				inTime++
 			}
 		}
 	}
-	return float64(ok) / float64(max(n, 1))
+	return float64(inTime) / float64(max(total, 1))
 }
 
-func (r Row) fair() float64 {
-	share := map[string]float64{}
-	for _, k := range r.Kinds {
-		share[k.Name] = k.Attainment()
+// fairness returns the attainment of the worse of two accounts with equal settings relative
+// to that of the better one, from 0 to 1.
+func (r Row) fairness() float64 {
+	attainment := map[string]float64{}
+	for _, kind := range r.Kinds {
+		attainment[kind.Name] = kind.Attainment()
 	}
-	a, b := share["explain"], share["explain-bank"]
+	a, b := attainment["explain"], attainment["explain-bank"]
 	if max(a, b) == 0 {
 		return 1
 	}
 	return min(a, b) / max(a, b)
 }
 
-// missed is the share of the targets' time, by their own ledgers, that went to
-// requests that got no whole answer in time.
-func (r Row) missed() float64 {
+// missedShare returns the share of the targets' busy time, by their own ledgers, that was
+// spent on requests without a complete answer in time.
+func (r Row) missedShare() float64 {
 	inTime := map[string]bool{}
-	for _, o := range r.Outcomes {
-		if o != nil {
-			inTime[o.Tag] = o.InTime()
+	for _, outcome := range r.Outcomes {
+		if outcome != nil {
+			inTime[outcome.Tag] = outcome.InTime()
 		}
 	}
-	var missed, all float64
+	var missedMS, totalMS float64
 	for _, run := range r.Ledger {
-		ok, counted := inTime[run.Tag]
+		isInTime, counted := inTime[run.Tag]
 		if !counted {
 			continue
 		}
-		all += run.BusyMS
-		if !ok {
-			missed += run.BusyMS
+		totalMS += run.BusyMS
+		if !isInTime {
+			missedMS += run.BusyMS
 		}
 	}
-	return missed / max(all, 1)
+	return missedMS / max(totalMS, 1)
 }
 
-// used is the share of the engines' slots that were busy.
-func (r Row) used() float64 {
-	var busy float64
+// engineUtilization returns the share of the engines' slot time that was busy, from 0 to 1.
+func (r Row) engineUtilization() float64 {
+	var busyMS float64
 	for _, run := range r.Ledger {
 		if strings.HasPrefix(run.Target, "engines-") {
-			busy += run.BusyMS
+			busyMS += run.BusyMS
 		}
 	}
-	return busy / 1000 / (engines * engineSlots * (warmup + r.Length + cooldown).Seconds())
+	return busyMS / 1000 / (engineCount * engineSlots * (warmupTime + r.Length + cooldownTime).Seconds())
 }
 
-// amplification is calls a stage that was reached.
+// amplification returns the mean number of calls per stage of a request that was reached.
 func (r Row) amplification() float64 {
 	calls, stages := 0, 0
-	for _, o := range r.Outcomes {
-		if o == nil {
+	for _, outcome := range r.Outcomes {
+		if outcome == nil {
 			continue
 		}
-		cost := o.Cost
-		if o.Problem != nil {
-			cost = o.Problem.Cost
+		cost := outcome.Cost
+		if outcome.Problem != nil {
+			cost = outcome.Problem.Cost
 		}
-		for _, c := range cost {
-			if c.Calls > 0 {
-				calls += c.Calls
+		for _, stage := range cost {
+			if stage.Calls > 0 {
+				calls += stage.Calls
 				stages++
 			}
 		}
@@ -298,26 +305,27 @@
 	return float64(calls) / float64(max(stages, 1))
 }
 
-// tokens is engine tokens a second of requests that ended in time.
-func (r Row) tokens() float64 {
-	n := 0
-	for _, o := range r.Outcomes {
-		if o != nil && o.InTime() {
-			n += o.Kind.Tokens
+// tokensPerSecond returns the engine tokens per second of requests answered in time.
+func (r Row) tokensPerSecond() float64 {
+	tokens := 0
+	for _, outcome := range r.Outcomes {
+		if outcome != nil && outcome.InTime() {
+			tokens += outcome.Kind.Tokens
 		}
 	}
-	return float64(n) / r.Length.Seconds()
+	return float64(tokens) / r.Length.Seconds()
 }
 
+// print writes a row of the table; capacity is in requests per second.
 func (r Row) print(w io.Writer, capacity float64) {
 	goodput := float64(r.All.InTime) / r.Length.Seconds()
 	verdict := "clean"
 	if !r.Audit.Clean() {
 		verdict = fmt.Sprintf("lost %d swapped %d doubled %d false %d", r.Audit.Lost, r.Audit.Swapped, r.Audit.Doubled, r.Audit.FalseNotRun)
 	}
-	q := load.Quantile
+	quantile := load.Quantile
 	fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.2f\t%.0f\t%s\t%s\t%s\t%s\t%.3f\t%.2f\t%d\t%s\t%s\t%.2f\t%.3f\t%s\n",
-		r.Policy, r.All.Attainment(), r.high(load.Mixed()), goodput, goodput/capacity, r.tokens(),
-		q(r.All.Took, 50), q(r.All.Took, 95), q(r.All.Took, 99), q(r.All.First, 95),
-		r.missed(), r.used(), r.All.Refused, q(r.All.Refusal, 50), q(r.All.Refusal, 99), r.fair(), r.amplification(), verdict)
+		r.Policy, r.All.Attainment(), r.highPriorityAttainment(load.Mixed()), goodput, goodput/capacity, r.tokensPerSecond(),
+		quantile(r.All.Took, 50), quantile(r.All.Took, 95), quantile(r.All.Took, 99), quantile(r.All.First, 95),
+		r.missedShare(), r.engineUtilization(), r.All.Refused, quantile(r.All.Refusal, 50), quantile(r.All.Refusal, 99), r.fairness(), r.amplification(), verdict)
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package lab runs a small fleet with its stand-ins inside one process, for
-// experiments and slopes. It is no simulator: the entries are the product's,
-// and they talk over loopback.
+// Package lab runs a small fleet with stand-ins of its environment in one process, to
+// compare policies and to measure how costs grow. It does not simulate: the entries are
+// the product's own, and they communicate over loopback.
 package lab
 
 import (
@@ -26,37 +26,42 @@
 	"github.com/pkg/errors"
 )
 
-// Halls of a lab.
+// Halls is the number of halls of a lab; entries, and the targets of each
+// pool, are spread over them in turn.
 const Halls = 3
 
 const (
-	secret   = "the-fleet-secret"
-	token    = "the-operator-token"
-	editTime = 10 * time.Second
-	upTime   = 20 * time.Second
-	listLag  = 50 * time.Millisecond
-	loopback = "127.0.0.1:0"
+	fleetSecret   = "the-fleet-secret"
+	operatorToken = "the-operator-token"
+	// editTimeout limits one call of Edit, readyTimeout one of AwaitReady.
+	editTimeout  = 10 * time.Second
+	readyTimeout = 20 * time.Second
+	// listLag is the time until a change of the instance list is visible.
+	listLag = 50 * time.Millisecond
+	// loopbackAddress lets the system choose a free port.
+	loopbackAddress = "127.0.0.1:0"
 )
 
-// PoolSettings are a pool's targets.
+// PoolSettings configures a pool of Count equal targets.
 type PoolSettings struct {
 	Name   string
 	Count  int
 	Target standin.TargetSettings
 }
 
-// Settings are what a lab is made of.
+// Settings configures a lab.
 type Settings struct {
-	Entries int
+	Entries int // number of entries
 	Pools   []PoolSettings
-	Profile load.Profile
-	Extra   []hookhall.Edit
-	// Adjust changes an entry's settings, if set.
+	Profile load.Profile    // its edits make the first table
+	Extra   []hookhall.Edit // more edits of the first table
+	// Adjust, if set, changes the settings of entry i, from 0, before it starts.
 	Adjust func(i int, s *settings.Entry)
-	Log    io.Writer
+	Log    io.Writer // of all entries; nil discards it
 }
 
-// Lab is a running fleet.
+// Lab is a running fleet. Targets and Servers are by instance ID; Servers also holds those
+// of the key-value service, "kv", and the instance list, "list".
 type Lab struct {
 	KeyValue  *standin.KeyValue
 	Instances *standin.Instances
@@ -65,74 +70,77 @@
 	Entries   []*entry.Entry
 	Editor    *tables.Editor
 
-	settings Settings
-	kvAt     string
-	listAt   string
-	clients  *peers.Clients
-	stops    []context.CancelFunc
-	force    context.CancelFunc
-	forced   context.Context
-	wg       sync.WaitGroup
+	settings         Settings
+	keyValueAddress  string
+	listAddress      string
+	clients          *peers.Clients
+	stopEntries      []context.CancelFunc
+	forceStop        context.CancelFunc
+	forceStopContext context.Context
+	wg               sync.WaitGroup
 }
 
-// Start starts a lab and waits until all entries are ready.
+// Start starts a lab and returns once all entries are ready. On an error, it has stopped
+// whatever had started.
 func Start(s Settings) (*Lab, error) {
 	if s.Log == nil {
 		s.Log = io.Discard
 	}
-	l := &Lab{
+	lab := &Lab{
 		KeyValue: standin.NewKeyValue(), Instances: standin.NewInstances(listLag),
 		Targets: map[string]*standin.Target{}, Servers: map[string]*standin.Server{},
-		settings: s, clients: peers.NewClients(secret),
+		settings: s, clients: peers.NewClients(fleetSecret),
 	}
-	l.forced, l.force = context.WithCancel(context.Background())
-	for _, step := range []func() error{l.startPlatform, l.startTargets, l.writeTable, l.startEntries, l.AwaitReady} {
+	lab.forceStopContext, lab.forceStop = context.WithCancel(context.Background())
+	for _, step := range []func() error{lab.startPlatform, lab.startTargets, lab.writeTable, lab.startEntries, lab.AwaitReady} {
 		if err := step(); err != nil {
-			l.Stop()
+			lab.Stop()
 			return nil, err
 		}
 	}
-	return l, nil
+	return lab, nil
 }
 
 func (l *Lab) startPlatform() error {
-	kv, err := standin.Listen(loopback, l.KeyValue)
+	keyValue, err := standin.Listen(loopbackAddress, l.KeyValue)
 	if err != nil {
 		return err
 	}
-	list, err := standin.Listen(loopback, l.Instances)
+	list, err := standin.Listen(loopbackAddress, l.Instances)
 	if err != nil {
 		return err
 	}
-	l.Servers["kv"], l.Servers["list"] = kv, list
-	l.kvAt, l.listAt = kv.Address, list.Address
-	l.Editor = tables.NewEditor(keyvalue.New(kv.Address), l.clients, log.New(io.Discard))
+	l.Servers["kv"], l.Servers["list"] = keyValue, list
+	l.keyValueAddress, l.listAddress = keyValue.Address, list.Address
+	l.Editor = tables.NewEditor(keyvalue.New(keyValue.Address), l.clients, log.New(io.Discard))
 	return nil
 }
 
 func (l *Lab) startTargets() error {
-	streams := l.settings.Profile.Pools()
-	for _, p := range l.settings.Pools {
-		for i := 0; i < p.Count; i++ {
-			s := p.Target
-			s.ID = fmt.Sprintf("%s-%d", p.Name, i)
-			t := standin.NewTarget(s)
-			server, err := standin.Listen(loopback, t)
+	streamsByPool := l.settings.Profile.Pools()
+	for _, pool := range l.settings.Pools {
+		for i := 0; i < pool.Count; i++ {
+			target := pool.Target
+			target.ID = fmt.Sprintf("%s-%d", pool.Name, i)
+			standIn := standin.NewTarget(target)
+			server, err := standin.Listen(loopbackAddress, standIn)
 			if err != nil {
 				return err
 			}
-			l.Targets[s.ID], l.Servers[s.ID] = t, server
+			l.Targets[target.ID], l.Servers[target.ID] = standIn, server
 			l.Instances.Set(hookhall.Instance{
-				ID: s.ID, Role: hookhall.RoleTarget, Pool: p.Name, Address: server.Address,
-				Hall: hall(i), Streams: streams[p.Name], State: hookhall.InstanceLive,
+				ID: target.ID, Role: hookhall.RoleTarget, Pool: pool.Name, Address: server.Address,
+				Hall: hallName(i), Streams: streamsByPool[pool.Name], State: hookhall.InstanceLive,
 			})
 		}
 	}
 	return nil
 }
 
-func hall(i int) string { return fmt.Sprintf("hall-%d", i%Halls+1) }
+// hallName returns the hall of entry or target i.
+func hallName(i int) string { return fmt.Sprintf("hall-%d", i%Halls+1) }
 
+// writeTable writes the first table, if there are edits for it.
 func (l *Lab) writeTable() error {
 	edits := append(l.settings.Profile.Edits(), l.settings.Extra...)
 	if len(edits) == 0 {
@@ -142,9 +150,10 @@
 	return err
 }
 
-// Edit applies edits.
+// Edit applies edits to the table. id identifies the operation, so that a retry of it is
+// not applied twice.
 func (l *Lab) Edit(id string, edits []hookhall.Edit) (tables.Outcome, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), editTime)
+	ctx, cancel := context.WithTimeout(context.Background(), editTimeout)
 	defer cancel()
 	return l.Editor.Apply(ctx, id, edits)
 }
@@ -158,44 +167,46 @@
 	return nil
 }
 
+// startEntry starts entry i and does not wait until it is ready.
 func (l *Lab) startEntry(i int) error {
-	s := settings.DefaultEntry()
-	s.Entry = settings.EntryPart{
-		Instance: fmt.Sprintf("entry-%d", i+1), Hall: hall(i), Callers: loopback, Peers: loopback, OperatorToken: token,
-	}
-	s.Platform = settings.PlatformPart{KeyValue: l.kvAt, Instances: l.listAt}
-	s.Fleet.Secret = secret
-	s.Fleet.ListMS = 200
-	s.Stop = settings.StopPart{NoticeMS: 0, GraceMS: 5000}
-	s.Log.Level = "warn"
+	entrySettings := settings.DefaultEntry()
+	entrySettings.Entry = settings.EntryPart{
+		Instance: fmt.Sprintf("entry-%d", i+1), Hall: hallName(i), Callers: loopbackAddress, Peers: loopbackAddress, OperatorToken: operatorToken,
+	}
+	entrySettings.Platform = settings.PlatformPart{KeyValue: l.keyValueAddress, Instances: l.listAddress}
+	entrySettings.Fleet.Secret = fleetSecret
+	entrySettings.Fleet.ListMS = 200
+	entrySettings.Stop = settings.StopPart{NoticeMS: 0, GraceMS: 5000}
+	entrySettings.Log.Level = "warn"
 	if l.settings.Adjust != nil {
-		l.settings.Adjust(i, &s)
+		l.settings.Adjust(i, &entrySettings)
 	}
-	e, err := entry.New(s, l.settings.Log)
+	started, err := entry.New(entrySettings, l.settings.Log)
 	if err != nil {
 		return err
 	}
 	l.Instances.Set(hookhall.Instance{
-		ID: s.Entry.Instance, Role: hookhall.RoleEntry, Hall: s.Entry.Hall, Address: e.Peers(), State: hookhall.InstanceLive,
+		ID: entrySettings.Entry.Instance, Role: hookhall.RoleEntry, Hall: entrySettings.Entry.Hall, Address: started.Peers(), State: hookhall.InstanceLive,
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	l.Entries = append(l.Entries, e)
-	l.stops = append(l.stops, stop)
+	l.Entries = append(l.Entries, started)
+	l.stopEntries = append(l.stopEntries, stop)
 	l.wg.Add(1)
 	go func() {
 		defer l.wg.Done()
-		_ = e.Run(ctx, l.forced) // its log has the error
+		_ = started.Run(ctx, l.forceStopContext) // the entry logs its error
 	}()
 	return nil
 }
 
-// AwaitReady waits until every entry is ready and sees all the others.
+// AwaitReady waits until every entry is ready, sees all others and has every slot
+// claimed. It fails after readyTimeout.
 func (l *Lab) AwaitReady() error {
-	limit := time.Now().Add(upTime)
+	deadline := time.Now().Add(readyTimeout)
 	for _, e := range l.Entries {
-		for s := e.State(); !s.Ready || len(s.Members) < len(l.Entries) || s.Claims.Missing > 0; s = e.State() {
-			if time.Now().After(limit) {
-				return errors.Errorf("%s is not ready: %d members, %d slots missing", s.Member.ID, len(s.Members), s.Claims.Missing)
+		for state := e.State(); !state.Ready || len(state.Members) < len(l.Entries) || state.Claims.Missing > 0; state = e.State() {
+			if time.Now().After(deadline) {
+				return errors.Errorf("%s is not ready: %d members, %d slots missing", state.Member.ID, len(state.Members), state.Claims.Missing)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -203,30 +214,30 @@
 	return nil
 }
 
-// Addresses are where callers reach the entries.
+// Addresses returns the IP:port of each entry for callers.
 func (l *Lab) Addresses() []string {
-	var a []string
+	var addresses []string
 	for _, e := range l.Entries {
-		a = append(a, e.Callers())
+		addresses = append(addresses, e.Callers())
 	}
-	return a
+	return addresses
 }
 
-// Ledger is all targets' runs.
+// Ledger returns the runs of all targets, in no particular order.
 func (l *Lab) Ledger() []standin.Run {
-	var all []standin.Run
+	var runs []standin.Run
 	for _, t := range l.Targets {
-		all = append(all, t.Ledger()...)
+		runs = append(runs, t.Ledger()...)
 	}
-	return all
+	return runs
 }
 
-// Stop ends everything.
+// Stop stops all entries at once, without their grace period, then the stand-ins.
 func (l *Lab) Stop() {
-	for _, stop := range l.stops {
+	for _, stop := range l.stopEntries {
 		stop()
 	}
-	l.force()
+	l.forceStop()
 	l.wg.Wait()
 	l.clients.Close()
 	for _, s := range l.Servers {
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -9,37 +9,37 @@
 	"github.com/hookhall/hookhall/internal/app/settings"
 )
 
-// Policy is one step from the baseline to the product: each has all that those
-// before it have.
+// Policy is a variant of the entries' settings. The policies are cumulative steps from a
+// baseline to the product: each one has the features of those before it.
 type Policy struct {
 	Name   string
-	Says   string
+	Says   string // what the step adds
 	Adjust func(*settings.PolicyPart)
 }
 
-// Policies in order: every step adds one thing.
+// Policies are the steps in order; each one adds one feature.
 var Policies = []Policy{
-	{"baseline", "first come first served, random target, no early refusal", func(p *settings.PolicyPart) {
+	{"baseline", "first come, first served; random target; no early refusal", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true}
 	}},
-	{"clock", "and early refusal by one clock", func(p *settings.PolicyPart) {
+	{"clock", "adds early refusal of requests that can't end before their deadline", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true}
 	}},
-	{"window", "and waiting at the entry, by windows", func(p *settings.PolicyPart) {
+	{"window", "adds queueing at the entry instead of at the targets, with windows", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"order", "and priority, fair shares, slack", func(p *settings.PolicyPart) {
+	{"order", "adds the order by priority, fair share and slack", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "fair", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"routing", "and targets by load", func(p *settings.PolicyPart) {
+	{"routing", "adds the choice of targets by load", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"product", "and engines by prefix", func(p *settings.PolicyPart) {
+	{"product", "adds the choice of engines by prompt prefix", func(p *settings.PolicyPart) {
 		*p = settings.PolicyPart{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true, Prefix: true}
 	}},
 }
 
-// PolicyNamed finds a policy.
+// PolicyNamed returns the policy of this name, or an error.
 func PolicyNamed(name string) (Policy, error) {
 	for _, p := range Policies {
 		if p.Name == name {
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -19,61 +19,65 @@
 	"github.com/hookhall/hookhall/internal/state/table"
 )
 
-// slopeTime is how long a quiet fleet is watched.
-const slopeTime = 6 * time.Second
+// idleObservationTime is the time over which the cost of an idle fleet is measured.
+const idleObservationTime = 6 * time.Second
 
-// sample is what a process has used up to a moment. Stand-ins and all entries
-// share the process, so processor time and memory of an entry are upper bounds.
-type sample struct {
-	at       time.Time
-	cpu      time.Duration
-	heap     uint64
-	kv       standin.KeyValueStats
-	kvBytes  int64
-	peer     int64
-	routines int
+// resourceSample holds the resources that the process has used up to a moment. Stand-ins
+// and all entries share the process, so that processor time and memory of an entry are
+// upper bounds.
+type resourceSample struct {
+	at            time.Time
+	cpu           time.Duration // user and system time
+	heap          uint64        // bytes in use after a collection
+	keyValueStats standin.KeyValueStats
+	keyValueBytes int64 // exchanged with the key-value service by all entries
+	peerBytes     int64 // exchanged with peers by all entries
+	goroutines    int
 }
 
-func (l *Lab) sample() sample {
+// takeSample collects garbage and returns a sample.
+func (l *Lab) takeSample() resourceSample {
 	runtime.GC()
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic(err) // the arguments are constants
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
+		panic(err) // fails only for invalid arguments, and these are constant
 	}
-	s := sample{at: time.Now(), heap: m.HeapAlloc, kv: l.KeyValue.Stats(), routines: runtime.NumGoroutine(),
-		cpu: time.Duration(u.Utime.Nano() + u.Stime.Nano())}
-	for _, e := range l.Entries {
-		c := e.State().Cost
-		s.peer += c.PeerBytes
-		s.kvBytes += c.ServiceBytes
+	sample := resourceSample{at: time.Now(), heap: memory.HeapAlloc, keyValueStats: l.KeyValue.Stats(), goroutines: runtime.NumGoroutine(),
+		cpu: time.Duration(usage.Utime.Nano() + usage.Stime.Nano())}
+	for _, entry := range l.Entries {
+		cost := entry.State().Cost
+		sample.peerBytes += cost.PeerBytes
+		sample.keyValueBytes += cost.ServiceBytes
 	}
-	return s
+	return sample
 }
 
-// quiet watches a lab that does nothing for a while and prints a line of what
-// an entry costs.
-func (l *Lab) quiet(out io.Writer, label string) {
+// printIdleCost measures the lab without requests for idleObservationTime and prints a line
+// with the cost per entry.
+func (l *Lab) printIdleCost(out io.Writer, label string) {
 	time.Sleep(time.Second)
-	a := l.sample()
-	time.Sleep(slopeTime)
-	b := l.sample()
-	n, t := float64(len(l.Entries)), b.at.Sub(a.at).Seconds()
-	calls := float64(b.kv.Reads + b.kv.Watches + b.kv.Writes - a.kv.Reads - a.kv.Watches - a.kv.Writes)
+	before := l.takeSample()
+	time.Sleep(idleObservationTime)
+	after := l.takeSample()
+	entries, seconds := float64(len(l.Entries)), after.at.Sub(before.at).Seconds()
+	calls := float64(after.keyValueStats.Reads + after.keyValueStats.Watches + after.keyValueStats.Writes - before.keyValueStats.Reads - before.keyValueStats.Watches - before.keyValueStats.Writes)
 	fmt.Fprintf(out, "%-28s  cpu %6.3f %% of a core  heap %7.0f KB  peers %7.0f B/s  service %5.2f calls/s  goroutines %5.1f   (each entry)\n",
-		label, 100*(b.cpu-a.cpu).Seconds()/t/n, float64(b.heap)/1024/n, float64(b.peer-a.peer)/t/n, calls/t/n, float64(b.routines)/n)
+		label, 100*(after.cpu-before.cpu).Seconds()/seconds/entries, float64(after.heap)/1024/entries, float64(after.peerBytes-before.peerBytes)/seconds/entries, calls/seconds/entries, float64(after.goroutines)/entries)
 }
 
-// defaultTiming gives entries the product's pace instead of the lab's.
-func defaultTiming(_ int, s *settings.Entry) {
+// useDefaultTiming gives an entry the product's interval of list reads instead of the lab's
+// shorter one.
+func useDefaultTiming(_ int, s *settings.Entry) {
 	s.Fleet.ListMS = settings.DefaultEntry().Fleet.ListMS
 }
 
-// Slopes measures what grows with entries, targets, accounts and requests.
+// Slopes measures and prints how costs grow with the number of entries, targets, accounts
+// and requests.
 func Slopes(ctx context.Context, out io.Writer) error {
-	for _, f := range []func(context.Context, io.Writer) error{slopeEntries, slopeTargets, slopeAccounts, slopeRequests} {
-		if err := f(ctx, out); err != nil {
+	for _, measure := range []func(context.Context, io.Writer) error{measureEntries, measureTargets, measureAccounts, measureRequests} {
+		if err := measure(ctx, out); err != nil {
 			return err
 		}
 		fmt.Fprintln(out)
@@ -81,52 +85,55 @@
 	return nil
 }
 
-func slopeEntries(_ context.Context, out io.Writer) error {
-	fmt.Fprintln(out, "entries, quiet, 6 targets, no accounts; then one joins")
+// measureEntries prints the idle cost by number of entries, and the cost of one that joins.
+func measureEntries(_ context.Context, out io.Writer) error {
+	fmt.Fprintln(out, "entries, idle, 6 targets, no accounts; then one joins")
 	for _, n := range []int{3, 9, 20, 40} {
-		l, err := Start(Settings{Entries: n, Adjust: defaultTiming, Pools: []PoolSettings{{"p", 6, standin.TargetSettings{Capacity: 8}}}})
+		lab, err := Start(Settings{Entries: n, Adjust: useDefaultTiming, Pools: []PoolSettings{{"p", 6, standin.TargetSettings{Capacity: 8}}}})
 		if err != nil {
 			return err
 		}
-		l.quiet(out, fmt.Sprintf("  %d entries", n))
-		a, began := l.sample(), time.Now()
-		if err := l.startEntry(n); err != nil {
+		lab.printIdleCost(out, fmt.Sprintf("  %d entries", n))
+		before, began := lab.takeSample(), time.Now()
+		if err := lab.startEntry(n); err != nil {
 			return err
 		}
-		if err := l.AwaitReady(); err != nil {
+		if err := lab.AwaitReady(); err != nil {
 			return err
 		}
 		took := time.Since(began)
-		b := l.sample()
-		fmt.Fprintf(out, "    a join: %v until all are whole; service %d reads, %d watches, %d writes, %d bytes; peers %d bytes; cpu %v in all\n",
-			took.Round(time.Millisecond), b.kv.Reads-a.kv.Reads, b.kv.Watches-a.kv.Watches, b.kv.Writes-a.kv.Writes,
-			b.kvBytes-a.kvBytes, b.peer-a.peer, (b.cpu - a.cpu).Round(time.Millisecond))
-		l.Stop()
+		after := lab.takeSample()
+		fmt.Fprintf(out, "    a join: %v until all are ready; service %d reads, %d watches, %d writes, %d bytes; peers %d bytes; cpu %v in all\n",
+			took.Round(time.Millisecond), after.keyValueStats.Reads-before.keyValueStats.Reads, after.keyValueStats.Watches-before.keyValueStats.Watches, after.keyValueStats.Writes-before.keyValueStats.Writes,
+			after.keyValueBytes-before.keyValueBytes, after.peerBytes-before.peerBytes, (after.cpu - before.cpu).Round(time.Millisecond))
+		lab.Stop()
 	}
 	return nil
 }
 
-func slopeTargets(_ context.Context, out io.Writer) error {
-	fmt.Fprintln(out, "targets in one pool, 3 entries, quiet")
+// measureTargets prints the idle cost by number of targets.
+func measureTargets(_ context.Context, out io.Writer) error {
+	fmt.Fprintln(out, "targets in one pool, 3 entries, idle")
 	for _, n := range []int{20, 100, 620} {
-		l, err := Start(Settings{Entries: 3, Adjust: defaultTiming, Pools: []PoolSettings{{"p", n, standin.TargetSettings{Capacity: 8}}}})
+		lab, err := Start(Settings{Entries: 3, Adjust: useDefaultTiming, Pools: []PoolSettings{{"p", n, standin.TargetSettings{Capacity: 8}}}})
 		if err != nil {
 			return err
 		}
-		l.quiet(out, fmt.Sprintf("  %d targets", n))
-		l.Stop()
+		lab.printIdleCost(out, fmt.Sprintf("  %d targets", n))
+		lab.Stop()
 	}
 	return nil
 }
 
-func slopeAccounts(_ context.Context, out io.Writer) error {
+// measureAccounts prints the cost of accounts in the table and of edits of one cell.
+func measureAccounts(_ context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "accounts in the table, 9 entries")
 	for _, n := range []int{100, 1000, 8200} {
-		l, err := Start(Settings{Entries: 9, Adjust: defaultTiming})
+		lab, err := Start(Settings{Entries: 9, Adjust: useDefaultTiming})
 		if err != nil {
 			return err
 		}
-		before := l.sample()
+		before := lab.takeSample()
 		var edits []hookhall.Edit
 		for i := 0; i < n; i++ {
 			row := fmt.Sprintf("account-%05d", i)
@@ -134,33 +141,34 @@
 				edits = append(edits, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: row, Column: column, Value: value, Force: true})
 			}
 		}
-		if _, err := l.Edit("many", edits); err != nil {
+		if _, err := lab.Edit("many", edits); err != nil {
 			return err
 		}
-		if err := l.awaitVersion(1); err != nil {
+		if err := lab.awaitVersion(1); err != nil {
 			return err
 		}
-		after := l.sample()
-		worst, sum, err := l.oneCell()
+		after := lab.takeSample()
+		worst, sum, err := lab.timeCellEdits()
 		if err != nil {
 			return err
 		}
-		edited := l.sample()
+		edited := lab.takeSample()
 		fmt.Fprintf(out, "  %5d accounts  heap %+.0f KB an entry; one cell: in force everywhere after %v (worst of %d, mean %v), %.0f B read from the service an entry, %.1f calls an entry\n",
-			n, float64(after.heap-before.heap)/1024/9, worst.Round(time.Millisecond), cellEdits, (sum / cellEdits).Round(time.Millisecond),
-			float64(edited.kvBytes-after.kvBytes)/9/cellEdits,
-			float64(edited.kv.Reads+edited.kv.Watches-after.kv.Reads-after.kv.Watches)/9/cellEdits)
-		l.Stop()
+			n, float64(after.heap-before.heap)/1024/9, worst.Round(time.Millisecond), timedEditCount, (sum / timedEditCount).Round(time.Millisecond),
+			float64(edited.keyValueBytes-after.keyValueBytes)/9/timedEditCount,
+			float64(edited.keyValueStats.Reads+edited.keyValueStats.Watches-after.keyValueStats.Reads-after.keyValueStats.Watches)/9/timedEditCount)
+		lab.Stop()
 	}
 	return nil
 }
 
-// cellEdits is how many edits of one cell are timed.
-const cellEdits = 10
+// timedEditCount is the number of edits of one cell that are timed.
+const timedEditCount = 10
 
-// oneCell times edits of a cell until all entries have them in force.
-func (l *Lab) oneCell() (worst, sum time.Duration, err error) {
-	for i := range cellEdits {
+// timeCellEdits returns the longest time and the sum of the times that edits of one cell
+// take to be in force at all entries.
+func (l *Lab) timeCellEdits() (worst, sum time.Duration, err error) {
+	for i := range timedEditCount {
 		began := time.Now()
 		out, err := l.Edit(fmt.Sprintf("cell-%d", i), []hookhall.Edit{{
 			Sheet: hookhall.SheetAccounts, Row: "account-00000", Column: "rate", Value: fmt.Sprint(i + 20), Force: true}})
@@ -176,74 +184,78 @@
 	return worst, sum, nil
 }
 
+// awaitVersion waits until all entries have this version of the table, or a later one, in
+// force. It fails after readyTimeout.
 func (l *Lab) awaitVersion(version uint64) error {
-	for limit := time.Now().Add(upTime); ; time.Sleep(time.Millisecond) {
-		all := true
-		for _, e := range l.Entries {
-			all = all && e.TableVersion() >= version
+	for deadline := time.Now().Add(readyTimeout); ; time.Sleep(time.Millisecond) {
+		inForce := true
+		for _, entry := range l.Entries {
+			inForce = inForce && entry.TableVersion() >= version
 		}
-		if all {
+		if inForce {
 			return nil
 		}
-		if time.Now().After(limit) {
-			return fmt.Errorf("version %d is not in force everywhere after %v", version, upTime)
+		if time.Now().After(deadline) {
+			return fmt.Errorf("version %d is not in force at all entries after %v", version, readyTimeout)
 		}
 	}
 }
 
-// slopeRequests measures what claims and limits add to a request.
-func slopeRequests(ctx context.Context, out io.Writer) error {
+// measureRequests prints what claims and limits add to the cost of a request.
+func measureRequests(ctx context.Context, out io.Writer) error {
 	const requests = 3000
-	fmt.Fprintf(out, "control of a request: %d requests to a plain service, 9 entries, one after another on 8 threads\n", requests)
+	fmt.Fprintf(out, "coordination cost per request: %d requests to a plain service, 9 entries, one after another on 8 threads\n", requests)
 	variants := []struct {
 		name       string
 		repeatable bool
 		limit      string
 	}{{"plain", true, ""}, {"claimed", false, ""}, {"limited, rate 100000/s", true, "100000"}, {"limited, rate 2000/s", true, "2000"}}
-	for _, v := range variants {
-		p := load.Venue()
-		s := Settings{Entries: 9, Profile: p, Adjust: defaultTiming, Pools: []PoolSettings{
+	for _, variant := range variants {
+		profile := load.Venue()
+		fleet := Settings{Entries: 9, Profile: profile, Adjust: useDefaultTiming, Pools: []PoolSettings{
 			{"replays", 3, standin.TargetSettings{Capacity: 64, Time: time.Millisecond}},
 			{"encoders", 1, standin.TargetSettings{Capacity: 8}}, {"retrievers", 1, standin.TargetSettings{Capacity: 8}},
 			{"rerankers", 1, standin.TargetSettings{Capacity: 8}}, {"engines", 1, standin.TargetSettings{Capacity: 8}}}}
-		if v.limit != "" {
-			s.Extra = []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "venues", Column: "rate", Value: v.limit, Force: true}}
+		if variant.limit != "" {
+			fleet.Extra = []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "venues", Column: "rate", Value: variant.limit, Force: true}}
 		}
-		l, err := Start(s)
+		lab, err := Start(fleet)
 		if err != nil {
 			return err
 		}
-		a := l.sample()
-		answered := l.closedLoop(ctx, requests, v.repeatable)
-		b := l.sample()
-		quiet := float64(b.at.Sub(a.at).Seconds())
+		before := lab.takeSample()
+		answered := lab.runClosedLoop(ctx, requests, variant.repeatable)
+		after := lab.takeSample()
+		elapsed := float64(after.at.Sub(before.at).Seconds())
 		fmt.Fprintf(out, "  %-24s answered %d in %.1f s; peers %.0f B a request, cpu %.0f us a request in all, heap %+.0f B a request\n",
-			v.name, answered, quiet, float64(b.peer-a.peer)/requests, (b.cpu-a.cpu).Seconds()*1e6/requests,
-			float64(int64(b.heap)-int64(a.heap))/requests)
-		l.Stop()
+			variant.name, answered, elapsed, float64(after.peerBytes-before.peerBytes)/requests, (after.cpu-before.cpu).Seconds()*1e6/requests,
+			float64(int64(after.heap)-int64(before.heap))/requests)
+		lab.Stop()
 	}
 	return nil
 }
 
-func (l *Lab) closedLoop(ctx context.Context, n int, repeatable bool) int {
+// runClosedLoop sends n requests on a fixed number of threads, each of which waits for an
+// answer before its next request, and returns the number answered.
+func (l *Lab) runClosedLoop(ctx context.Context, n int, repeatable bool) int {
 	const threads = 8
-	k := load.Kind{Name: "replay", Account: "venues", Pipeline: "replay", DeadlineMS: 1000, Repeatable: repeatable}
+	kind := load.Kind{Name: "replay", Account: "venues", Pipeline: "replay", DeadlineMS: 1000, Repeatable: repeatable}
 	client := load.NewClient()
 	defer client.Close()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	answered := 0
-	at := l.Addresses()
-	for w := range threads {
+	addresses := l.Addresses()
+	for thread := range threads {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			for i := w; i < n; i += threads {
+			for i := thread; i < n; i += threads {
 				tag, key := fmt.Sprintf("slope-%d", i), ""
 				if !repeatable {
 					key = tag
 				}
-				if o := client.Send(ctx, at[i%len(at)], load.Account{Name: k.Account}.Key(), k, tag, key); o.Answered {
+				if outcome := client.Send(ctx, addresses[i%len(addresses)], load.Account{Name: kind.Account}.Key(), kind, tag, key); outcome.Answered {
 					mu.Lock()
 					answered++
 					mu.Unlock()
@@ -255,7 +267,7 @@
 	return answered
 }
 
-// Sizes prints the bytes of stored documents, which need no fleet.
+// Sizes prints the sizes of stored documents, which need no fleet.
 func Sizes(out io.Writer) error {
 	doc := table.Empty()
 	var edits []hookhall.Edit
