--- a/Makefile
+++ b/Makefile
@@ -14,8 +14,8 @@
 demo: build
 	bash scripts/demo.sh
 
-# Everything that CI runs. Tests that KNOWN-RED.txt lists are passed over by their whole
-# names, and run by themselves at the end: one that passes fails the run.
+# Everything that CI runs. Tests listed in KNOWN-RED.txt are skipped by their full names
+# and run separately at the end, where one that passes fails the run.
 test: lint unit integration known-red
 
 SKIP = -skip "$$($(GO) run ./scripts/knownred skip)"
@@ -35,25 +35,26 @@
 known-red:
 	$(GO) run ./scripts/knownred check
 
-# Random schedules of faults over real processes: make soak SEEDS=200
+# Random schedules of faults against real processes: make soak SEEDS=200
 soak: build
 	HOOKHALL_SEEDS=$(SEEDS) $(GO) test -count=1 -timeout 80m -run TestSchedules ./test/...
 
-# The same for gateways on the platform: make soak-gateways SEEDS=50
+# The same for gateways on the platform, SECONDS_EACH per seed:
+# make soak-gateways SEEDS=50
 soak-gateways:
 	HOOKHALL_SEEDS=$(SEEDS) HOOKHALL_SOAK_SECONDS=$(SECONDS_EACH) $(GO) test -count=1 -timeout 80m -run TestSoak ./platform/
 
-# What docs/MEASURES.md shows; some five minutes.
+# The experiments of docs/MEASURES.md; takes about five minutes.
 experiments: build
 	bin/hookhall-load experiment --scenario load --time 5s
 	bin/hookhall-load experiment --scenario faults --policies baseline,product --time 4s
 	bin/hookhall-load edits
 
-# What docs/CAPACITY.md is worked out from.
+# The measurements that docs/CAPACITY.md is derived from.
 slopes: build
 	bin/hookhall-load slopes
 
-# Bytes from outside: TIME each.
+# Fuzz tests of the parsers of external input, TIME each.
 TIME ?= 20s
 fuzz:
 	for f in FuzzRouting FuzzTarget FuzzHeaders FuzzAnswers; do $(GO) test -run XXX -fuzz "^$$f$$" -fuzztime $(TIME) ./platform/ || exit 1; done
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -2,15 +2,16 @@
 # Copyright 2026 The hookhall authors.
 # SPDX-License-Identifier: Apache-2.0
 #
-# Starts a small fleet with its stand-ins on loopback, sends a short load of
-# both profiles, shows one answer and a summary, and leaves nothing running.
+# Starts a small fleet and its stand-ins on loopback, shows one answer, sends a
+# short load of both profiles, prints a summary, and stops all processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=bin
 work=$(mktemp -d)
 pids=()
 finish() {
-  # Last started first: entries leave the fleet while the platform still runs.
+  # In reverse order of the start, so that entries can leave the fleet while the
+  # platform still runs.
   for ((i = ${#pids[@]} - 1; i >= 0; i--)); do
     kill "${pids[i]}" 2>/dev/null || true
     wait "${pids[i]}" 2>/dev/null || true
@@ -19,7 +20,7 @@
 }
 trap finish EXIT
 
-# start NAME COMMAND...: runs a program and waits for the line with its address.
+# start NAME COMMAND...: starts a program in the background, without waiting for it.
 start() {
   local name=$1
   shift
@@ -27,7 +28,8 @@
   pids+=($!)
 }
 
-# address NAME WORD: prints the address that a program listens at.
+# address NAME WORD: waits up to 10 s for the address that a program prints after
+# WORD, and prints it.
 address() {
   for _ in $(seq 200); do
     local a
@@ -80,7 +82,7 @@
     sleep 0.05
   done
 done
-# The pools are known once the instance list, which lags, has been read.
+# Pools become known only when an entry reads the instance list, which lags behind.
 for e in "${entries[@]}"; do
   for _ in $(seq 200); do
     [ "$("$bin/hookhallctl" dump "$e" | grep -c '"id": "[a-z]*-hall-1-0"')" = 6 ] && break
--- a/scripts/knownred/doc.go
+++ b/scripts/knownred/doc.go
@@ -1,18 +1,18 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Knownred lets a run of all tests pass over those that KNOWN-RED.txt lists, and holds
-// that each of them still fails.
+// Knownred makes a run of all tests skip the known failures that KNOWN-RED.txt lists, and
+// checks that each of them still fails.
 //
 //	knownred skip    prints the pattern for go test's -skip
-//	knownred check   runs each listed test and prints its result
+//	knownred check   runs each listed test, and fails unless all of them fail as listed
 //
 // A line of the list is
 //
 //	package test | cause | command, seed and what was seen | open issue
 //
-// with the package as go test takes it and the test's whole name, subtests behind
-// slashes. Empty lines and those that begin with # are left out. The check fails when a
-// listed test passes, when a line names no test or more than one, or when there are
-// more than three lines.
+// with the package as an argument of go test and the full name of the test, including
+// subtests after slashes. Empty lines and lines that begin with # are ignored. The check
+// fails if a listed test passes, if a line names no test or more than one, or if there
+// are more than three lines.
 package main
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -11,62 +11,64 @@
 )
 
 const (
-	// mostListed is how many tests may be listed.
-	mostListed = 3
-	// lineParts is how many parts a line has.
-	lineParts = 4
-	// skipNothing is a pattern that no test's name matches.
+	// maxListed is the maximum number of tests in the list.
+	maxListed = 3
+	// partsPerLine is the number of parts of a line, separated by "|".
+	partsPerLine = 4
+	// skipNothing is a pattern that matches the name of no test.
 	skipNothing = "^$"
 )
 
-// listed is one test of the list.
-type listed struct {
-	Package string
-	Test    string
+// knownFailure is a line of the list: a test that is known to fail.
+type knownFailure struct {
+	Package string // argument of go test
+	Test    string // full name, with subtests after slashes
 	Cause   string
-	Seen    string // command, seed, and what was seen
+	Seen    string // command, seed, and the observed result
 	Issue   string
 }
 
-// parse reads the list.
-func parse(text string) ([]listed, error) {
-	var tests []listed
+// parse returns the tests in the text of a list. An error names the line that is malformed,
+// or says that there are more than maxListed.
+func parse(text string) ([]knownFailure, error) {
+	var tests []knownFailure
 	for n, line := range strings.Split(text, "\n") {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		l, err := parseLine(line)
+		test, err := parseLine(line)
 		if err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", listFile, n+1, err)
 		}
-		tests = append(tests, l)
+		tests = append(tests, test)
 	}
-	if len(tests) > mostListed {
-		return nil, fmt.Errorf("%s lists %d tests; %d at most", listFile, len(tests), mostListed)
+	if len(tests) > maxListed {
+		return nil, fmt.Errorf("%s lists %d tests, more than %d: fix one before listing another", listFile, len(tests), maxListed)
 	}
 	return tests, nil
 }
 
-func parseLine(line string) (listed, error) {
+// parseLine parses a line that is neither empty nor a comment.
+func parseLine(line string) (knownFailure, error) {
 	parts := strings.Split(line, "|")
-	if len(parts) != lineParts {
-		return listed{}, fmt.Errorf("%d parts, not %d: package test | cause | what was seen | issue", len(parts), lineParts)
+	if len(parts) != partsPerLine {
+		return knownFailure{}, fmt.Errorf("line has %d parts instead of %d: package test | cause | what was seen | issue", len(parts), partsPerLine)
 	}
 	for i := range parts {
 		if parts[i] = strings.TrimSpace(parts[i]); parts[i] == "" {
-			return listed{}, fmt.Errorf("part %d is empty", i+1)
+			return knownFailure{}, fmt.Errorf("part %d is empty", i+1)
 		}
 	}
-	name := strings.Fields(parts[0])
-	if len(name) != 2 || !strings.HasPrefix(name[1], "Test") {
-		return listed{}, fmt.Errorf("%q is no package with a test", parts[0])
+	packageAndTest := strings.Fields(parts[0])
+	if len(packageAndTest) != 2 || !strings.HasPrefix(packageAndTest[1], "Test") {
+		return knownFailure{}, fmt.Errorf("%q is not a package and the name of a test", parts[0])
 	}
-	return listed{name[0], name[1], parts[1], parts[2], parts[3]}, nil
+	return knownFailure{packageAndTest[0], packageAndTest[1], parts[1], parts[2], parts[3]}, nil
 }
 
-// pattern matches the test's whole name alone.
-func (l listed) pattern() string {
+// pattern returns a pattern for -run and -skip that matches this test alone.
+func (l knownFailure) pattern() string {
 	names := strings.Split(l.Test, "/")
 	for i, n := range names {
 		names[i] = "^" + regexp.QuoteMeta(n) + "$"
@@ -74,48 +76,51 @@
 	return strings.Join(names, "/")
 }
 
-// top is the pattern of the test without its subtests.
-func (l listed) top() string {
+// topLevelPattern returns the pattern of the test without its subtests, as -list knows no
+// subtests.
+func (l knownFailure) topLevelPattern() string {
 	first, _, _ := strings.Cut(l.pattern(), "/")
 	return first
 }
 
-// skipPattern is what go test's -skip takes to pass over all listed tests.
-func skipPattern(tests []listed) string {
+// skipPattern returns a pattern for -skip of go test that matches all listed tests and
+// nothing else.
+func skipPattern(tests []knownFailure) string {
 	if len(tests) == 0 {
 		return skipNothing
 	}
-	var all []string
-	for _, l := range tests {
-		all = append(all, l.pattern())
+	var patterns []string
+	for _, test := range tests {
+		patterns = append(patterns, test.pattern())
 	}
-	return strings.Join(all, "|")
+	return strings.Join(patterns, "|")
 }
 
-// runner runs go test with arguments.
-type runner func(args ...string) (output string, passed bool)
+// testRunner runs go test with arguments and returns its output and whether it succeeded.
+type testRunner func(args ...string) (output string, passed bool)
 
-// check runs each listed test. The pattern of the skip knows no packages, so a name
-// has to be that of one test only.
-func check(tests []listed, goTest runner, out io.Writer) error {
-	wrong := 0
-	for _, l := range tests {
-		if why := l.check(goTest, out); why != "" {
-			wrong++
-			fmt.Fprintf(out, "KNOWN-RED wrong: %s %s: %s\n", l.Package, l.Test, why)
+// check runs each listed test and writes the results to out. It fails if any line is wrong.
+// The pattern for -skip does not contain packages, so that the name of a listed test must
+// be unique in the module.
+func check(tests []knownFailure, goTest testRunner, out io.Writer) error {
+	wrongLines := 0
+	for _, test := range tests {
+		if problem := test.check(goTest, out); problem != "" {
+			wrongLines++
+			fmt.Fprintf(out, "KNOWN-RED wrong: %s %s: %s\n", test.Package, test.Test, problem)
 		}
 	}
-	if wrong > 0 {
-		return fmt.Errorf("%d lines of %s are wrong", wrong, listFile)
+	if wrongLines > 0 {
+		return fmt.Errorf("%d wrong lines in %s", wrongLines, listFile)
 	}
 	return nil
 }
 
-// check tells why a line is wrong, "" when its test fails as it says.
-func (l listed) check(goTest runner, out io.Writer) string {
-	names, ok := goTest("-list", l.top(), "./...")
+// check returns why the line is wrong, or "" if its test exists once and fails.
+func (l knownFailure) check(goTest testRunner, out io.Writer) string {
+	names, ok := goTest("-list", l.topLevelPattern(), "./...")
 	if !ok {
-		return "the tests can't be listed: " + names
+		return "go test -list failed: " + names
 	}
 	if n := countLines(names, strings.Split(l.Test, "/")[0]); n != 1 {
 		return fmt.Sprintf("%d tests have this name", n)
@@ -131,13 +136,13 @@
 	return ""
 }
 
-// countLines is how many lines of a text are equal to a name.
+// countLines returns the number of lines that equal name, without surrounding spaces.
 func countLines(text, name string) int {
-	n := 0
+	count := 0
 	for line := range strings.Lines(text) {
 		if strings.TrimSpace(line) == name {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/scripts/knownred/list_test.go
+++ b/scripts/knownred/list_test.go
@@ -9,18 +9,20 @@
 	"testing"
 )
 
-const line = "./a TestOne/sub_case | a cause | make test, seed 1: 3 of 4 | #7\n"
+const exampleLine = "./a TestOne/sub_case | a cause | make test, seed 1: 3 of 4 | #7\n"
 
+// A malformed list must be rejected: a line that is ignored would hide its failure or skip
+// tests that nobody listed.
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
-		want int // how many tests; -1 for a list that is wrong
+		want int // number of tests; -1 for a malformed list
 	}{
 		"nothing":              {"", 0},
 		"comments only":        {"# a comment\n\n", 0},
-		"one":                  {line, 1},
-		"three":                {line + line + line, 3},
-		"four":                 {line + line + line + line, -1},
+		"one":                  {exampleLine, 1},
+		"three":                {exampleLine + exampleLine + exampleLine, 3},
+		"four":                 {exampleLine + exampleLine + exampleLine + exampleLine, -1},
 		"a part is missing":    {"./a TestOne | cause | #7\n", -1},
 		"a part is empty":      {"./a TestOne | | seen | #7\n", -1},
 		"no package":           {"TestOne | cause | seen | #7\n", -1},
@@ -36,10 +38,12 @@
 	}
 }
 
+// A listed name must skip exactly its own test, neither those that contain the name nor
+// those that match it as a pattern.
 func TestSkipPattern(t *testing.T) {
 	for name, c := range map[string]struct {
 		list          string
-		skips, passes string // names of tests that are, and aren't, passed over
+		skips, passes string // the name of a test that is skipped, and of one that is not
 	}{
 		"an empty list": {"", "", "TestOne"},
 		"a whole name":  {"./a TestOne | c | s | #7", "TestOne", "TestOneMore"},
@@ -59,13 +63,14 @@
 	}
 }
 
+// A line must be rejected if its test passes, does not exist, exists twice or does not build.
 func TestCheck(t *testing.T) {
 	const ran = "=== RUN   TestOne\n=== RUN   TestOne/sub_case\n"
 	for name, c := range map[string]struct {
 		names  string
 		output string
 		passed bool
-		wrong  string // "" when the line stands
+		wrong  string // part of the output; "" if the line is right
 	}{
 		"it fails":          {"TestOne\n", ran + "--- FAIL", false, ""},
 		"it passes":         {"TestOne\n", ran + "--- PASS", true, "take the line off"},
@@ -75,7 +80,7 @@
 		"it does not build": {"TestOne\n", "build failed", false, "no such test ran"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			tests, err := parse(line)
+			tests, err := parse(exampleLine)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -12,6 +12,7 @@
 	"os/exec"
 )
 
+// listFile is relative to the root of the repository, where the command runs.
 const listFile = "KNOWN-RED.txt"
 
 func main() {
@@ -21,6 +22,8 @@
 	}
 }
 
+// run executes a command of this program and writes its output to out. A missing list is an
+// empty one.
 func run(args []string, out io.Writer) error {
 	if len(args) != 1 || (args[0] != "skip" && args[0] != "check") {
 		return errors.New("usage: knownred skip | check")
@@ -40,8 +43,8 @@
 	return check(tests, goTest, out)
 }
 
-// goTest runs a go test command and returns what it printed.
+// goTest implements testRunner; output has both standard output and standard error.
 func goTest(args ...string) (output string, passed bool) {
-	b, err := exec.Command("go", append([]string{"test"}, args...)...).CombinedOutput()
-	return string(b), err == nil
+	combined, err := exec.Command("go", append([]string{"test"}, args...)...).CombinedOutput()
+	return string(combined), err == nil
 }
