--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -87,7 +87,7 @@
 	lastReportAt   time.Time
 }
 
-// NewTarget returns a target without faults; which runs at least one call at a time.
+// NewTarget returns a target without faults. It runs at least one call at a time.
 func NewTarget(s TargetSettings) *Target {
 	return &Target{settings: s, slots: newSlots(s.Capacity)}
 }
