--- a/internal/lab/edits.go
+++ b/internal/lab/edits.go
@@ -25,7 +25,7 @@
 	return Cell{says, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: account, Column: column, Value: value, Force: true}}
 }
 
-// Cells are the edits that Edits makes, one at the beginning of each phase but the first.
+// Cells are the edits of the experiment, one at the beginning of each phase but the first.
 var Cells = []Cell{
 	accountEdit("sponsors", "priority", "8", "sponsors go before all but the gateway"),
 	accountEdit("fleet-portal", "weight", "8", "fleet-portal gets four times member-bank's share"),
@@ -33,9 +33,8 @@
 	accountEdit("venues", "priority", "0", "venues go last"),
 }
 
-// Edits edits the table during a load of loadFactor times the capacity and prints the
-// attainment of each account before the first edit and after each edit. phase is the time
-// between edits.
+// Edits makes the edits during a load of loadFactor times the capacity, one per phase, and
+// prints the attainment of each account before the first edit and after each edit.
 func Edits(ctx context.Context, out io.Writer, p load.Profile, loadFactor float64, phase time.Duration, seed uint64) error {
 	lab, err := Start(Settings{Entries: 3, Pools: experimentPools(defaultReportLag), Profile: p})
 	if err != nil {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -131,7 +131,7 @@
 	Seed      uint64        // of the arrivals
 }
 
-// Row is the result of one run: a scenario with a policy.
+// Row holds the outcome of one run: a scenario with a policy.
 type Row struct {
 	Scenario, Policy string
 	All              *load.Summary
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -26,8 +26,8 @@
 	"github.com/pkg/errors"
 )
 
-// Halls is the number of halls of a lab; entries, and the targets of each
-// pool, are spread over them in turn.
+// Halls is the number of halls of a lab. Entries, and the targets of each pool, are spread
+// over them in turn.
 const Halls = 3
 
 const (
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -73,8 +73,8 @@
 	s.Fleet.ListMS = settings.DefaultEntry().Fleet.ListMS
 }
 
-// Slopes measures and prints how costs grow with the number of entries, targets, accounts
-// and requests.
+// Slopes measures and prints how costs grow with the number of entries,
+// targets, accounts and requests.
 func Slopes(ctx context.Context, out io.Writer) error {
 	for _, measure := range []func(context.Context, io.Writer) error{measureEntries, measureTargets, measureAccounts, measureRequests} {
 		if err := measure(ctx, out); err != nil {
--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -29,11 +29,12 @@
 	Duration time.Duration
 	Seed     uint64
 	Entries  int // number of entries; arrivals are spread over them at random
-	// Burst, if above 1, is the factor on the average rate in the first tenth of each
-	// second; the rate in the rest of the second is lower, which keeps the average.
+	// Burst, if above 1, is the factor on the average rate in the first tenth
+	// of each second; the rate in the rest of the second is lower, which keeps the
+	// average.
 	Burst float64
-	// Flood names an account, if any, whose kinds have their weight multiplied by
-	// FloodTimes. The additional requests come on top of Rate.
+	// Flood names an account, if any, whose kinds have their weight multiplied
+	// by FloodTimes. The additional requests come on top of Rate.
 	Flood      string
 	FloodTimes float64
 }
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// Check compares outcomes with the runs in the targets' ledgers. Outcomes with the same
-// tag are submissions of one request, whose runs are counted once. Nil outcomes are
-// ignored.
+// Check compares outcomes with the runs in the targets' ledgers. Outcomes with
+// the same tag are submissions of one request, whose runs are counted once. Nil outcomes
+// are ignored.
 func Check(p Profile, outcomes []*Outcome, ledger []standin.Run) *Audit {
 	audit := &Audit{}
 	runsByTag := map[string][]standin.Run{}
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -37,8 +37,8 @@
 	RequestID string
 	Entry     string // IP:port
 	Began     time.Time
-	Took      time.Duration // from Began until the last byte
-	First     time.Duration // from Began until the first text of a stream; 0 without one
+	Took      time.Duration // from sending until the last byte
+	First     time.Duration // from sending until the first text of a stream; 0 without one
 	// Answered is set if a complete answer came: length and checksum of Output match.
 	Answered bool
 	Output   string
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -151,8 +151,8 @@
 	return Profile{}, fmt.Errorf("unknown profile %q; there are fuel, venue and mixed", name)
 }
 
-// Edits returns the edits that write the profile's accounts and pipelines into the table.
-// They are forced, so that they apply whatever the cells hold.
+// Edits returns the edits that write the profile's accounts and pipelines into the
+// table. They are forced, so that they apply whatever the cells hold.
 func (p Profile) Edits() []hookhall.Edit {
 	var edits []hookhall.Edit
 	set := func(s hookhall.Sheet, row, column, value string) {
@@ -180,7 +180,8 @@
 	return edits
 }
 
-// Pools returns the profile's pools by name, and whether the targets of each stream.
+// Pools returns the profile's pools by name, and whether the targets of
+// each stream.
 func (p Profile) Pools() map[string]bool {
 	pools := map[string]bool{}
 	for _, steps := range p.Pipelines {
@@ -191,7 +192,8 @@
 	return pools
 }
 
-// Expected returns the only right output of a request whose targets are all stand-ins.
+// Expected returns the only right output of a request whose targets are all
+// stand-ins.
 func (p Profile) Expected(k Kind, input string) string {
 	for _, s := range p.Pipelines[k.Pipeline] {
 		tokens := 0
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -24,8 +24,8 @@
 	Refused  int
 	Lost     int            // neither an answer nor a refusal
 	Causes   map[string]int // requests refused or lost, by cause
-	// Latencies in microseconds: Took of complete answers, First of first tokens, Refusal
-	// of refusals.
+	// Latencies in microseconds: of complete answers, of first tokens and of refusals, each
+	// from sending the request.
 	Took    *hdrhistogram.Histogram
 	First   *hdrhistogram.Histogram
 	Refusal *hdrhistogram.Histogram
@@ -135,8 +135,8 @@
 	_ = histogram.RecordValue(microseconds) // clamped to the range
 }
 
-// Quantile returns a percentile, from 0 to 100, formatted in milliseconds; "-" without
-// values.
+// Quantile returns a percentile, from 0 to 100, formatted in milliseconds; "-"
+// without values.
 func Quantile(histogram *hdrhistogram.Histogram, percentile float64) string {
 	if histogram.TotalCount() == 0 {
 		return "-"
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -38,8 +38,8 @@
 	Writes  int64 `json:"writes"`  // puts and deletes
 	Watches int64 `json:"watches"` // reads that wait for a change of an index
 	Limited int64 `json:"limited"` // calls rejected by a rate limit
-	// MostReads and MostWrites are the highest counts within one second of the clock;
-	// watches count as reads.
+	// The highest counts of reads and writes within one second of the clock; watches count
+	// as reads.
 	MostReads  int64 `json:"most_reads_per_s"`
 	MostWrites int64 `json:"most_writes_per_s"`
 }
--- a/internal/standin/stalling_proxy.go
+++ b/internal/standin/stalling_proxy.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 )
 
-// Wire is a TCP proxy whose open connections can be stalled, as by a network that drops
-// packets without a reset: they stay open, but neither bytes nor the end of the stream
-// pass any more. Connections opened afterwards work. It is safe for concurrent use.
+// Wire is a TCP proxy whose open connections can be stalled, as by a network that
+// drops packets without a reset: they stay open, but neither bytes nor the end of the
+// stream pass any more. Connections opened afterwards work. It is safe for concurrent use.
 type Wire struct {
 	listener        net.Listener
 	upstreamAddress string
@@ -18,7 +18,8 @@
 	opened          atomic.Int64
 }
 
-// NewWire starts a proxy on a free loopback port that forwards to upstreamAddress.
+// NewWire starts a proxy on a free loopback port that forwards to
+// upstreamAddress.
 func NewWire(upstreamAddress string) (*Wire, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -26,16 +26,16 @@
 	ID string
 	// Capacity is the number of calls that run at once.
 	Capacity int
-	// Queue is the number of waiting calls from which on further ones are refused; 0 for
-	// no limit.
+	// Queue is the number of waiting calls from which on further ones are refused; 0
+	// for no limit.
 	Queue int
 	// Time is the duration of a call; for engines, of a prefill without a cached prefix.
 	Time time.Duration
 	// Token is the time of one token in an otherwise empty batch; 0 for targets that do
 	// not stream.
 	Token time.Duration
-	// Cache is the number of prompt prefixes that an engine caches, the least recently
-	// used evicted first; a cached prefix makes the prefill ten times shorter.
+	// Cache is the number of prompt prefixes that an engine caches, the least
+	// recently used evicted first; a cached prefix makes the prefill ten times shorter.
 	Cache int
 	// Lag is the maximum age of a load report; within it, the same report is repeated.
 	Lag time.Duration
