--- a/cmd/hookhallctl/cmd/set.go
+++ b/cmd/hookhallctl/cmd/set.go
@@ -52,7 +52,7 @@
 	for _, cell := range c.Args.Cells {
 		column, value, ok := strings.Cut(cell, "=")
 		if !ok {
-			return errors.Errorf("invalid cell %q: want COLUMN=VALUE, for example priority=7", cell)
+			return errors.Errorf("%q is not COLUMN=VALUE", cell)
 		}
 		edits = append(edits, hookhall.Edit{Sheet: sheet, Row: row, Column: column, Value: value, Base: baseCells[column], Force: c.Force})
 	}
