--- a/internal/clock_test.go
+++ b/internal/clock_test.go
@@ -12,32 +12,34 @@
 	"testing"
 )
 
-// steadyAllowed are the places where Go's own clock is right, with the reason.
-var steadyAllowed = map[string]string{
-	"internal/state/clock/clock.go":     "it is what the project's clock is made of",
-	"internal/transport/front/front.go": "a connection's deadline",
-	"internal/app/metrics/metrics.go":   "a time of day for people",
-	"internal/app/entry/entry.go":       "the start as part of a name",
+// reasonByAllowedFile has the files that may use the clock of package time, with the reason.
+var reasonByAllowedFile = map[string]string{
+	"internal/state/clock/clock.go":     "implements the project's clock",
+	"internal/transport/front/front.go": "deadline of a connection",
+	"internal/app/metrics/metrics.go":   "time of day shown to people",
+	"internal/app/entry/entry.go":       "start time as part of a name",
 }
 
-// ownClock has the folders of load generators, experiments and stand-ins, which measure and
-// decide nothing in the product.
-var ownClock = []string{"internal/lab", "internal/load", "internal/standin", "cmd/hookhall-load", "cmd/hookhall-standin"}
+// measurementDirs has the folders of load generators, experiments and stand-ins. They may
+// use package time, since they measure and decide nothing in the product.
+var measurementDirs = []string{"internal/lab", "internal/load", "internal/standin", "cmd/hookhall-load", "cmd/hookhall-standin"}
 
-var steady = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(|\.Unix(Nano|Milli)?\(\)`)
+// systemClockUse matches calls that read the time of day or set a deadline by it.
+var systemClockUse = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(|\.Unix(Nano|Milli)?\(\)`)
 
-// TestOneClock: what decides something counts by the project's clock, which goes on while
-// an instance is suspended, and not by the time of day, which jumps.
+// TestOneClock guards against decisions of the product that use the clock of package time,
+// whose time of day jumps. They use the project's clock, which also advances while an
+// instance is suspended.
 func TestOneClock(t *testing.T) {
 	checked := 0
 	for _, dir := range []string{"internal", "platform", "cmd"} {
 		err := filepath.WalkDir(filepath.Join("..", dir), func(path string, d fs.DirEntry, err error) error {
 			name := strings.TrimPrefix(filepath.ToSlash(path), "../")
-			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || steadyAllowed[name] != "" {
+			if err != nil || d.IsDir() || !strings.HasSuffix(name, ".go") || strings.HasSuffix(name, "_test.go") || reasonByAllowedFile[name] != "" {
 				return err
 			}
-			for _, own := range ownClock {
-				if strings.HasPrefix(name, own) {
+			for _, measurementDir := range measurementDirs {
+				if strings.HasPrefix(name, measurementDir) {
 					return nil
 				}
 			}
@@ -46,8 +48,8 @@
 				return err
 			}
 			checked++
-			if found := steady.Find(text); found != nil {
-				t.Errorf("%s uses %s", name, found)
+			if found := systemClockUse.Find(text); found != nil {
+				t.Errorf("%s uses %s instead of the project's clock", name, found)
 			}
 			return nil
 		})
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -13,25 +13,28 @@
 	"testing"
 )
 
-// layers from the lowest up. A package may import its own layer and lower ones.
+// layers has the folders of internal from the lowest layer to the highest. A package may
+// import packages of its own layer and of lower ones.
 var layers = []string{"state", "coordination", "protocol", "transport", "standin", "load", "app", "lab"}
 
 const (
-	module         = "github.com/hookhall/hookhall/internal/"
+	internalModule = "github.com/hookhall/hookhall/internal/"
 	platformModule = "github.com/hookhall/hookhall/platform"
 )
 
+// layerOf returns the index in layers of the path's first folder, or -1.
 func layerOf(path string) int {
 	name, _, _ := strings.Cut(path, "/")
-	for i, l := range layers {
-		if l == name {
+	for i, layer := range layers {
+		if layer == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// TestPlatformStaysOutside: only the program's main package knows the platform.
+// TestPlatformStaysOutside guards against dependencies of internal packages and commands
+// on the platform's packages, which only the main package of hookhall-gateway may import.
 func TestPlatformStaysOutside(t *testing.T) {
 	checked := 0
 	for _, dir := range []string{".", "../cmd"} {
@@ -39,7 +42,7 @@
 			checked++
 			for _, name := range imports {
 				if strings.HasPrefix(name, platformModule) && !strings.HasSuffix(path, "hookhall-gateway/main.go") {
-					t.Errorf("%s imports %s", path, name)
+					t.Errorf("%s imports %s, which only hookhall-gateway/main.go may", path, name)
 				}
 			}
 		}
@@ -49,7 +52,8 @@
 	}
 }
 
-// importsBelow lists what each file that is no test imports.
+// importsBelow returns the import paths of each Go file below dir, by file path. Test
+// files are left out.
 func importsBelow(t *testing.T, dir string) map[string][]string {
 	t.Helper()
 	found := map[string][]string{}
@@ -76,18 +80,18 @@
 	return found
 }
 
-// TestLayers keeps imports downward.
+// TestLayers guards against imports of a higher layer by a lower one.
 func TestLayers(t *testing.T) {
 	checked := 0
 	for path, imports := range importsBelow(t, ".") {
 		for _, name := range imports {
-			imported, ours := strings.CutPrefix(name, module)
-			if !ours {
+			imported, internalPackage := strings.CutPrefix(name, internalModule)
+			if !internalPackage {
 				continue
 			}
 			checked++
 			if layerOf(imported) < 0 || layerOf(imported) > layerOf(filepath.ToSlash(path)) {
-				t.Errorf("%s imports %s, which is above it", path, imported)
+				t.Errorf("%s imports %s of a higher layer", path, imported)
 			}
 		}
 	}
