--- a/test/config_test.go
+++ b/test/config_test.go
@@ -22,58 +22,62 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// versions watches every entry's version, and counts steps back.
-type versions struct {
-	c     *cluster
-	back  atomic.Int64
-	done  chan struct{}
-	ended sync.WaitGroup
+// versionWatcher polls the table version of every entry and counts regressions:
+// polls at which a ready entry reports an older version than before.
+type versionWatcher struct {
+	cluster     *cluster
+	regressions atomic.Int64
+	stopped     chan struct{}
+	watchers    sync.WaitGroup
 }
 
-func (c *cluster) watchVersions() *versions {
-	v := &versions{c: c, done: make(chan struct{})}
+// watchVersions starts one polling goroutine per entry. The caller must call stop.
+func (c *cluster) watchVersions() *versionWatcher {
+	v := &versionWatcher{cluster: c, stopped: make(chan struct{})}
 	for _, p := range c.entries {
-		v.ended.Add(1)
+		v.watchers.Add(1)
 		go func() {
-			defer v.ended.Done()
-			v.follow(p)
+			defer v.watchers.Done()
+			v.watchEntry(p)
 		}()
 	}
 	return v
 }
 
-func (v *versions) follow(p *process) {
+// watchEntry polls one entry every pollInterval until stop is called.
+func (v *versionWatcher) watchEntry(p *process) {
 	var last uint64
 	for {
 		select {
-		case <-v.done:
+		case <-v.stopped:
 			return
-		case <-time.After(tick):
+		case <-time.After(pollInterval):
 		}
-		// A process that has just started has no version yet; one that is
-		// ready must not show an older one.
+		// A process that has just started has no version until it is ready;
+		// from then on it must not report an older one.
 		if s, err := p.state(); err == nil && s.Ready {
 			if s.TableVersion < last {
-				v.back.Add(1)
+				v.regressions.Add(1)
 			}
 			last = s.TableVersion
 		}
 	}
 }
 
-func (v *versions) stop() int64 {
-	close(v.done)
-	v.ended.Wait()
-	return v.back.Load()
+// stop ends all polling and returns the number of regressions.
+func (v *versionWatcher) stop() int64 {
+	close(v.stopped)
+	v.watchers.Wait()
+	return v.regressions.Load()
 }
 
-// awaitVersion waits until the running entries have a version, and returns how
-// long it took.
-func (c *cluster) awaitVersion(version uint64, among ...*process) time.Duration {
+// awaitVersion waits until each of the given entries has at least the given table
+// version, and returns how long that took. It fails the test after awaitTimeout.
+func (c *cluster) awaitVersion(version uint64, processes ...*process) time.Duration {
 	c.t.Helper()
 	began := time.Now()
 	c.await(fmt.Sprintf("version %d", version), func() bool {
-		for _, p := range among {
+		for _, p := range processes {
 			s, err := p.state()
 			if err != nil || s.TableVersion < version {
 				return false
@@ -84,6 +88,8 @@
 	return time.Since(began)
 }
 
+// apply submits edits under a request id and returns the version of the table that has
+// them. It waits for at most 8 s.
 func (c *cluster) apply(id string, edits ...hookhall.Edit) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
@@ -91,32 +97,34 @@
 	return out.Version, err
 }
 
+// TestConfigurationRaces guards against lost updates: a concurrent edit overwrites
+// another one of the same cell, or drops one of another cell in the same row.
 func TestConfigurationRaces(t *testing.T) {
-	Convey("Operators who edit at the same moment", t, func() {
+	Convey("Concurrent edits of operators", t, func() {
 		c := newCluster(t, options{})
-		Convey("the same cell: one is accepted, the others see a conflict with what it holds", func() {
-			const n = 6
+		Convey("of one cell: one is accepted, the others get a conflict with the current value", func() {
+			const editCount = 6
 			var wg sync.WaitGroup
 			var accepted, conflicts atomic.Int64
-			for i := 0; i < n; i++ {
+			for i := 0; i < editCount; i++ {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
 					_, err := c.apply(fmt.Sprintf("race-%d", i), hookhall.Edit{Sheet: "accounts", Row: "venues", Column: "rate", Value: fmt.Sprint(100 + i)})
-					var x table.Conflicts
+					var conflict table.Conflicts
 					switch {
 					case err == nil:
 						accepted.Add(1)
-					case errors.As(err, &x) && x[0].Current != "":
+					case errors.As(err, &conflict) && conflict[0].Current != "":
 						conflicts.Add(1)
 					}
 				}()
 			}
 			wg.Wait()
 			So(accepted.Load(), ShouldEqual, 1)
-			So(conflicts.Load(), ShouldEqual, n-1)
+			So(conflicts.Load(), ShouldEqual, editCount-1)
 		})
-		Convey("different cells: all are accepted and none is lost", func() {
+		Convey("of different cells: all are accepted and none is lost", func() {
 			columns := map[string]string{"rate": "500", "concurrency": "50", "weight": "3", "priority": "6", "deadline_ms": "900"}
 			var wg sync.WaitGroup
 			var failed atomic.Int64
@@ -145,15 +153,19 @@
 	})
 }
 
+// TestConfigurationFaults guards against an edit that is applied twice, lost or undone
+// while the key-value service or an entry fails. Table versions of ready entries must
+// never decrease meanwhile.
 func TestConfigurationFaults(t *testing.T) {
 	Convey("An edit", t, func() {
 		c := newCluster(t, options{})
 		seen := c.watchVersions()
-		change := func(value string) hookhall.Edit { return set("accounts", "venues", "rate", value) }
-		Convey("whose answer is lost is in force once", func() {
+		change := func(value string) hookhall.Edit { return forcedEdit("accounts", "venues", "rate", value) }
+		Convey("takes effect once when the replies to its writes are lost", func() {
 			before, _, err := c.editor.Read(context.Background())
 			So(err, ShouldBeNil)
-			// The chunk's answer and the root's are lost, and the chunk's again.
+			// The replies to three writes are lost: the chunk's, the root's and, on
+			// the retry, the chunk's again.
 			c.kv.SetFaults(standin.KeyValueFaults{LoseWrites: 3})
 			v, err := c.apply("lost", change("111"))
 			So(err, ShouldBeNil)
@@ -163,17 +175,17 @@
 			So(err, ShouldBeNil)
 			So(again, ShouldEqual, v)
 		})
-		Convey("accepted right before an outage reaches an entry that the service never told", func() {
-			cut(c.entries[2].cutKV)
+		Convey("accepted right before an outage reaches an entry cut off from the service through its peers", func() {
+			disconnect(c.entries[2].kvProxy)
 			v, err := c.apply("before", change("222"))
 			So(err, ShouldBeNil)
 			c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 			took := c.awaitVersion(v, c.entries...)
-			t.Logf("in force everywhere %v after it was accepted, one entry by its peers only", took)
+			t.Logf("in force on all entries %v after it was accepted, on one entry through its peers only", took)
 			c.kv.SetFaults(standin.KeyValueFaults{})
-			heal(c.entries[2].cutKV)
+			reconnect(c.entries[2].kvProxy)
 		})
-		Convey("during an outage is refused, or its outcome is called open", func() {
+		Convey("during an outage fails with ErrUnavailable", func() {
 			c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 			ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 			defer cancel()
@@ -181,20 +193,20 @@
 			So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 			c.kv.SetFaults(standin.KeyValueFaults{})
 		})
-		Convey("is in force on an entry that restarts in an outage", func() {
+		Convey("is in force on an entry that restarts during an outage", func() {
 			v, err := c.apply("restart", change("444"))
 			So(err, ShouldBeNil)
 			c.awaitVersion(v, c.entries...)
 			c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 			c.entries[1].kill()
 			c.entries[1].start()
-			c.await("readiness by peers", func() bool {
+			c.await("readiness through peers", func() bool {
 				s, err := c.entries[1].state()
 				return err == nil && s.Ready && s.TableVersion == v
 			})
 			c.kv.SetFaults(standin.KeyValueFaults{})
 		})
-		Convey("reaches an entry that was frozen meanwhile", func() {
+		Convey("reaches an entry that was frozen when it was accepted", func() {
 			c.entries[0].freeze()
 			v, err := c.apply("frozen", change("555"))
 			So(err, ShouldBeNil)
@@ -207,53 +219,54 @@
 			v, err := c.apply("second", change("777"))
 			So(err, ShouldBeNil)
 			c.awaitVersion(v, c.entries...)
-			// From now on every read shows the root before; an entry that starts
-			// reads it first.
+			// From here on every read returns the previous root, which is what an
+			// entry reads first when it starts.
 			c.kv.SetFaults(standin.KeyValueFaults{StaleReads: 1 << 30})
 			c.entries[1].kill()
 			c.entries[1].start()
-			var first uint64
+			var firstVersion uint64
 			c.await("readiness", func() bool {
 				s, err := c.entries[1].state()
-				first = s.TableVersion
+				firstVersion = s.TableVersion
 				return err == nil && s.Ready
 			})
-			So(first, ShouldEqual, v)
+			So(firstVersion, ShouldEqual, v)
 			c.kv.SetFaults(standin.KeyValueFaults{})
 		})
 		So(seen.stop(), ShouldEqual, 0)
 	})
 }
 
-// TestConfigurationByPrograms edits with hookhallctl through an admin that is
-// killed right after its "accepted".
-func TestConfigurationByPrograms(t *testing.T) {
-	Convey("An edit by hookhallctl, whose admin is killed right after", t, func() {
+// TestConfigurationThroughAdmin guards against an edit that is lost although
+// hookhallctl reported it as accepted: the admin process is killed right after the
+// report. It also checks that invalid commands are explained and change nothing.
+func TestConfigurationThroughAdmin(t *testing.T) {
+	Convey("An edit with hookhallctl stays in force when the admin process is killed right after", t, func() {
 		c := newCluster(t, options{})
-		at := freePort(c)
+		adminAddress := freePort(c)
 		config := filepath.Join(c.dir, "admin.toml")
 		c.must(os.WriteFile(config, []byte(fmt.Sprintf("[admin]\nlisten = %q\noperator_token = %q\n[platform]\nkey_value = %q\ninstances = %q\n[fleet]\nsecret = %q\n",
-			at, token, c.kvAt, c.listAt, secret)), 0o600))
-		admin := exec.Command(filepath.Join(binaries, "hookhall-admin"), "--config", config)
+			adminAddress, operatorToken, c.kvAddress, c.listAddress, fleetSecret)), 0o600))
+		admin := exec.Command(filepath.Join(binaryDir, "hookhall-admin"), "--config", config)
 		c.must(admin.Start())
 		defer func() { _ = admin.Process.Kill(); _ = admin.Wait() }()
-		ctl := func(args ...string) (string, error) {
-			cmd := exec.Command(filepath.Join(binaries, "hookhallctl"), append([]string{"--admin", at, "--token", token}, args...)...)
+		runCtl := func(args ...string) (string, error) {
+			cmd := exec.Command(filepath.Join(binaryDir, "hookhallctl"), append([]string{"--admin", adminAddress, "--token", operatorToken}, args...)...)
 			out, err := cmd.CombinedOutput()
 			return string(out), err
 		}
-		c.await("the admin", func() bool { _, err := ctl("status"); return err == nil })
-		out, err := ctl("set", "accounts/venues", "rate=321")
+		c.await("the admin process to answer", func() bool { _, err := runCtl("status"); return err == nil })
+		out, err := runCtl("set", "accounts/venues", "rate=321")
 		So(err, ShouldBeNil)
 		So(out, ShouldContainSubstring, "accepted as version 2; in force in hall-1, hall-2, hall-3")
 		_ = admin.Process.Kill()
 		c.awaitVersion(2, c.entries...)
-		Convey("and mistakes are named, with nothing changed", func() {
-			admin := exec.Command(filepath.Join(binaries, "hookhall-admin"), "--config", config)
+		Convey("and invalid commands are explained and change nothing", func() {
+			admin := exec.Command(filepath.Join(binaryDir, "hookhall-admin"), "--config", config)
 			c.must(admin.Start())
 			defer func() { _ = admin.Process.Kill(); _ = admin.Wait() }()
-			c.await("the admin", func() bool { _, err := ctl("status"); return err == nil })
-			for args, words := range map[string]string{
+			c.await("the admin process to answer", func() bool { _, err := runCtl("status"); return err == nil })
+			for args, message := range map[string]string{
 				"set accounts/venues color=red":    "unknown column",
 				"set accounts/venues priority=11":  "a whole number from 0 to 9",
 				"set nowhere/venues rate=1":        "unknown sheet",
@@ -261,9 +274,9 @@
 				"set accounts/venues rate":         "not COLUMN=VALUE",
 				"--token wrong-token get accounts": "token is missing or wrong",
 			} {
-				out, err := ctl(strings.Fields(args)...)
+				out, err := runCtl(strings.Fields(args)...)
 				So(err, ShouldNotBeNil)
-				So(out, ShouldContainSubstring, words)
+				So(out, ShouldContainSubstring, message)
 			}
 			doc, _, err := c.editor.Read(context.Background())
 			So(err, ShouldBeNil)
@@ -272,26 +285,28 @@
 	})
 }
 
+// TestConfigurationImport guards against a large import that exceeds the largest value
+// of the key-value service, 1 MiB.
 func TestConfigurationImport(t *testing.T) {
 	Convey("An import of 8,200 accounts", t, func() {
 		c := newCluster(t, options{})
 		var edits []hookhall.Edit
 		for i := 0; i < 8200; i++ {
 			row := fmt.Sprintf("imported-%04d", i)
-			edits = append(edits, set("accounts", row, "key_sha256", fmt.Sprintf("%064x", i+1)),
-				set("accounts", row, "priority", fmt.Sprint(i%10)), set("accounts", row, "rate", "5"))
+			edits = append(edits, forcedEdit("accounts", row, "key_sha256", fmt.Sprintf("%064x", i+1)),
+				forcedEdit("accounts", row, "priority", fmt.Sprint(i%10)), forcedEdit("accounts", row, "rate", "5"))
 		}
 		began := time.Now()
 		out := c.edit(edits)
-		accepted := time.Since(began)
-		took := c.awaitVersion(out.Version, c.entries...)
+		accepting := time.Since(began)
+		propagation := c.awaitVersion(out.Version, c.entries...)
 		doc, _, err := c.editor.Read(context.Background())
 		So(err, ShouldBeNil)
 		largest := len(doc.EncodeRoot())
 		for i := 0; i < table.ChunkCount; i++ {
 			largest = max(largest, len(doc.Chunk(i)))
 		}
-		t.Logf("accepted in %v, everywhere %v later; largest value %d bytes", accepted, took, largest)
+		t.Logf("accepted in %v, in force on all entries %v later; largest value %d bytes", accepting, propagation, largest)
 		So(largest, ShouldBeLessThan, 1<<20)
 		So(len(doc.Rows()), ShouldBeGreaterThan, 8200)
 	})
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package test has the integration tests: real entry and admin processes,
-// stand-ins of platform and targets, and fault-injecting proxies before each
-// entry's peers' port and before each entry's way to the platform.
+// Package test has the integration tests. They run real entry and admin processes with
+// stand-ins for the platform and the targets. Fault-injecting proxies are on the
+// connections to each entry's peer port and from each entry to the platform.
 package test
 
 import (
@@ -29,21 +29,24 @@
 )
 
 const (
-	secret  = "the-fleet-secret"
-	token   = "the-operator-token"
-	patient = 20 * time.Second
-	tick    = 10 * time.Millisecond
+	fleetSecret   = "the-fleet-secret"
+	operatorToken = "the-operator-token"
+	// awaitTimeout is how long a test waits for a condition before it fails.
+	awaitTimeout = 20 * time.Second
+	// pollInterval is the pause between two checks of a condition.
+	pollInterval = 10 * time.Millisecond
 )
 
-// binaries is where TestMain has built the programs.
-var binaries string
+// binaryDir is the directory that TestMain builds the programs into.
+var binaryDir string
 
+// TestMain builds the programs under test and removes them after the tests.
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "hookhall")
 	if err != nil {
 		panic(err)
 	}
-	binaries = dir
+	binaryDir = dir
 	build := exec.Command("go", "build", "-o", dir, "../cmd/hookhall-entry", "../cmd/hookhall-admin", "../cmd/hookhallctl")
 	if out, err := build.CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s\n%v\n", out, err)
@@ -54,36 +57,38 @@
 	os.Exit(code)
 }
 
-// options are what a test asks of its cluster.
+// options configure a cluster. newCluster replaces zero values by defaults.
 type options struct {
-	entries   int
-	profile   load.Profile
-	retention int // seconds
-	notice    int // milliseconds
-	settings  string
-	lag       time.Duration
-	pools     map[string]standin.TargetSettings
-	count     int // targets a pool
-	edits     []hookhall.Edit
+	entries          int                               // default 3
+	profile          load.Profile                      // default load.Mixed()
+	retentionSeconds int                               // claim retention; default 60
+	noticeMS         int                               // the setting stop.notice_ms; default 200
+	extraSettings    string                            // TOML at the end of each entry's configuration file
+	listLag          time.Duration                     // delay until a change shows in the instance list; default 50 ms
+	settingsByPool   map[string]standin.TargetSettings // other pools use defaultTargetSettings
+	targetsPerPool   int                               // default 2
+	extraEdits       []hookhall.Edit                   // applied with those of the profile
 }
 
-// cluster is a running fleet.
+// cluster is a running fleet with its stand-ins and proxies.
 type cluster struct {
-	t       *testing.T
-	o       options
-	kv      *standin.KeyValue
-	list    *standin.Instances
-	kvAt    string
-	listAt  string
-	targets map[string]*standin.Target
-	servers map[string]*standin.Server
-	entries []*process
-	client  *load.Client
-	editor  *tables.Editor
-	proxies *toxiproxy.ApiServer
-	dir     string
+	t             *testing.T
+	options       options
+	kv            *standin.KeyValue
+	list          *standin.Instances
+	kvAddress     string
+	listAddress   string
+	targetsByID   map[string]*standin.Target
+	serversByName map[string]*standin.Server
+	entries       []*process
+	client        *load.Client
+	editor        *tables.Editor
+	proxies       *toxiproxy.ApiServer
+	dir           string
 }
 
+// newCluster starts a fleet and waits until its entries are ready, agree on the view and
+// the table, and hold all claims. The test's cleanup closes it.
 func newCluster(t *testing.T, o options) *cluster {
 	t.Helper()
 	if o.entries == 0 {
@@ -92,73 +97,78 @@
 	if o.profile.Name == "" {
 		o.profile = load.Mixed()
 	}
-	if o.retention == 0 {
-		o.retention = 60
+	if o.retentionSeconds == 0 {
+		o.retentionSeconds = 60
 	}
-	if o.notice == 0 {
-		o.notice = 200
+	if o.noticeMS == 0 {
+		o.noticeMS = 200
 	}
-	if o.count == 0 {
-		o.count = 2
+	if o.targetsPerPool == 0 {
+		o.targetsPerPool = 2
 	}
-	if o.lag == 0 {
-		o.lag = 50 * time.Millisecond
+	if o.listLag == 0 {
+		o.listLag = 50 * time.Millisecond
 	}
 	c := &cluster{
-		t: t, o: o, kv: standin.NewKeyValue(), list: standin.NewInstances(o.lag),
-		targets: map[string]*standin.Target{}, servers: map[string]*standin.Server{},
+		t: t, options: o, kv: standin.NewKeyValue(), list: standin.NewInstances(o.listLag),
+		targetsByID: map[string]*standin.Target{}, serversByName: map[string]*standin.Server{},
 		client: load.NewClient(), dir: t.TempDir(),
 		proxies: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), zerolog.Nop()),
 	}
 	t.Cleanup(c.close)
-	c.kvAt, c.listAt = c.listen("kv", c.kv), c.listen("list", c.list)
-	c.editor = tables.NewEditor(keyvalue.New(c.kvAt), peers.NewClients(secret), log.New(os.Stderr))
+	c.kvAddress, c.listAddress = c.listen("kv", c.kv), c.listen("list", c.list)
+	c.editor = tables.NewEditor(keyvalue.New(c.kvAddress), peers.NewClients(fleetSecret), log.New(os.Stderr))
 	c.startTargets()
-	c.edit(append(o.profile.Edits(), o.edits...))
+	c.edit(append(o.profile.Edits(), o.extraEdits...))
 	for i := 0; i < o.entries; i++ {
 		c.entries = append(c.entries, c.newProcess(i))
 	}
 	for _, p := range c.entries {
 		p.start()
 	}
-	c.awaitWhole(o.entries)
+	c.awaitFleet(o.entries)
 	return c
 }
 
+// listen serves h at a free local port and returns the address. close stops the server.
 func (c *cluster) listen(name string, h http.Handler) string {
 	s, err := standin.Listen("127.0.0.1:0", h)
 	c.must(err)
-	c.servers[name] = s
+	c.serversByName[name] = s
 	return s.Address
 }
 
-// defaultPool is a target's settings where a test names none.
-var defaultPool = standin.TargetSettings{Capacity: 16, Time: 3 * time.Millisecond}
+// defaultTargetSettings apply to the targets of pools for which a test sets none.
+// startTargets adds 1 ms per token for pools that stream.
+var defaultTargetSettings = standin.TargetSettings{Capacity: 16, Time: 3 * time.Millisecond}
 
+// startTargets starts targetsPerPool targets for each pool of the profile and lists them.
 func (c *cluster) startTargets() {
-	for pool, streams := range c.o.profile.Pools() {
-		s, ok := c.o.pools[pool]
+	for pool, streams := range c.options.profile.Pools() {
+		settings, ok := c.options.settingsByPool[pool]
 		if !ok {
-			s = defaultPool
+			settings = defaultTargetSettings
 			if streams {
-				s.Token = time.Millisecond
+				settings.Token = time.Millisecond
 			}
 		}
-		for i := 0; i < c.o.count; i++ {
-			s.ID = fmt.Sprintf("%s-%d", pool, i)
-			t := standin.NewTarget(s)
-			c.targets[s.ID] = t
-			c.announce(s.ID, pool, c.listen(s.ID, t), streams, hookhall.InstanceLive)
+		for i := 0; i < c.options.targetsPerPool; i++ {
+			settings.ID = fmt.Sprintf("%s-%d", pool, i)
+			target := standin.NewTarget(settings)
+			c.targetsByID[settings.ID] = target
+			c.listTarget(settings.ID, pool, c.listen(settings.ID, target), streams, hookhall.InstanceLive)
 		}
 	}
 }
 
-func (c *cluster) announce(id, pool, address string, streams bool, state hookhall.InstanceState) {
+// listTarget sets a target's record in the platform's instance list.
+func (c *cluster) listTarget(id, pool, address string, streams bool, state hookhall.InstanceState) {
 	c.list.Set(hookhall.Instance{
 		ID: id, Role: hookhall.RoleTarget, Pool: pool, Address: address, Hall: "hall-1", Streams: streams, State: state,
 	})
 }
 
+// must fails the test at once if err is not nil.
 func (c *cluster) must(err error) {
 	if err != nil {
 		c.t.Helper()
@@ -166,43 +176,45 @@
 	}
 }
 
-// edit puts edits in force and waits until they are accepted.
+// edit submits edits and returns when they are accepted; entries apply them later.
 func (c *cluster) edit(edits []hookhall.Edit) tables.Outcome {
 	c.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patient)
+	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
 	out, err := c.editor.Apply(ctx, fmt.Sprintf("edit-%d", time.Now().UnixNano()), edits)
 	c.must(err)
 	return out
 }
 
-// set is one forced edit.
-func set(sheet hookhall.Sheet, row, column, value string) hookhall.Edit {
+// forcedEdit returns an edit that applies whatever the current value of its cell is.
+func forcedEdit(sheet hookhall.Sheet, row, column, value string) hookhall.Edit {
 	return hookhall.Edit{Sheet: sheet, Row: row, Column: column, Value: value, Force: true}
 }
 
-// await polls until a condition holds; it fails the test after a long while.
-func (c *cluster) await(what string, f func() bool) {
+// await polls until the condition holds. It fails the test after awaitTimeout.
+func (c *cluster) await(condition string, holds func() bool) {
 	c.t.Helper()
-	for limit := time.Now().Add(patient); !f(); time.Sleep(tick) {
-		if time.Now().After(limit) {
+	for deadline := time.Now().Add(awaitTimeout); !holds(); time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			c.dumpLogs()
-			c.t.Fatalf("not in %v: %s", patient, what)
+			c.t.Fatalf("condition not met within %v: %s", awaitTimeout, condition)
 		}
 	}
 }
 
-// awaitWhole waits until n entries are ready, agree, and hold their claims.
-func (c *cluster) awaitWhole(n int) {
+// awaitFleet waits until n entries are ready, agree on the view and the table, and hold
+// all claims of their slots.
+func (c *cluster) awaitFleet(n int) {
 	c.t.Helper()
 	c.awaitEntries(n, true)
 }
 
-// awaitEntries waits until n entries are ready and agree. Those of a fleet that
-// has lost both of a pair hold all claims only when the retention is over.
-func (c *cluster) awaitEntries(n int, whole bool) {
+// awaitEntries waits until n entries are ready and agree on the view and the table, and,
+// if claimsComplete is set, until none of them misses claims. A fleet that has lost both
+// owner and standby of a slot misses claims until the claim retention is over.
+func (c *cluster) awaitEntries(n int, claimsComplete bool) {
 	c.t.Helper()
-	c.await(fmt.Sprintf("%d entries, whole: %t", n, whole), func() bool {
+	c.await(fmt.Sprintf("%d entries ready and agreed, claims complete: %t", n, claimsComplete), func() bool {
 		var states []entry.State
 		for _, p := range c.entries {
 			if p.running() {
@@ -214,7 +226,7 @@
 			}
 		}
 		for _, s := range states {
-			if len(s.Members) != n || s.Epoch != states[0].Epoch || whole && s.Claims.Missing > 0 || s.TableVersion != states[0].TableVersion {
+			if len(s.Members) != n || s.Epoch != states[0].Epoch || claimsComplete && s.Claims.Missing > 0 || s.TableVersion != states[0].TableVersion {
 				return false
 			}
 		}
@@ -222,42 +234,46 @@
 	})
 }
 
+// addresses returns the callers' addresses of all entries.
 func (c *cluster) addresses() []string {
-	var a []string
+	var all []string
 	for _, p := range c.entries {
-		a = append(a, p.callers)
+		all = append(all, p.callersAddress)
 	}
-	return a
+	return all
 }
 
-// kind finds a kind of request in the profile.
+// kind returns the profile's request kind with the given name.
 func (c *cluster) kind(name string) load.Kind {
-	for _, k := range c.o.profile.Kinds {
+	for _, k := range c.options.profile.Kinds {
 		if k.Name == name {
 			return k
 		}
 	}
-	c.t.Fatalf("no kind %q", name)
+	c.t.Fatalf("profile has no request kind %q", name)
 	return load.Kind{}
 }
 
+// accountKey returns the API key of the client account that sends requests of kind k.
 func accountKey(k load.Kind) string { return load.Account{Name: k.Account}.Key() }
 
-// send runs one request at an entry.
+// send sends one request to entry i and waits for its outcome. An empty key sends no
+// idempotency key.
 func (c *cluster) send(i int, k load.Kind, tag, key string) *load.Outcome {
-	return c.client.Send(context.Background(), c.entries[i].callers, accountKey(k), k, tag, key)
+	return c.client.Send(context.Background(), c.entries[i].callersAddress, accountKey(k), k, tag, key)
 }
 
+// ledger returns the runs that all targets have recorded.
 func (c *cluster) ledger() []standin.Run {
 	var all []standin.Run
-	for _, t := range c.targets {
+	for _, t := range c.targetsByID {
 		all = append(all, t.Ledger()...)
 	}
 	return all
 }
 
-// runs counts the runs of a tag at a stage.
-func (c *cluster) runs(tag, stage string) int {
+// countRuns returns how often requests with the tag ran at the stage.
+func (c *cluster) countRuns(tag, stage string) int {
 	n := 0
 	for _, r := range c.ledger() {
 		if r.Tag == tag && r.Stage == stage {
@@ -267,16 +283,19 @@
 	return n
 }
 
+// audit compares outcomes with the ledgers of the targets.
 func (c *cluster) audit(outcomes []*load.Outcome) *load.Audit {
-	return load.Check(c.o.profile, outcomes, c.ledger())
+	return load.Check(c.options.profile, outcomes, c.ledger())
 }
 
+// dumpLogs writes the log of every entry to the test's output.
 func (c *cluster) dumpLogs() {
 	for _, p := range c.entries {
 		c.t.Logf("--- %s\n%s", p.name, p.logs())
 	}
 }
 
+// close kills all entries and stops the proxies and stand-ins. It may be called again.
 func (c *cluster) close() {
 	if c.t.Failed() {
 		c.dumpLogs()
@@ -287,13 +306,13 @@
 		go func() {
 			defer wg.Done()
 			p.kill()
-			p.cutPeers.Stop()
-			p.cutKV.Stop()
-			p.cutList.Stop()
+			p.peersProxy.Stop()
+			p.kvProxy.Stop()
+			p.listProxy.Stop()
 		}()
 	}
 	wg.Wait()
-	for _, s := range c.servers {
+	for _, s := range c.serversByName {
 		s.Close()
 	}
 	c.client.Close()
--- a/test/http_test.go
+++ b/test/http_test.go
@@ -11,16 +11,17 @@
 	"github.com/pkg/errors"
 )
 
-var operator = &http.Client{Timeout: 2 * time.Second}
+// operatorClient bounds each call to an entry at 2 s.
+var operatorClient = &http.Client{Timeout: 2 * time.Second}
 
-// getJSON reads a document as an operator.
+// getJSON fetches a JSON document with the operator token and decodes it into v.
 func getJSON(address, path string, v any) error {
 	req, err := http.NewRequest(http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+token)
-	resp, err := operator.Do(req)
+	req.Header.Set("Authorization", "Bearer "+operatorToken)
+	resp, err := operatorClient.Do(req)
 	if err != nil {
 		return err
 	}
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -28,34 +28,38 @@
 	"google.golang.org/grpc/status"
 )
 
-// post sends a body to an entry and reads the problem document.
+// post sends a body to the first entry. It returns the problem document, which is empty
+// if the status is 200, and the response with its body closed.
 func (c *cluster) post(body, key, idempotency string) (*wire.Problem, *http.Response) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+c.entries[0].callers+"/v1/run", strings.NewReader(body))
+	req, err := http.NewRequest(http.MethodPost, "http://"+c.entries[0].callersAddress+"/v1/run", strings.NewReader(body))
 	c.must(err)
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
 	req.Header.Set(wire.HeaderKey, idempotency)
-	resp, err := operator.Do(req)
+	response, err := operatorClient.Do(req)
 	c.must(err)
-	defer resp.Body.Close()
-	b, err := io.ReadAll(resp.Body)
+	defer response.Body.Close()
+	content, err := io.ReadAll(response.Body)
 	c.must(err)
-	p := &wire.Problem{}
-	if resp.StatusCode != http.StatusOK {
-		c.must(json.Unmarshal(b, p))
+	problem := &wire.Problem{}
+	if response.StatusCode != http.StatusOK {
+		c.must(json.Unmarshal(content, problem))
 	}
-	return p, resp
+	return problem, response
 }
 
-func TestBadCallers(t *testing.T) {
-	Convey("Wrong requests", t, func() {
+// TestInvalidRequests guards against invalid requests that reach a target, or that are
+// answered without the cause and the verdict "not-run". Callers must not get at the
+// operators' endpoints either.
+func TestInvalidRequests(t *testing.T) {
+	Convey("Invalid requests are refused with their cause", t, func() {
 		c := newCluster(t, options{})
 		good := load.Account{Name: "venues"}.Key()
 		cases := []struct {
 			name, body, key, idempotency string
 			status                       int
-			words                        string
+			detail                       string
 		}{
 			{"no JSON", `{"pipeline":`, good, "", 400, "not a run request"},
 			{"another type", `{"pipeline":7}`, good, "", 400, "not a run request"},
@@ -68,25 +72,25 @@
 			{"too many tokens", `{"pipeline":"recap","max_tokens":1000000}`, good, "", 400, "max_tokens"},
 			{"no key", `{"pipeline":"recap"}`, "", "", 401, "key is missing"},
 			{"wrong key", `{"pipeline":"recap"}`, "nobody's", "", 401, "no account"},
-			{"operator's token", `{"pipeline":"recap"}`, token, "", 401, "no account"},
+			{"operator's token", `{"pipeline":"recap"}`, operatorToken, "", 401, "no account"},
 			{"long idempotency key", `{"pipeline":"recap"}`, good, strings.Repeat("k", 201), 400, "longer"},
 			{"idempotency key with space", `{"pipeline":"recap"}`, good, "a b", 400, "printable"},
 			{"oversize body", `{"pipeline":"recap","input":"` + strings.Repeat("x", 1<<20) + `"}`, good, "", 413, "larger"},
 		}
 		for _, x := range cases {
 			p, resp := c.post(x.body, x.key, x.idempotency)
-			So(x.name+": "+p.Detail, ShouldContainSubstring, x.words)
+			So(x.name+": "+p.Detail, ShouldContainSubstring, x.detail)
 			So(resp.StatusCode, ShouldEqual, x.status)
 			So(p.Verdict, ShouldEqual, "not-run")
 			So(resp.Header.Get("Content-Type"), ShouldEqual, wire.ContentProblem)
 		}
 		So(c.ledger(), ShouldBeEmpty)
-		Convey("and callers can't reach what is the operators'", func() {
+		Convey("and callers can't use the operators' endpoints", func() {
 			for _, path := range []string{"/debug/state", "/debug/explain?account=venues", "/metrics"} {
-				req, err := http.NewRequest(http.MethodGet, "http://"+c.entries[0].callers+path, nil)
+				req, err := http.NewRequest(http.MethodGet, "http://"+c.entries[0].callersAddress+path, nil)
 				So(err, ShouldBeNil)
 				req.Header.Set("Authorization", "Bearer "+good)
-				resp, err := operator.Do(req)
+				resp, err := operatorClient.Do(req)
 				So(err, ShouldBeNil)
 				_ = resp.Body.Close()
 				So(resp.StatusCode, ShouldEqual, http.StatusUnauthorized)
@@ -95,9 +99,11 @@
 	})
 }
 
-func TestRefusalsAreFinal(t *testing.T) {
-	Convey("An account at its limit is told at once when to come back", t, func() {
-		c := newCluster(t, options{edits: []hookhall.Edit{set("accounts", "venues", "rate", "1")}})
+// TestRateLimitRefusal guards against requests over the account's rate that are served, or
+// refused without the verdict "not-run" and a retry time.
+func TestRateLimitRefusal(t *testing.T) {
+	Convey("Requests over the account's rate are refused with a retry time", t, func() {
+		c := newCluster(t, options{extraEdits: []hookhall.Edit{forcedEdit("accounts", "venues", "rate", "1")}})
 		k := c.kind("recap")
 		refused := 0
 		for i := 0; i < 12; i++ {
@@ -109,52 +115,55 @@
 			So(o.Problem.Cause, ShouldEqual, "limit")
 			So(o.Problem.Verdict, ShouldEqual, "not-run")
 			So(o.Problem.RetryAfterMS, ShouldBeGreaterThan, 0)
-			t.Logf("refused after %v, come back in %d ms", o.Took, o.Problem.RetryAfterMS)
+			t.Logf("refused after %v, retry after %d ms", o.Took, o.Problem.RetryAfterMS)
 		}
 		So(refused, ShouldBeGreaterThan, 8)
 	})
 }
 
-func TestBadPeers(t *testing.T) {
-	Convey("At the peers' port", t, func() {
+// TestInvalidPeerCalls guards against calls at the peer port that change the fleet's state
+// or flood the log: foreign versions, wrong secrets, garbage, oversize frames and
+// inconsistent views.
+func TestInvalidPeerCalls(t *testing.T) {
+	Convey("At the peer port", t, func() {
 		c := newCluster(t, options{})
-		at := c.entries[0].peers
+		address := c.entries[0].peersAddress
 		before, err := c.entries[0].state()
 		So(err, ShouldBeNil)
-		conn, err := grpc.NewClient("passthrough:///"+at, grpc.WithTransportCredentials(insecure.NewCredentials()))
+		conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 		So(err, ShouldBeNil)
 		defer conn.Close()
 		peer := pb.NewPeerClient(conn)
-		call := func(version, word string) error {
+		call := func(version, callSecret string) error {
 			ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(context.Background(),
-				"hookhall-version", version, "hookhall-secret", word), 5*time.Second)
+				"hookhall-version", version, "hookhall-secret", callSecret), 5*time.Second)
 			defer cancel()
 			_, err := peer.Probe(ctx, &pb.ProbeRequest{From: "stranger"})
 			return err
 		}
 		Convey("another version, or a wrong secret, is refused", func() {
-			So(status.Code(call("2", secret)), ShouldEqual, codes.FailedPrecondition)
-			So(status.Code(call("", secret)), ShouldEqual, codes.FailedPrecondition)
+			So(status.Code(call("2", fleetSecret)), ShouldEqual, codes.FailedPrecondition)
+			So(status.Code(call("", fleetSecret)), ShouldEqual, codes.FailedPrecondition)
 			So(status.Code(call(peers.Version, "wrong")), ShouldEqual, codes.Unauthenticated)
-			So(call(peers.Version, secret), ShouldBeNil)
+			So(call(peers.Version, fleetSecret), ShouldBeNil)
 		})
-		Convey("a flood of them is logged at a bounded rate", func() {
+		Convey("a flood of refused calls is logged at a bounded rate", func() {
 			for i := 0; i < 300; i++ {
-				So(call("9", secret), ShouldNotBeNil)
+				So(call("9", fleetSecret), ShouldNotBeNil)
 			}
 			s, err := c.entries[0].state()
 			So(err, ShouldBeNil)
 			So(s.Cost.PeerRefusals, ShouldBeGreaterThanOrEqualTo, 300)
 			So(strings.Count(c.entries[0].logs(), "peer call refused"), ShouldBeLessThan, 60)
 		})
-		Convey("garbage and oversize frames, and a view that names itself twice, change nothing", func() {
-			raw, err := net.Dial("tcp", at)
+		Convey("garbage, oversize frames and a view that has one member twice change nothing", func() {
+			raw, err := net.Dial("tcp", address)
 			So(err, ShouldBeNil)
 			_, _ = raw.Write(bytes.Repeat([]byte("garbage"), 10000)) // the server may hang up
 			_ = raw.Close()
-			clients := peers.NewClients(secret)
+			clients := peers.NewClients(fleetSecret)
 			defer clients.Close()
-			p := clients.Peer(at)
+			p := clients.Peer(address)
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
 			m := before.Members[0]
--- a/test/integrity_test.go
+++ b/test/integrity_test.go
@@ -13,35 +13,39 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// runLoad sends a seeded load to all entries.
-func (c *cluster) runLoad(rate float64, length time.Duration, seed uint64) []*load.Outcome {
-	list := load.Plan{Profile: c.o.profile, Rate: rate, Duration: length, Seed: seed, Entries: len(c.entries)}.Draw()
-	return load.Run(context.Background(), c.client, c.addresses(), c.o.profile, list, nil)
+// runLoad sends the profile's requests, drawn from a seed, to all entries at rate requests
+// per second for the given duration.
+func (c *cluster) runLoad(rate float64, duration time.Duration, seed uint64) []*load.Outcome {
+	requests := load.Plan{Profile: c.options.profile, Rate: rate, Duration: duration, Seed: seed, Entries: len(c.entries)}.Draw()
+	return load.Run(context.Background(), c.client, c.addresses(), c.options.profile, requests, nil)
 }
 
-func TestWholeAnswers(t *testing.T) {
+// TestAnswerIntegrity guards against answers that reach callers although a target cut them
+// short, mixed them up, altered or lost them, and against false verdicts on such requests.
+// Each fault hits a share of the calls at all targets.
+func TestAnswerIntegrity(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standin.TargetFaults
 	}{
-		{"answers cut in mid-stream", standin.TargetFaults{Truncate: 0.3}},
+		{"answers truncated in mid-stream", standin.TargetFaults{Truncate: 0.3}},
 		{"answers lost after the run", standin.TargetFaults{Lose: 0.3}},
 		{"answers of another request", standin.TargetFaults{Misdirect: 0.3}},
 		{"answers with a changed byte", standin.TargetFaults{Corrupt: 0.3}},
 		{"answers with a doubled word", standin.TargetFaults{Duplicate: 0.3}},
 		{"failures after the run", standin.TargetFaults{FailAfter: 0.3}},
 		{"refusals before the run", standin.TargetFaults{FailBefore: 0.3}},
-		{"answers that are very late", standin.TargetFaults{Slow: 40}},
-		{"all of it", standin.TargetFaults{Truncate: 0.1, Lose: 0.1, Misdirect: 0.1, Corrupt: 0.1, FailAfter: 0.1, FailBefore: 0.1, Duplicate: 0.1}},
+		{"answers that are very slow", standin.TargetFaults{Slow: 40}},
+		{"all faults but slowness", standin.TargetFaults{Truncate: 0.1, Lose: 0.1, Misdirect: 0.1, Corrupt: 0.1, FailAfter: 0.1, FailBefore: 0.1, Duplicate: 0.1}},
 	}
-	Convey("At every stage of every pipeline", t, func() {
+	Convey("Faulty answers of targets are not delivered, at every stage of every pipeline", t, func() {
 		c := newCluster(t, options{})
 		for i, x := range cases {
-			for _, s := range c.targets {
+			for _, s := range c.targetsByID {
 				s.SetFaults(x.faults)
 			}
 			outcomes := c.runLoad(80, 1500*time.Millisecond, uint64(i+1))
-			for _, s := range c.targets {
+			for _, s := range c.targetsByID {
 				s.SetFaults(standin.TargetFaults{})
 			}
 			a := c.audit(outcomes)
@@ -54,10 +58,12 @@
 	})
 }
 
-func TestWholeAnswerAcrossTargets(t *testing.T) {
-	Convey("When one of two engines cuts every answer short", t, func() {
+// TestTruncatedAnswerRetriedElsewhere guards against truncated answers that are delivered,
+// or not retried on another target, when one of two engines truncates every answer.
+func TestTruncatedAnswerRetriedElsewhere(t *testing.T) {
+	Convey("When one of two engines truncates every answer", t, func() {
 		c := newCluster(t, options{})
-		c.targets["engines-0"].SetFaults(standin.TargetFaults{Truncate: 1})
+		c.targetsByID["engines-0"].SetFaults(standin.TargetFaults{Truncate: 1})
 		k := c.kind("recap")
 		restarted := 0
 		var outcomes []*load.Outcome
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -14,6 +14,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestLeavingTarget guards against new calls to a target after every entry has learned
+// that it is leaving, and against its running calls being cut off. The mark comes from
+// each of the four sources; one entry can't read the instance list.
 func TestLeavingTarget(t *testing.T) {
 	const target = "engines-0"
 	cases := []struct {
@@ -21,39 +24,40 @@
 		mark func(c *cluster)
 	}{
 		{"the list", func(c *cluster) {
-			c.announce(target, "engines", c.servers[target].Address, true, hookhall.InstanceLeaving)
+			c.listTarget(target, "engines", c.serversByName[target].Address, true, hookhall.InstanceLeaving)
 		}},
-		{"its own report", func(c *cluster) { c.targets[target].SetFaults(standin.TargetFaults{Leaving: true}) }},
-		{"its refusal", func(c *cluster) { c.targets[target].SetFaults(standin.TargetFaults{Leaving: true, Quiet: true}) }},
-		{"the operator's cell", func(c *cluster) { c.edit([]hookhall.Edit{set("targets", target, "leaving", "true")}) }},
+		{"its own report", func(c *cluster) { c.targetsByID[target].SetFaults(standin.TargetFaults{Leaving: true}) }},
+		{"its refusal", func(c *cluster) { c.targetsByID[target].SetFaults(standin.TargetFaults{Leaving: true, Quiet: true}) }},
+		{"the operator's cell", func(c *cluster) { c.edit([]hookhall.Edit{forcedEdit("targets", target, "leaving", "true")}) }},
 	}
 	for _, x := range cases {
-		Convey("A target leaving by "+x.name+", with an entry cut off from the list", t, func() {
-			c := newCluster(t, options{lag: 300 * time.Millisecond, pools: map[string]standin.TargetSettings{
+		Convey("A target marked as leaving by "+x.name+", with one entry cut off from the list", t, func() {
+			c := newCluster(t, options{listLag: 300 * time.Millisecond, settingsByPool: map[string]standin.TargetSettings{
 				"engines": {Capacity: 16, Time: 20 * time.Millisecond, Token: 20 * time.Millisecond},
 			}})
 			k := c.kind("recap")
 			k.Tokens = 16
-			cut(c.entries[2].cutList)
+			disconnect(c.entries[2].listProxy)
 			done := make(chan []*load.Outcome)
 			go func() { done <- c.runLoad(60, 4*time.Second, 3) }()
-			c.await("work at the target", func() bool { return len(c.targets[target].Ledger()) > 3 })
-			marked := time.Now()
+			c.await("calls at the target", func() bool { return len(c.targetsByID[target].Ledger()) > 3 })
+			markedAt := time.Now()
 			x.mark(c)
-			c.await("all entries to know", func() bool { return c.knownLeaving(target) })
-			known := len(c.targets[target].Ledger())
+			c.await("all entries to know that the target is leaving", func() bool { return c.knownLeaving(target) })
+			callsWhenKnown := len(c.targetsByID[target].Ledger())
 			outcomes := <-done
 			for i := 0; i < 30; i++ {
 				outcomes = append(outcomes, c.send(i%3, k, fmt.Sprintf("late-%d", i), ""))
 			}
-			ledger := c.targets[target].Ledger()
-			last := time.Duration(0)
+			ledger := c.targetsByID[target].Ledger()
+			lastBegin := time.Duration(0)
 			if n := len(ledger); n > 0 {
-				last = ledger[n-1].Began.Sub(marked)
+				lastBegin = ledger[n-1].Began.Sub(markedAt)
 			}
-			t.Logf("last new request %v after the mark", last.Round(time.Millisecond))
-			// A call chosen right before the entry knew may still be on its way.
-			So(len(ledger)-known, ShouldBeLessThanOrEqualTo, 3)
+			t.Logf("last new request %v after the mark", lastBegin.Round(time.Millisecond))
+			// An entry may have chosen the target for a call right before it learned
+			// of the mark.
+			So(len(ledger)-callsWhenKnown, ShouldBeLessThanOrEqualTo, 3)
 			for _, r := range ledger {
 				So(r.Finished, ShouldBeTrue)
 			}
@@ -64,7 +68,7 @@
 	}
 }
 
-// knownLeaving tells whether every entry gives the target no new work.
+// knownLeaving reports whether every entry shows the target as leaving or does not list it.
 func (c *cluster) knownLeaving(target string) bool {
 	for _, p := range c.entries {
 		s, err := p.state()
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	limitRate = 40.0
-	offered   = 160.0
-	limitTime = 3 * time.Second
+	accountRate  = 40.0  // requests per second over the whole fleet
+	offeredRate  = 160.0 // requests per second
+	loadDuration = 3 * time.Second
 )
 
-// admitted sends four times the account's rate for a while, spread over
-// entries by pick, and returns how many were answered.
-func (c *cluster) admitted(run string, pick func(n int) int) int {
+// countAdmitted sends requests at offeredRate, four times the account's rate, for
+// loadDuration and returns how many were answered. pick returns the entry of request n.
+func (c *cluster) countAdmitted(tagPrefix string, pick func(n int) int) int {
 	k := c.kind("replay")
 	k.DeadlineMS = 1000
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	answered := 0
-	gap := time.Duration(float64(time.Second) / offered)
+	interval := time.Duration(float64(time.Second) / offeredRate)
 	began := time.Now()
-	for n := 0; time.Since(began) < limitTime; n++ {
-		time.Sleep(time.Until(began.Add(time.Duration(n) * gap)))
+	for n := 0; time.Since(began) < loadDuration; n++ {
+		time.Sleep(time.Until(began.Add(time.Duration(n) * interval)))
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if o := c.send(pick(n), k, fmt.Sprintf("%s-%d", run, n), ""); o.Answered {
+			if o := c.send(pick(n), k, fmt.Sprintf("%s-%d", tagPrefix, n), ""); o.Answered {
 				mu.Lock()
 				answered++
 				mu.Unlock()
@@ -47,7 +47,8 @@
 	return answered
 }
 
-// limitOwner is the entry that owns the account's shares.
+// limitOwner returns the index of the entry that owns the account's limits and leases
+// shares of them to the others, or -1 if the owner is not in the cluster.
 func (c *cluster) limitOwner(account string) int {
 	s, err := c.entries[0].state()
 	c.must(err)
@@ -60,72 +61,77 @@
 	return -1
 }
 
+// TestFleetWideLimits guards against an account's rate that holds per entry instead of
+// over the fleet. The answered requests must stay near the account's rate with an even
+// load, with all load at one entry, and with the owner of the account's limits frozen.
 func TestFleetWideLimits(t *testing.T) {
-	// The bounds are wide, since the machine may be busy; the log has figures.
-	const least, most = 0.6, 1.6
+	// The bounds are wide, since the machine may be busy; the log has the exact shares.
+	const minShare, maxShare = 0.6, 1.6
 	for _, n := range []int{3, 9} {
 		Convey(fmt.Sprintf("A rate over %d entries", n), t, func() {
 			c := newCluster(t, options{entries: n, profile: load.Venue(),
-				edits: []hookhall.Edit{set("accounts", "venues", "rate", fmt.Sprint(limitRate))}})
-			want := limitRate * limitTime.Seconds()
+				extraEdits: []hookhall.Edit{forcedEdit("accounts", "venues", "rate", fmt.Sprint(accountRate))}})
+			want := accountRate * loadDuration.Seconds()
 			owner := c.limitOwner("venues")
 			others := func(i int) int { return (owner + 1 + i%(n-1)) % n }
 			for _, x := range []struct {
-				name string
-				pick func(int) int
-				hit  func()
+				name        string
+				pickEntry   func(int) int
+				injectFault func()
 			}{
 				{"even", func(i int) int { return i % n }, func() {}},
 				{"all at one entry", func(int) int { return others(0) }, func() {}},
 				{"even, owner frozen", others, func() { c.entries[owner].freeze() }},
 			} {
-				x.hit()
-				got := c.admitted(x.name, x.pick)
-				t.Logf("%d entries, %s: %d of %.0f at a rate of %.0f/s, share %.2f", n, x.name, got, want, limitRate, float64(got)/want)
-				So(float64(got), ShouldBeBetween, want*least, want*most)
+				x.injectFault()
+				answered := c.countAdmitted(x.name, x.pickEntry)
+				t.Logf("%d entries, %s: %d of %.0f at a rate of %.0f/s, share %.2f", n, x.name, answered, want, accountRate, float64(answered)/want)
+				So(float64(answered), ShouldBeBetween, want*minShare, want*maxShare)
 			}
 			c.entries[owner].thaw()
 		})
 	}
 }
 
+// TestFleetWideConcurrency guards against an account's concurrency limit that holds per
+// entry instead of over the fleet.
 func TestFleetWideConcurrency(t *testing.T) {
 	Convey("Concurrency over three entries", t, func() {
 		const limit = 6
-		c := newCluster(t, options{profile: load.Venue(), edits: []hookhall.Edit{set("accounts", "venues", "concurrency", fmt.Sprint(limit))}})
+		c := newCluster(t, options{profile: load.Venue(), extraEdits: []hookhall.Edit{forcedEdit("accounts", "venues", "concurrency", fmt.Sprint(limit))}})
 		k := c.kind("recap")
 		k.Tokens = 100
 		var mu sync.Mutex
-		now, most := 0, 0
+		inFlight, maxActive := 0, 0
 		var wg sync.WaitGroup
 		for n := 0; n < 60; n++ {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
 				mu.Lock()
-				now++
+				inFlight++
 				mu.Unlock()
 				c.send(n%3, k, fmt.Sprintf("wide-%d", n), "")
 				mu.Lock()
-				now--
+				inFlight--
 				mu.Unlock()
 			}()
 			if n%10 == 9 {
-				sum := int64(0)
+				active := int64(0)
 				for _, p := range c.entries {
 					s, err := p.state()
 					So(err, ShouldBeNil)
-					sum += s.Active
+					active += s.Active
 				}
-				most = max(most, int(sum))
+				maxActive = max(maxActive, int(active))
 				time.Sleep(20 * time.Millisecond)
 			}
 		}
 		wg.Wait()
-		t.Logf("most in progress at once: %d, limit %d", most, limit)
-		// Entries ask one after another, so what is in progress while a request
-		// is being refused is counted too.
-		So(most, ShouldBeLessThanOrEqualTo, 3*limit)
-		So(most, ShouldBeGreaterThan, 0)
+		t.Logf("maximum in progress at once: %d, limit %d", maxActive, limit)
+		// Entries ask the owner one after another, and requests that are about to be
+		// refused count as in progress, so the sum may exceed the limit.
+		So(maxActive, ShouldBeLessThanOrEqualTo, 3*limit)
+		So(maxActive, ShouldBeGreaterThan, 0)
 	})
 }
--- a/test/membership_test.go
+++ b/test/membership_test.go
@@ -11,54 +11,58 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// TestMembership guards against entries that stay in the view after they fail, that are
+// fenced while they may still run, or that don't rejoin, and against changes of the view
+// while the key-value service is down.
 func TestMembership(t *testing.T) {
 	Convey("A fleet of four", t, func() {
 		c := newCluster(t, options{entries: 4})
-		// othersSee waits until the first three see n members and m unfenced.
-		othersSee := func(n, m int) {
+		// othersSee waits until the first three entries have a view of the given numbers
+		// of members and unfenced former members, and miss no claims.
+		othersSee := func(members, unfenced int) {
 			c.t.Helper()
-			c.await("a view", func() bool {
+			c.await("the view of the other entries", func() bool {
 				for _, p := range c.entries[:3] {
 					s, err := p.state()
-					if err != nil || len(s.Members) != n || len(s.Unfenced) != m || s.Claims.Missing > 0 {
+					if err != nil || len(s.Members) != members || len(s.Unfenced) != unfenced || s.Claims.Missing > 0 {
 						return false
 					}
 				}
 				return true
 			})
 		}
-		Convey("takes a killed entry out as unfenced, and fences it when it is back", func() {
+		Convey("removes a killed entry as unfenced, and fences it when it is back", func() {
 			c.entries[3].kill()
 			othersSee(3, 1)
 			c.entries[3].start()
-			c.awaitWhole(4)
+			c.awaitFleet(4)
 			othersSee(4, 0)
 		})
-		Convey("fences it when the list no longer has it", func() {
+		Convey("fences a killed entry when the list no longer has it", func() {
 			c.entries[3].kill()
 			othersSee(3, 1)
 			c.list.Remove(c.entries[3].name)
 			othersSee(3, 0)
 		})
-		Convey("takes a frozen entry out, and takes it back when it thaws", func() {
+		Convey("removes a frozen entry, and readmits it when it thaws", func() {
 			c.entries[3].freeze()
 			othersSee(3, 1)
 			c.entries[3].thaw()
-			c.awaitWhole(4)
+			c.awaitFleet(4)
 			othersSee(4, 0)
 		})
-		Convey("takes an entry whose peers' port swallows all out, which serves on as an origin", func() {
-			swallow(c, c.entries[3].cutPeers)
+		Convey("removes an entry whose peer port drops all bytes, and it still serves as an origin", func() {
+			blackhole(c, c.entries[3].peersProxy)
 			othersSee(3, 1)
 			o := c.send(3, c.kind("recap"), "guest", "")
 			So(o.Answered, ShouldBeTrue)
 		})
-		Convey("changes nothing in an outage, and all of it after", func() {
+		Convey("keeps its view during an outage of the service, and updates it afterwards", func() {
 			c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 			before, err := c.entries[0].state()
 			So(err, ShouldBeNil)
 			c.entries[3].kill()
-			c.await("the death to be noticed", func() bool {
+			c.await("the killed entry to be detected", func() bool {
 				for _, p := range c.entries[:3] {
 					if p.logged("does not answer", c.entries[3].name) {
 						return true
@@ -75,16 +79,18 @@
 	})
 }
 
+// TestMembershipCost guards against writes to the key-value service by an idle fleet, and
+// logs its calls.
 func TestMembershipCost(t *testing.T) {
-	Convey("What a quiet fleet costs the service", t, func() {
+	Convey("An idle fleet writes nothing to the key-value service", t, func() {
 		for _, n := range []int{3, 9} {
-			c := newCluster(t, options{entries: n, count: 1})
+			c := newCluster(t, options{entries: n, targetsPerPool: 1})
 			before := c.kv.Stats()
-			const length = 3 * time.Second
-			time.Sleep(length)
+			const duration = 3 * time.Second
+			time.Sleep(duration)
 			after := c.kv.Stats()
 			calls := after.Reads + after.Watches + after.Writes - before.Reads - before.Watches - before.Writes
-			t.Logf("%d entries: %d calls in %v, %d writes", n, calls, length, after.Writes-before.Writes)
+			t.Logf("%d entries: %d calls in %v, %d writes", n, calls, duration, after.Writes-before.Writes)
 			So(after.Writes, ShouldEqual, before.Writes)
 			c.close()
 		}
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -16,46 +16,50 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// slowService makes the service's call long enough for a fault to hit it.
-var slowService = map[string]standin.TargetSettings{
+// slowAuthorisation makes the authorisation call take 300 ms, long enough to inject a
+// fault while it runs.
+var slowAuthorisation = map[string]standin.TargetSettings{
 	"authorisation": {Capacity: 64, Time: 300 * time.Millisecond},
 }
 
-// approve is a charge with a deadline that leaves room for a fault.
-func approve(c *cluster) load.Kind {
+// approveKind returns the kind of a charge with a deadline of 2 s, which leaves time for a
+// fault during its call.
+func approveKind(c *cluster) load.Kind {
 	k := c.kind("approve")
 	k.DeadlineMS = 2000
 	return k
 }
 
-// longDeadline lets requests of the gateway take so long.
+// fuelCluster starts a cluster with the fuel profile, slow authorisation unless o says
+// otherwise, and deadlines of up to 5 s for the station gateway's account.
 func fuelCluster(t *testing.T, o options) *cluster {
 	o.profile = load.Fuel()
-	if o.pools == nil {
-		o.pools = slowService
+	if o.settingsByPool == nil {
+		o.settingsByPool = slowAuthorisation
 	}
-	o.edits = append(o.edits, set("accounts", "station-gateway", "deadline_ms", "5000"))
+	o.extraEdits = append(o.extraEdits, forcedEdit("accounts", "station-gateway", "deadline_ms", "5000"))
 	return newCluster(t, o)
 }
 
-// ownerOf is the entry that owns a key, by the view of a running entry.
+// ownerOf returns the indexes of a key's owner, its standby and one other entry, by the
+// view of the first entry that answers; an index is -1 if there is no such entry.
 func (c *cluster) ownerOf(account, key string) (owner, standby, other int) {
-	var members []string
+	var pairIDs []string
 	for _, p := range c.entries {
 		s, err := p.state()
 		if err != nil {
 			continue
 		}
 		pair := view.PairOf(s.Members, view.SlotOf(account+"/"+key))
-		members = []string{pair.Owner.Instance, pair.Standby.Instance}
+		pairIDs = []string{pair.Owner.Instance, pair.Standby.Instance}
 		break
 	}
 	owner, standby, other = -1, -1, -1
 	for i, p := range c.entries {
 		switch p.name {
-		case members[0]:
+		case pairIDs[0]:
 			owner = i
-		case members[1]:
+		case pairIDs[1]:
 			standby = i
 		default:
 			other = i
@@ -64,16 +68,18 @@
 	return owner, standby, other
 }
 
-// awaitRun waits until a tag's call has begun at its service.
+// awaitRun waits until the authorisation call of the request with the tag has begun.
 func (c *cluster) awaitRun(tag string) {
 	c.t.Helper()
-	c.await(tag+" to run", func() bool { return c.runs(tag, "authorise") > 0 })
+	c.await(tag+" to run", func() bool { return c.countRuns(tag, "authorise") > 0 })
 }
 
-func TestOnceSameKeyAtOnce(t *testing.T) {
-	Convey("A charge sent with one key to all entries at once", t, func() {
+// TestOnceConcurrentSameKey guards against a charge that runs twice because it is sent
+// with one idempotency key to all entries at the same time.
+func TestOnceConcurrentSameKey(t *testing.T) {
+	Convey("A charge sent with one key to all entries at the same time", t, func() {
 		c := fuelCluster(t, options{})
-		k := approve(c)
+		k := approveKind(c)
 		const keys = 40
 		var outcomes []*load.Outcome
 		var mu sync.Mutex
@@ -93,7 +99,7 @@
 		}
 		wg.Wait()
 		a := c.audit(outcomes)
-		Convey("runs once, and every caller gets the one answer", func() {
+		Convey("runs once, and every caller gets the same answer", func() {
 			So(a.Examples, ShouldBeEmpty)
 			So(a.Clean(), ShouldBeTrue)
 			answered := 0
@@ -109,10 +115,12 @@
 	})
 }
 
+// TestOnceWithoutClaimsDoubles guards against an audit that misses double runs: with
+// claims off, the same charge runs once per entry, and the audit must report it.
 func TestOnceWithoutClaimsDoubles(t *testing.T) {
-	Convey("Without claims the same charges run more than once, and the audit sees it", t, func() {
-		c := fuelCluster(t, options{settings: "[policy]\nclaims = false\n"})
-		k := approve(c)
+	Convey("Without claims the same charge runs more than once, and the audit reports it", t, func() {
+		c := fuelCluster(t, options{extraSettings: "[policy]\nclaims = false\n"})
+		k := approveKind(c)
 		var wg sync.WaitGroup
 		outcomes := make([]*load.Outcome, len(c.entries))
 		for i := range c.entries {
@@ -124,73 +132,74 @@
 		}
 		wg.Wait()
 		So(c.audit(outcomes).Doubled, ShouldEqual, 1)
-		So(c.runs("bare", "authorise"), ShouldEqual, len(c.entries))
+		So(c.countRuns("bare", "authorise"), ShouldEqual, len(c.entries))
 	})
 }
 
-// TestOnceFaults sends a charge at one entry, hits a process in the middle of
-// the service's call, and sends the charge again at another entry, until an
-// answer or the last of the tries.
+// TestOnceFaults guards against a charge that runs again, or whose answer is lost, when an
+// entry fails during its call. The charge is sent to one entry, a process is killed,
+// frozen or cut off while the call runs, and the charge is sent again to another entry
+// until it is answered or the retries are used up.
 func TestOnceFaults(t *testing.T) {
-	type who int
+	type victimRole int
 	const (
-		origin who = iota
+		origin victimRole = iota
 		owner
 		standby
 		ownerAndStandby
 	)
 	cases := []struct {
-		name     string
-		victim   who
-		hit      func(p *process)
-		heal     func(p *process)
-		answered bool // the retry must get the answer in the end
+		name        string
+		victim      victimRole
+		injectFault func(p *process)
+		restore     func(p *process)
+		answered    bool // a retry must get the answer eventually
 	}{
 		{"origin killed", origin, (*process).kill, (*process).start, false},
 		{"origin frozen, then thawed", origin, (*process).freeze, (*process).thaw, true},
 		{"owner killed", owner, (*process).kill, (*process).start, true},
 		{"owner frozen, then thawed", owner, (*process).freeze, (*process).thaw, true},
-		{"owner cut off", owner, func(p *process) { cut(p.cutPeers) }, func(p *process) { heal(p.cutPeers) }, true},
+		{"owner cut off from its peers", owner, func(p *process) { disconnect(p.peersProxy) }, func(p *process) { reconnect(p.peersProxy) }, true},
 		{"standby killed", standby, (*process).kill, (*process).start, true},
 		{"standby frozen, then thawed", standby, (*process).freeze, (*process).thaw, true},
 		{"owner and standby killed", ownerAndStandby, (*process).kill, (*process).start, false},
 	}
 	for _, x := range cases {
 		Convey("A charge in progress, "+x.name, t, func() {
-			c := fuelCluster(t, options{entries: 4, retention: 30})
-			k := approve(c)
+			c := fuelCluster(t, options{entries: 4, retentionSeconds: 30})
+			k := approveKind(c)
 			tag := "fault"
-			own, stand, _ := c.ownerOf(k.Account, tag)
-			from, again := -1, -1
+			ownerIndex, standbyIndex, _ := c.ownerOf(k.Account, tag)
+			originIndex, retryIndex := -1, -1
 			for i := range c.entries {
-				if i != own && i != stand {
-					from, again = again, i
+				if i != ownerIndex && i != standbyIndex {
+					originIndex, retryIndex = retryIndex, i
 				}
 			}
-			victims := map[who][]int{origin: {from}, owner: {own}, standby: {stand}, ownerAndStandby: {own, stand}}[x.victim]
-			first := make(chan *load.Outcome, 1)
-			go func() { first <- c.send(from, k, tag, tag) }()
+			victims := map[victimRole][]int{origin: {originIndex}, owner: {ownerIndex}, standby: {standbyIndex}, ownerAndStandby: {ownerIndex, standbyIndex}}[x.victim]
+			firstOutcome := make(chan *load.Outcome, 1)
+			go func() { firstOutcome <- c.send(originIndex, k, tag, tag) }()
 			c.awaitRun(tag)
 			for _, v := range victims {
-				x.hit(c.entries[v])
+				x.injectFault(c.entries[v])
 			}
 			var retries []*load.Outcome
 			for n := 0; n < 4; n++ {
-				retries = append(retries, c.send(again, k, tag, tag))
+				retries = append(retries, c.send(retryIndex, k, tag, tag))
 			}
 			for _, v := range victims {
-				x.heal(c.entries[v])
+				x.restore(c.entries[v])
 			}
 			if x.answered {
-				c.awaitWhole(4)
+				c.awaitFleet(4)
 			}
-			last := c.send(again, k, tag, tag)
+			last := c.send(retryIndex, k, tag, tag)
 			for n := 0; n < 20 && x.answered && !last.Answered; n++ {
 				time.Sleep(200 * time.Millisecond)
-				last = c.send(again, k, tag, tag)
+				last = c.send(retryIndex, k, tag, tag)
 			}
-			<-first
-			So(c.runs(tag, "authorise"), ShouldEqual, 1)
+			<-firstOutcome
+			So(c.countRuns(tag, "authorise"), ShouldEqual, 1)
 			a := c.audit(append(retries, last))
 			So(a.Examples, ShouldBeEmpty)
 			So(a.Clean(), ShouldBeTrue)
@@ -202,10 +211,13 @@
 	}
 }
 
+// TestOnceThroughOutage guards against charges that need the key-value service: they must
+// be served during its outage, and with an entry killed too, at least those whose owner and
+// standby both run.
 func TestOnceThroughOutage(t *testing.T) {
-	Convey("With the key-value service down, charges go on", t, func() {
+	Convey("With the key-value service down, charges are still served", t, func() {
 		c := fuelCluster(t, options{})
-		k := approve(c)
+		k := approveKind(c)
 		c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 		const n = 60
 		answered := 0
@@ -222,11 +234,11 @@
 		a := c.audit(outcomes)
 		So(a.Examples, ShouldBeEmpty)
 		So(a.Clean(), ShouldBeTrue)
-		t.Logf("served in the outage: %d of %d", answered, n)
+		t.Logf("served during the outage: %d of %d", answered, n)
 	})
-	Convey("With the service down and an entry killed, keys of other owners go on, and no verdict is false", t, func() {
+	Convey("With the service down and an entry killed, keys of running entries are served, and no verdict is false", t, func() {
 		c := fuelCluster(t, options{})
-		k := approve(c)
+		k := approveKind(c)
 		c.kv.SetFaults(standin.KeyValueFaults{Down: true})
 		c.entries[2].kill()
 		const n = 60
@@ -243,23 +255,25 @@
 		a := c.audit(outcomes)
 		So(a.Examples, ShouldBeEmpty)
 		So(a.Clean(), ShouldBeTrue)
-		// A third of the keys has neither owner nor standby at the dead entry.
+		// A third of the keys have neither owner nor standby on the killed entry.
 		So(answered, ShouldBeGreaterThan, n/6)
-		t.Logf("served in the outage with an entry dead: %d of %d", answered, n)
-		Convey("and all go on when the service is back", func() {
+		t.Logf("served during the outage with an entry killed: %d of %d", answered, n)
+		Convey("and all keys are served when the service is back", func() {
 			c.kv.SetFaults(standin.KeyValueFaults{})
-			c.awaitWhole(2)
+			c.awaitFleet(2)
 			o := c.send(0, k, "after", "after")
 			So(o.Answered, ShouldBeTrue)
 		})
 	})
 }
 
+// TestOnceAnswerLost guards against a charge that runs again, or is reported as not run,
+// after its answer was lost: the retry must get "outcome-unknown".
 func TestOnceAnswerLost(t *testing.T) {
-	Convey("A charge whose answer is lost after it ran", t, func() {
-		c := fuelCluster(t, options{pools: map[string]standin.TargetSettings{"authorisation": defaultPool}})
-		k := approve(c)
-		for id, s := range c.targets {
+	Convey("A charge whose answer is lost after the run is not run again", t, func() {
+		c := fuelCluster(t, options{settingsByPool: map[string]standin.TargetSettings{"authorisation": defaultTargetSettings}})
+		k := approveKind(c)
+		for id, s := range c.targetsByID {
 			if id == "authorisation-0" || id == "authorisation-1" {
 				s.SetFaults(standin.TargetFaults{Lose: 1})
 			}
@@ -268,7 +282,7 @@
 		So(first.Answered, ShouldBeFalse)
 		So(first.Problem, ShouldNotBeNil)
 		So(first.Problem.Verdict, ShouldEqual, "may-have-run")
-		for id, s := range c.targets {
+		for id, s := range c.targetsByID {
 			if id == "authorisation-0" || id == "authorisation-1" {
 				s.SetFaults(standin.TargetFaults{})
 			}
@@ -277,25 +291,27 @@
 		So(again.Problem, ShouldNotBeNil)
 		So(again.Problem.Cause, ShouldEqual, "outcome-unknown")
 		So(again.Problem.RetryAfterMS, ShouldBeGreaterThan, 0)
-		So(c.runs("lost", "authorise"), ShouldEqual, 1)
+		So(c.countRuns("lost", "authorise"), ShouldEqual, 1)
 	})
 }
 
-func TestOnceKeys(t *testing.T) {
-	Convey("Keys are an account's own", t, func() {
-		c := newCluster(t, options{profile: load.Mixed(), edits: []hookhall.Edit{set("accounts", "station-gateway", "deadline_ms", "5000")}})
+// TestOnceKeyScope guards against idempotency keys that collide between accounts, and
+// against a reused key that answers a different request.
+func TestOnceKeyScope(t *testing.T) {
+	Convey("Idempotency keys are scoped to their account", t, func() {
+		c := newCluster(t, options{profile: load.Mixed(), extraEdits: []hookhall.Edit{forcedEdit("accounts", "station-gateway", "deadline_ms", "5000")}})
 		charge, caption := c.kind("approve"), c.kind("caption")
 		a := c.send(0, charge, "tag-a", "shared")
 		b := c.send(1, caption, "tag-b", "shared")
 		So(a.Answered, ShouldBeTrue)
 		So(b.Answered, ShouldBeTrue)
 		So(a.Output, ShouldNotEqual, b.Output)
-		Convey("and a key with another request is refused", func() {
+		Convey("and a key reused with another request is refused", func() {
 			o := c.send(2, charge, "tag-other", "shared")
 			So(o.Problem, ShouldNotBeNil)
 			So(o.Problem.Cause, ShouldEqual, "key-reused")
 		})
-		Convey("and a retry of a finished request gets its first answer", func() {
+		Convey("and a retry of a finished request gets the stored answer", func() {
 			o := c.send(2, caption, "tag-b", "shared")
 			So(o.Answered, ShouldBeTrue)
 			So(o.Replayed, ShouldBeTrue)
@@ -304,33 +320,35 @@
 	})
 }
 
+// TestOnceRefusedRetry guards against a false "not-run": the retry of a charge that may
+// have run is refused at the account's rate limit, which doesn't undo the first run.
 func TestOnceRefusedRetry(t *testing.T) {
 	Convey("A charge that may have run, sent again while its account is at its limit", t, func() {
-		c := fuelCluster(t, options{pools: map[string]standin.TargetSettings{"authorisation": defaultPool}})
-		k := approve(c)
-		lose := func(share float64) {
-			for id, s := range c.targets {
+		c := fuelCluster(t, options{settingsByPool: map[string]standin.TargetSettings{"authorisation": defaultTargetSettings}})
+		k := approveKind(c)
+		setLoseShare := func(share float64) {
+			for id, s := range c.targetsByID {
 				if id == "authorisation-0" || id == "authorisation-1" {
 					s.SetFaults(standin.TargetFaults{Lose: share})
 				}
 			}
 		}
-		lose(1)
+		setLoseShare(1)
 		first := c.send(0, k, "unsure", "unsure")
 		So(first.Problem, ShouldNotBeNil)
-		lose(0)
-		out := c.edit([]hookhall.Edit{set("accounts", k.Account, "rate", "0.01")})
+		setLoseShare(0)
+		out := c.edit([]hookhall.Edit{forcedEdit("accounts", k.Account, "rate", "0.01")})
 		c.awaitVersion(out.Version, c.entries...)
-		for i := 0; i < 3; i++ { // what was left of the old rate is spent
+		for i := 0; i < 3; i++ { // uses up what is left of the old rate
 			c.send(i, k, fmt.Sprintf("spend-%d", i), fmt.Sprintf("spend-%d", i))
 		}
 		refused := c.send(1, k, "unsure", "unsure")
 		So(refused.Problem, ShouldNotBeNil)
 		So(refused.Problem.Cause, ShouldEqual, "limit")
-		Convey("is refused, but not called not run", func() {
+		Convey("is refused, but not reported as not run", func() {
 			So(refused.Problem.Verdict, ShouldEqual, "may-have-run")
 		})
-		Convey("while one that nobody has claimed is", func() {
+		Convey("while a charge without a claim is reported as not run", func() {
 			fresh := c.send(1, k, "fresh", "fresh")
 			So(fresh.Problem, ShouldNotBeNil)
 			So(fresh.Problem.Verdict, ShouldEqual, "not-run")
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -21,17 +21,17 @@
 	"github.com/hookhall/hookhall/internal/app/entry"
 )
 
-// process is one entry process with its proxies.
+// process is an entry process, which may be down, with its proxies and log.
 type process struct {
-	c       *cluster
-	name    string
-	hall    string
-	callers string
-	peers   string
-	config  string
-	// cutPeers is before its peers' port; cutKV and cutList are its ways to
-	// the platform.
-	cutPeers, cutKV, cutList *toxiproxy.Proxy
+	cluster        *cluster
+	name           string
+	hall           string
+	callersAddress string
+	peersAddress   string
+	configPath     string
+	// peersProxy forwards to the entry's peer port; kvProxy and listProxy forward from
+	// the entry to the platform's key-value service and instance list.
+	peersProxy, kvProxy, listProxy *toxiproxy.Proxy
 
 	mu     sync.Mutex
 	cmd    *exec.Cmd
@@ -39,72 +39,79 @@
 	log    lockedBuffer
 }
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer collects a process's log and may be read while it is written.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu     sync.Mutex
+	buffer bytes.Buffer
 }
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buffer.Write(p)
 }
 
 func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buffer.String()
 }
 
-// nextPort is where freePort goes on, so that it never gives a port twice.
-var nextPort atomic.Uint32
+// portOffset is the offset of the port that freePort tried last. It only increases, so
+// that no port is returned twice before the range is used up.
+var portOffset atomic.Uint32
 
-func init() { nextPort.Store(rand.Uint32N(portCount)) }
+func init() { portOffset.Store(rand.Uint32N(portCount)) }
 
-// portFirst and portCount are the range that freePort takes ports from.
+// firstPort and portCount define the range that freePort takes ports from.
 const (
-	portFirst = 12000
+	firstPort = 12000
 	portCount = 18000
 )
 
-// freePort finds a port that an entry keeps over its restarts. It is below the
-// range that outgoing connections take theirs from: one of those could hold a
-// port while its entry is down.
+// freePort returns a local address with a free port, which an entry keeps over restarts.
+// The port is below the ephemeral range: an outgoing connection could otherwise take it
+// while the entry is down.
 func freePort(c *cluster) string {
 	for range portCount {
-		address := fmt.Sprintf("127.0.0.1:%d", portFirst+nextPort.Add(1)%portCount)
+		address := fmt.Sprintf("127.0.0.1:%d", firstPort+portOffset.Add(1)%portCount)
 		if l, err := net.Listen("tcp", address); err == nil {
 			c.must(l.Close())
 			return address
 		}
 	}
-	c.t.Fatal("no free port")
+	c.t.Fatal("no free port in the test range")
 	return ""
 }
 
+// proxy starts a fault-injecting proxy to upstream at a free local port.
 func (c *cluster) proxy(name, upstream string) *toxiproxy.Proxy {
 	p := toxiproxy.NewProxy(c.proxies, name, "127.0.0.1:0", upstream)
 	c.must(p.Start())
 	return p
 }
 
+// newProcess prepares entry i, counted from 0: addresses, proxies, configuration file and
+// record in the instance list. It does not start the program.
 func (c *cluster) newProcess(i int) *process {
-	p := &process{c: c, name: fmt.Sprintf("entry-%d", i+1), hall: fmt.Sprintf("hall-%d", i%3+1)}
-	p.callers, p.peers = freePort(c), freePort(c)
-	p.cutPeers = c.proxy(p.name+"-peers", p.peers)
-	p.cutKV = c.proxy(p.name+"-kv", c.kvAt)
-	p.cutList = c.proxy(p.name+"-list", c.listAt)
-	p.config = filepath.Join(c.dir, p.name+".toml")
-	c.must(os.WriteFile(p.config, []byte(p.settings()), 0o600))
+	p := &process{cluster: c, name: fmt.Sprintf("entry-%d", i+1), hall: fmt.Sprintf("hall-%d", i%3+1)}
+	p.callersAddress, p.peersAddress = freePort(c), freePort(c)
+	p.peersProxy = c.proxy(p.name+"-peers", p.peersAddress)
+	p.kvProxy = c.proxy(p.name+"-kv", c.kvAddress)
+	p.listProxy = c.proxy(p.name+"-list", c.listAddress)
+	p.configPath = filepath.Join(c.dir, p.name+".toml")
+	c.must(os.WriteFile(p.configPath, []byte(p.settings()), 0o600))
 	c.listEntry(p, hookhall.InstanceLive)
 	return p
 }
 
+// listEntry sets an entry's record in the platform's instance list; its address is that
+// of the proxy before the peer port.
 func (c *cluster) listEntry(p *process, state hookhall.InstanceState) {
-	c.list.Set(hookhall.Instance{ID: p.name, Role: hookhall.RoleEntry, Hall: p.hall, Address: p.cutPeers.Listen, State: state})
+	c.list.Set(hookhall.Instance{ID: p.name, Role: hookhall.RoleEntry, Hall: p.hall, Address: p.peersProxy.Listen, State: state})
 }
 
+// settings returns the contents of the entry's configuration file.
 func (p *process) settings() string {
 	return fmt.Sprintf(`[entry]
 instance = %q
@@ -126,28 +133,29 @@
 grace_ms = 10000
 [log]
 level = "info"
-%s`, p.name, p.hall, p.callers, p.peers, p.cutPeers.Listen, token, p.cutKV.Listen, p.cutList.Listen,
-		secret, p.c.o.retention, p.c.o.notice, p.c.o.settings)
+%s`, p.name, p.hall, p.callersAddress, p.peersAddress, p.peersProxy.Listen, operatorToken, p.kvProxy.Listen, p.listProxy.Listen,
+		fleetSecret, p.cluster.options.retentionSeconds, p.cluster.options.noticeMS, p.cluster.options.extraSettings)
 }
 
-// start runs the program, unless it runs already.
+// start starts the program unless it is running.
 func (p *process) start() {
 	if p.running() {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cmd = exec.Command(filepath.Join(binaries, "hookhall-entry"), "--config", p.config)
+	p.cmd = exec.Command(filepath.Join(binaryDir, "hookhall-entry"), "--config", p.configPath)
 	p.cmd.Stderr = &p.log
-	p.c.must(p.cmd.Start())
+	p.cluster.must(p.cmd.Start())
 	exited := make(chan struct{})
 	p.exited = exited
 	go func(cmd *exec.Cmd) {
-		_ = cmd.Wait() // a killed process has no good end
+		_ = cmd.Wait() // killed processes return an error
 		close(exited)
 	}(p.cmd)
 }
 
+// running reports whether the program has been started and has not exited.
 func (p *process) running() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -162,18 +170,20 @@
 	}
 }
 
+// signal sends s to the program if it has been started.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil && p.cmd.Process != nil {
-		_ = p.cmd.Process.Signal(s) // it may have ended
+		_ = p.cmd.Process.Signal(s) // fails if the process has exited
 	}
 }
 
+// freeze suspends the program with SIGSTOP; thaw resumes it.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// kill ends it without warning.
+// kill ends the program with SIGKILL and returns when it has exited.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	if p.exited != nil {
@@ -181,39 +191,41 @@
 	}
 }
 
-// stop is a planned stop; it returns when the process has ended.
+// stop requests a planned stop with SIGTERM and returns when the program has exited.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	<-p.exited
 }
 
+// state fetches the entry's state dump.
 func (p *process) state() (entry.State, error) {
 	var s entry.State
-	return s, getJSON(p.callers, "/debug/state", &s)
+	return s, getJSON(p.callersAddress, "/debug/state", &s)
 }
 
+// logs returns what the program has logged over all its starts.
 func (p *process) logs() string { return p.log.String() }
 
-// logged tells whether a line with all words has been logged.
-func (p *process) logged(words ...string) bool {
+// logged reports whether a log line contains all the given texts.
+func (p *process) logged(texts ...string) bool {
 	for _, line := range strings.Split(p.logs(), "\n") {
-		all := true
-		for _, w := range words {
-			all = all && strings.Contains(line, w)
+		found := true
+		for _, text := range texts {
+			found = found && strings.Contains(line, text)
 		}
-		if all {
+		if found {
 			return true
 		}
 	}
 	return false
 }
 
-// cut breaks a proxy's connections and refuses new ones; heal undoes it.
-func cut(p *toxiproxy.Proxy)  { p.Stop() }
-func heal(p *toxiproxy.Proxy) { _ = p.Start() } // it may run already
+// disconnect closes a proxy's connections and refuses new ones; reconnect undoes it.
+func disconnect(p *toxiproxy.Proxy) { p.Stop() }
+func reconnect(p *toxiproxy.Proxy)  { _ = p.Start() } // fails if the proxy runs already
 
-// swallow lets connections stand and their bytes disappear.
-func swallow(c *cluster, p *toxiproxy.Proxy) {
+// blackhole keeps a proxy's connections open but drops all their bytes.
+func blackhole(c *cluster, p *toxiproxy.Proxy) {
 	for _, direction := range []string{"upstream", "downstream"} {
 		_, err := p.Toxics.AddToxicJson(strings.NewReader(
 			fmt.Sprintf(`{"name":"swallow-%s","type":"timeout","stream":%q,"attributes":{"timeout":0}}`, direction, direction)))
--- a/test/schedules_test.go
+++ b/test/schedules_test.go
@@ -18,102 +18,109 @@
 )
 
 const (
-	// ciSeeds is how many schedules CI plays; HOOKHALL_SEEDS sets another number.
-	ciSeeds = 3
-	events  = 14
-	entries = 5
+	// defaultSeedCount is the number of schedules in CI; HOOKHALL_SEEDS overrides it.
+	defaultSeedCount = 3
+	scheduleEvents   = 14
+	scheduleEntries  = 5
 )
 
-// schedule is a seeded sequence of faults during load.
+// schedule injects a sequence of faults, drawn from a seed, while requests are sent.
 type schedule struct {
-	c    *cluster
-	r    *rand.Rand
-	undo []func()
-	said []string
+	cluster  *cluster
+	random   *rand.Rand
+	undos    []func()
+	eventLog []string
 }
 
-func (s *schedule) note(format string, args ...any) {
-	s.said = append(s.said, fmt.Sprintf(format, args...))
+// logEvent adds a line to the log that is printed with the result.
+func (s *schedule) logEvent(format string, args ...any) {
+	s.eventLog = append(s.eventLog, fmt.Sprintf(format, args...))
 }
 
-// later undoes a fault before the event after next begins.
-func (s *schedule) later(f func()) { s.undo = append(s.undo, f) }
+// undoLater registers a function that undoes a fault. injectEvent runs the oldest ones
+// until two are left, so that at most three faults are active at a time.
+func (s *schedule) undoLater(f func()) { s.undos = append(s.undos, f) }
 
-func (s *schedule) event(n int) {
-	for len(s.undo) > 2 {
-		s.undo[0]()
-		s.undo = s.undo[1:]
+// injectEvent undoes old faults and injects the next one, which is event n.
+func (s *schedule) injectEvent(n int) {
+	for len(s.undos) > 2 {
+		s.undos[0]()
+		s.undos = s.undos[1:]
 	}
-	p := s.c.entries[s.r.IntN(len(s.c.entries))]
-	switch s.r.IntN(11) {
+	p := s.cluster.entries[s.random.IntN(len(s.cluster.entries))]
+	switch s.random.IntN(11) {
 	case 0, 1:
-		s.note("kill %s", p.name)
+		s.logEvent("kill %s", p.name)
 		p.kill()
-		s.later(p.start)
+		s.undoLater(p.start)
 	case 2, 3:
-		s.note("freeze %s", p.name)
+		s.logEvent("freeze %s", p.name)
 		p.freeze()
-		s.later(p.thaw)
+		s.undoLater(p.thaw)
 	case 4:
-		s.note("cut %s from its peers", p.name)
-		cut(p.cutPeers)
-		s.later(func() { heal(p.cutPeers) })
+		s.logEvent("disconnect %s from its peers", p.name)
+		disconnect(p.peersProxy)
+		s.undoLater(func() { reconnect(p.peersProxy) })
 	case 5:
-		s.note("cut %s from the service", p.name)
-		cut(p.cutKV)
-		s.later(func() { heal(p.cutKV) })
+		s.logEvent("disconnect %s from the key-value service", p.name)
+		disconnect(p.kvProxy)
+		s.undoLater(func() { reconnect(p.kvProxy) })
 	case 6:
-		s.note("outage of the service")
-		s.c.kv.SetFaults(standin.KeyValueFaults{Down: true})
-		s.later(func() { s.c.kv.SetFaults(standin.KeyValueFaults{}) })
+		s.logEvent("outage of the key-value service")
+		s.cluster.kv.SetFaults(standin.KeyValueFaults{Down: true})
+		s.undoLater(func() { s.cluster.kv.SetFaults(standin.KeyValueFaults{}) })
 	case 7:
-		s.note("lost and stale answers of the service")
-		s.c.kv.SetFaults(standin.KeyValueFaults{LoseWrites: 2, StaleReads: 3, SlowMS: 30})
-		s.later(func() { s.c.kv.SetFaults(standin.KeyValueFaults{}) })
+		s.logEvent("lost and stale replies of the key-value service")
+		s.cluster.kv.SetFaults(standin.KeyValueFaults{LoseWrites: 2, StaleReads: 3, SlowMS: 30})
+		s.undoLater(func() { s.cluster.kv.SetFaults(standin.KeyValueFaults{}) })
 	case 8:
-		s.note("faults of all targets")
-		s.targets(standin.TargetFaults{Lose: 0.1, Truncate: 0.1, Misdirect: 0.1, FailBefore: 0.1, FailAfter: 0.1})
-		s.later(func() { s.targets(standin.TargetFaults{}) })
+		s.logEvent("faults on all targets")
+		s.setTargetFaults(standin.TargetFaults{Lose: 0.1, Truncate: 0.1, Misdirect: 0.1, FailBefore: 0.1, FailAfter: 0.1})
+		s.undoLater(func() { s.setTargetFaults(standin.TargetFaults{}) })
 	case 9:
-		s.note("edit")
-		// In an outage its outcome is open, which is no fault here.
-		_, _ = s.c.apply(fmt.Sprintf("event-%d", n), set("accounts", "venues", "rate", fmt.Sprint(1000+n)))
+		s.logEvent("edit")
+		// During an outage the edit fails or its outcome is unknown, which is correct.
+		_, _ = s.cluster.apply(fmt.Sprintf("event-%d", n), forcedEdit("accounts", "venues", "rate", fmt.Sprint(1000+n)))
 	case 10:
 		if p.running() {
-			s.note("planned stop of %s", p.name)
-			p.thaw() // a frozen process can't act on the signal
+			s.logEvent("planned stop of %s", p.name)
+			p.thaw() // a frozen process doesn't handle SIGTERM
 			p.stop()
-			s.later(p.start)
+			s.undoLater(p.start)
 		}
 	}
 }
 
-func (s *schedule) targets(f standin.TargetFaults) {
-	for _, t := range s.c.targets {
-		t.SetFaults(f)
+// setTargetFaults sets the faults of every target.
+func (s *schedule) setTargetFaults(faults standin.TargetFaults) {
+	for _, t := range s.cluster.targetsByID {
+		t.SetFaults(faults)
 	}
 }
 
+// finish undoes all faults, starts the entries that are down and waits until the fleet
+// agrees. Claims may be incomplete, as a slot may have lost both owner and standby.
 func (s *schedule) finish() {
-	for _, f := range s.undo {
-		f()
+	for _, undo := range s.undos {
+		undo()
 	}
-	for _, p := range s.c.entries {
+	for _, p := range s.cluster.entries {
 		p.thaw()
 		if !p.running() {
 			p.start()
 		}
 	}
-	s.c.awaitEntries(len(s.c.entries), false)
+	s.cluster.awaitEntries(len(s.cluster.entries), false)
 }
 
-// callers send requests until stop is closed; what is not answered is sent
-// again, elsewhere, under the same key.
-func (s *schedule) callers(seed uint64, stop <-chan struct{}) []*load.Outcome {
+// sendRequests sends a request every 8 ms until stop is closed and returns all outcomes.
+// Kinds that must run once are sent with a key, up to four times, to another entry each
+// time, until answered.
+func (s *schedule) sendRequests(seed uint64, stop <-chan struct{}) []*load.Outcome {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var outcomes []*load.Outcome
-	kinds := s.c.o.profile.Kinds
+	kinds := s.cluster.options.profile.Kinds
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -127,12 +134,12 @@
 			k := kinds[n%len(kinds)]
 			k.DeadlineMS = min(k.DeadlineMS, 500)
 			tag := fmt.Sprintf("s%d-%d", seed, n)
-			for try := 0; try < 4; try++ {
+			for attempt := 0; attempt < 4; attempt++ {
 				key := ""
 				if !k.Repeatable {
 					key = tag
 				}
-				o := s.c.send((n+try)%len(s.c.entries), k, tag, key)
+				o := s.cluster.send((n+attempt)%len(s.cluster.entries), k, tag, key)
 				mu.Lock()
 				outcomes = append(outcomes, o)
 				mu.Unlock()
@@ -144,36 +151,40 @@
 	}
 }
 
-func seeds() int {
+// seedCount returns the number of schedules to run.
+func seedCount() int {
 	if n, err := strconv.Atoi(os.Getenv("HOOKHALL_SEEDS")); err == nil {
 		return n
 	}
-	return ciSeeds
+	return defaultSeedCount
 }
 
+// TestSchedules guards against double runs, false "not-run" verdicts, swapped answers and
+// answers without a finished run under combined faults: a seeded random schedule of kills,
+// freezes, disconnections, outages, target faults, edits and planned stops during load.
 func TestSchedules(t *testing.T) {
-	for seed := uint64(1); seed <= uint64(seeds()); seed++ {
+	for seed := uint64(1); seed <= uint64(seedCount()); seed++ {
 		Convey(fmt.Sprintf("Under a random schedule of faults, seed %d", seed), t, func() {
-			c := newCluster(t, options{entries: entries, retention: 300})
-			s := &schedule{c: c, r: rand.New(rand.NewPCG(seed, 1))}
+			c := newCluster(t, options{entries: scheduleEntries, retentionSeconds: 300})
+			s := &schedule{cluster: c, random: rand.New(rand.NewPCG(seed, 1))}
 			stop := make(chan struct{})
 			done := make(chan []*load.Outcome)
-			go func() { done <- s.callers(seed, stop) }()
-			for n := 0; n < events; n++ {
-				s.event(n)
-				time.Sleep(time.Duration(100+s.r.IntN(400)) * time.Millisecond)
+			go func() { done <- s.sendRequests(seed, stop) }()
+			for n := 0; n < scheduleEvents; n++ {
+				s.injectEvent(n)
+				time.Sleep(time.Duration(100+s.random.IntN(400)) * time.Millisecond)
 			}
 			s.finish()
 			close(stop)
 			outcomes := <-done
 			a := c.audit(outcomes)
 			all, _ := load.Summarize(outcomes)
-			t.Logf("seed %d: %v\n%d submissions, %d answered in time, %d refused, %d cut off; doubled %d, false not-run %d, swapped %d, unfounded %d",
-				seed, s.said, all.Requests, all.InTime, all.Refused, all.Lost, a.Doubled, a.FalseNotRun, a.Swapped, a.Unfounded)
+			t.Logf("seed %d: %v\n%d submissions, %d answered in time, %d refused, %d lost; doubled %d, false not-run %d, swapped %d, unfounded %d",
+				seed, s.eventLog, all.Requests, all.InTime, all.Refused, all.Lost, a.Doubled, a.FalseNotRun, a.Swapped, a.Unfounded)
 			if a.Doubled+a.FalseNotRun+a.Swapped+a.Unfounded > 0 {
 				t.Logf("examples: %v", a.Examples)
 			}
-			// A killed or frozen entry cuts its callers off: those count as lost.
+			// Requests at a killed or frozen entry count as lost, which is no failure.
 			So(a.Doubled, ShouldEqual, 0)
 			So(a.FalseNotRun, ShouldEqual, 0)
 			So(a.Swapped, ShouldEqual, 0)
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -16,32 +16,34 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// balancer sends requests to entries that say they are ready, as it knew some
-// moments ago.
+// balancer imitates a load balancer: it sends requests to the entries whose /readyz
+// reported ready when it last polled, which it does every 30 ms.
 type balancer struct {
-	c     *cluster
-	mu    sync.Mutex
-	ready []int
-	stop  context.CancelFunc
+	cluster *cluster
+	mu      sync.Mutex
+	ready   []int
+	stop    context.CancelFunc
 }
 
+// newBalancer polls the entries once and then in the background until stop is called.
 func (c *cluster) newBalancer() *balancer {
 	ctx, stop := context.WithCancel(context.Background())
-	b := &balancer{c: c, stop: stop}
-	b.look()
+	b := &balancer{cluster: c, stop: stop}
+	b.refreshReady()
 	go func() {
 		for ctx.Err() == nil {
-			b.look()
+			b.refreshReady()
 			time.Sleep(30 * time.Millisecond)
 		}
 	}()
 	return b
 }
 
-func (b *balancer) look() {
+// refreshReady polls all entries and replaces the set of ready ones.
+func (b *balancer) refreshReady() {
 	var ready []int
-	for i, p := range b.c.entries {
-		resp, err := operator.Get("http://" + p.callers + "/readyz")
+	for i, p := range b.cluster.entries {
+		resp, err := operatorClient.Get("http://" + p.callersAddress + "/readyz")
 		if err != nil {
 			continue
 		}
@@ -55,6 +57,7 @@
 	b.mu.Unlock()
 }
 
+// pick returns the index of a random ready entry, or 0 if none is ready.
 func (b *balancer) pick() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -64,8 +67,9 @@
 	return b.ready[rand.IntN(len(b.ready))]
 }
 
-// load sends requests through the balancer until work returns.
-func (b *balancer) load(gap time.Duration, work func()) []*load.Outcome {
+// sendDuring runs work and, until it returns, sends a request to a ready entry every
+// interval. It returns all outcomes.
+func (b *balancer) sendDuring(interval time.Duration, work func()) []*load.Outcome {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var outcomes []*load.Outcome
@@ -74,13 +78,13 @@
 		defer close(done)
 		work()
 	}()
-	kinds := b.c.o.profile.Kinds
+	kinds := b.cluster.options.profile.Kinds
 	for n := 0; ; n++ {
 		select {
 		case <-done:
 			wg.Wait()
 			return outcomes
-		case <-time.After(gap):
+		case <-time.After(interval):
 		}
 		wg.Add(1)
 		go func() {
@@ -91,7 +95,7 @@
 			if !k.Repeatable {
 				key = tag
 			}
-			o := b.c.send(b.pick(), k, tag, key)
+			o := b.cluster.send(b.pick(), k, tag, key)
 			mu.Lock()
 			outcomes = append(outcomes, o)
 			mu.Unlock()
@@ -99,24 +103,27 @@
 	}
 }
 
+// TestPlannedStops guards against requests or claims that are lost when entries are
+// restarted one after another as planned. The same load with kills must lose requests,
+// which shows that it would detect a loss.
 func TestPlannedStops(t *testing.T) {
 	failures := func(outcomes []*load.Outcome) (refused, lost int) {
 		all, _ := load.Summarize(outcomes)
 		return all.Refused, all.Lost
 	}
 	Convey("Entries restarted one after another under load", t, func() {
-		c := newCluster(t, options{notice: 400})
+		c := newCluster(t, options{noticeMS: 400})
 		b := c.newBalancer()
 		defer b.stop()
-		Convey("as planned fail no request, and keep their claims", func() {
+		Convey("by planned stops fail no request and keep their claims", func() {
 			k := c.kind("caption")
 			first := c.send(0, k, "kept", "kept")
 			So(first.Answered, ShouldBeTrue)
-			outcomes := b.load(4*time.Millisecond, func() {
+			outcomes := b.sendDuring(4*time.Millisecond, func() {
 				for _, p := range c.entries {
 					p.stop()
 					p.start()
-					c.awaitWhole(3)
+					c.awaitFleet(3)
 				}
 			})
 			refused, lost := failures(outcomes)
@@ -138,12 +145,12 @@
 			So(again.Answered, ShouldBeTrue)
 			So(again.Replayed, ShouldBeTrue)
 		})
-		Convey("by kill lose some, which the same load shows", func() {
-			outcomes := b.load(4*time.Millisecond, func() {
+		Convey("by kills lose requests, which the same load detects", func() {
+			outcomes := b.sendDuring(4*time.Millisecond, func() {
 				for _, p := range c.entries {
 					p.kill()
 					p.start()
-					c.awaitWhole(3)
+					c.awaitFleet(3)
 				}
 			})
 			refused, lost := failures(outcomes)
@@ -155,9 +162,11 @@
 	})
 }
 
+// TestPairStopsTogether guards against claims that are lost when owner and standby of a
+// key stop at the same time, so that neither can take over from the other.
 func TestPairStopsTogether(t *testing.T) {
-	Convey("Owner and standby of a key stop at the same moment", t, func() {
-		c := newCluster(t, options{entries: 4, notice: 1, retention: 300})
+	Convey("Owner and standby of a key stop at the same time", t, func() {
+		c := newCluster(t, options{entries: 4, noticeMS: 1, retentionSeconds: 300})
 		k := c.kind("caption")
 		var tags []string
 		for n := 0; n < 40; n++ {
@@ -175,8 +184,8 @@
 			}()
 		}
 		wg.Wait()
-		c.awaitWhole(2)
-		Convey("and every key still has its first answer elsewhere", func() {
+		c.awaitFleet(2)
+		Convey("and the other entries still have the answer of every key", func() {
 			for i := range c.entries {
 				if i == owner || i == standby {
 					continue
@@ -188,7 +197,7 @@
 				}
 			}
 			for _, tag := range tags {
-				So(c.runs(tag, "generate"), ShouldEqual, 1)
+				So(c.countRuns(tag, "generate"), ShouldEqual, 1)
 			}
 		})
 	})
