--- a/advisory.go
+++ b/advisory.go
@@ -21,13 +21,13 @@
 
 // AdvisoryObserver receives the advisories of targets.
 type AdvisoryObserver interface {
-	// Advised is called with the advisory of each answer, also with the zero one. t sent
+	// HandleAdvisory is called with the advisory of each answer, also with the zero one. t sent
 	// the answer to a call that was sent to it at sent. It must not block.
-	Advised(t Target, a Advisory, sent time.Time)
+	HandleAdvisory(t Target, a Advisory, sent time.Time)
 }
 
 // AdvisorySource reads advisories from answers.
 type AdvisorySource interface {
-	// Observe registers the observer. It must be called before the first call of a target.
-	Observe(o AdvisoryObserver)
+	// SetObserver registers the observer. It must be called before the first call of a target.
+	SetObserver(o AdvisoryObserver)
 }
--- a/cmd/hookhall-gateway/main.go
+++ b/cmd/hookhall-gateway/main.go
@@ -50,10 +50,10 @@
 	}
 	stop, _ := cli.Signals()
 	pool := upstream.NewPool()
-	targets := &platform.Targets{Pool: pool}
+	targets := &platform.TargetClient{Connections: pool}
 	g, err := gateway.New(s, gateway.Adapters{
-		Store: platform.NewStore(s.Store.Address), Platform: platform.Keys{}, Rollouts: platform.Keys{}, Dialect: platform.Dialect{},
-		Sender: targets, Pool: targets, Advisories: targets, Connections: pool,
+		Store: platform.NewStore(s.Store.Address), Platform: platform.StoreKeys{}, Rollouts: platform.StoreKeys{}, Dialect: platform.Dialect{},
+		Sender: targets, StagePool: targets, Advisories: targets, Connections: pool,
 	}, os.Stdout)
 	if err != nil {
 		cli.Fail(parser.Name, err, cli.ExitFailed)
--- a/cmd/hookhall-load/edits.go
+++ b/cmd/hookhall-load/edits.go
@@ -23,9 +23,9 @@
 // apart, during one load and prints the accounts' attainment before the first
 // edit and after each.
 func (c *editsCommand) Execute([]string) error {
-	profile, err := load.Named(c.Profile)
+	profile, err := load.ProfileNamed(c.Profile)
 	if err != nil {
 		return err
 	}
-	return lab.Edits(context.Background(), os.Stdout, profile, c.Times, c.Phase, c.Seed)
+	return lab.RunEdits(context.Background(), os.Stdout, profile, c.Times, c.Phase, c.Seed)
 }
--- a/cmd/hookhall-load/experiment.go
+++ b/cmd/hookhall-load/experiment.go
@@ -29,11 +29,11 @@
 // Execute implements flags.Commander. It plays the chosen scenarios under each
 // policy with the same arrivals and prints the results.
 func (c *experimentCommand) Execute([]string) error {
-	profile, err := load.Named(c.Profile)
+	profile, err := load.ProfileNamed(c.Profile)
 	if err != nil {
 		return err
 	}
-	experiment := lab.Experiment{Profile: profile, Entries: c.Entries, Length: c.Time, Seed: c.Seed}
+	experiment := lab.Experiment{Profile: profile, EntryCount: c.Entries, RunDuration: c.Time, Seed: c.Seed}
 	for _, name := range strings.Split(c.Policies, ",") {
 		policy, err := lab.PolicyNamed(name)
 		if err != nil {
@@ -41,7 +41,7 @@
 		}
 		experiment.Policies = append(experiment.Policies, policy)
 	}
-	for _, scenario := range lab.Scenarios[c.Scenario] {
+	for _, scenario := range lab.ScenariosByGroup[c.Scenario] {
 		if strings.Contains(scenario.Name, c.Only) {
 			experiment.Scenarios = append(experiment.Scenarios, scenario)
 		}
@@ -53,7 +53,7 @@
 	for _, r := range rows {
 		if c.Kinds {
 			fmt.Printf("%s, %s\n", r.Scenario, r.Policy)
-			load.Print(os.Stdout, r.All, r.Kinds, r.Audit)
+			load.PrintReport(os.Stdout, r.All, r.Kinds, r.Audit)
 			fmt.Println()
 		}
 	}
--- a/cmd/hookhall-load/run.go
+++ b/cmd/hookhall-load/run.go
@@ -31,12 +31,12 @@
 // entries, prints a summary and, with --list, audits the targets' ledgers. It
 // returns an error if the audit finds a fault.
 func (c *runCommand) Execute([]string) error {
-	profile, err := load.Named(c.Profile)
+	profile, err := load.ProfileNamed(c.Profile)
 	if err != nil {
 		return err
 	}
 	entries := strings.Split(c.Entries, ",")
-	arrivals := load.Plan{Profile: profile, Rate: c.Rate, Duration: c.Time, Seed: c.Seed, Entries: len(entries), Burst: c.Burst}.Draw()
+	arrivals := load.Plan{Profile: profile, Rate: c.Rate, Duration: c.Time, Seed: c.Seed, EntryCount: len(entries), BurstFactor: c.Burst}.Draw()
 	stop, _ := cli.Signals()
 	client := load.NewClient()
 	defer client.Close()
@@ -49,10 +49,10 @@
 		if err != nil {
 			return err
 		}
-		audit = load.Check(profile, outcomes, ledger)
+		audit = load.AuditOutcomes(profile, outcomes, ledger)
 	}
 	all, kinds := load.Summarize(outcomes)
-	load.Print(os.Stdout, all, kinds, audit)
+	load.PrintReport(os.Stdout, all, kinds, audit)
 	if audit != nil && !audit.Clean() {
 		return errors.New("the audit found faults; see the counts and examples in the report")
 	}
@@ -68,7 +68,7 @@
 // Execute implements flags.Commander. It sends one request of the kind and prints
 // its answer, or its problem document, as JSON.
 func (c *onceCommand) Execute([]string) error {
-	profile, err := load.Named(c.Profile)
+	profile, err := load.ProfileNamed(c.Profile)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 			Output    string  `json:"output"`
 			TookMS    float64 `json:"took_ms"`
 			Cost      any     `json:"cost"`
-		}{outcome.RequestID, outcome.Output, float64(outcome.Took.Microseconds()) / 1000, outcome.Cost})
+		}{outcome.RequestID, outcome.Output, float64(outcome.Latency.Microseconds()) / 1000, outcome.Cost})
 	}
 	return errors.Errorf("profile %s has no request kind %q", profile.Name, c.Kind)
 }
@@ -106,7 +106,7 @@
 // Execute implements flags.Commander. It prints the cells of the profile's table as
 // CSV, in the form that hookhallctl import reads.
 func (c *tableCommand) Execute([]string) error {
-	profile, err := load.Named(c.Args.Profile)
+	profile, err := load.ProfileNamed(c.Args.Profile)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	if err := writer.Write([]string{"sheet", "row", "column", "value"}); err != nil {
 		return err
 	}
-	for _, edit := range profile.Edits() {
+	for _, edit := range profile.TableEdits() {
 		if err := writer.Write([]string{string(edit.Sheet), edit.Row, edit.Column, edit.Value}); err != nil {
 			return err
 		}
--- a/cmd/hookhall-load/slopes.go
+++ b/cmd/hookhall-load/slopes.go
@@ -15,8 +15,8 @@
 // Execute implements flags.Commander. It prints the sizes of stored documents in
 // bytes, then how costs grow with entries, targets, accounts and requests.
 func (c *slopesCommand) Execute([]string) error {
-	if err := lab.Sizes(os.Stdout); err != nil {
+	if err := lab.PrintDocumentSizes(os.Stdout); err != nil {
 		return err
 	}
-	return lab.Slopes(context.Background(), os.Stdout)
+	return lab.MeasureCostGrowth(context.Background(), os.Stdout)
 }
--- a/cmd/hookhall-standin/targets.go
+++ b/cmd/hookhall-standin/targets.go
@@ -50,7 +50,7 @@
 	}
 	id := fmt.Sprintf("%s-%s-%d", c.Pool, c.Hall, i)
 	server, err := standin.Listen(address, standin.NewTarget(standin.TargetSettings{
-		ID: id, Capacity: c.Capacity, Queue: c.Queue, Time: c.Time, Token: c.Token, Cache: c.Cache, Lag: c.Lag,
+		ID: id, Capacity: c.Capacity, MaxQueued: c.Queue, CallTime: c.Time, TokenTime: c.Token, CachedPrefixes: c.Cache, ReportLag: c.Lag,
 	}))
 	if err != nil || c.List == "" {
 		return server, err
--- a/cmd/hookhallctl/cmd/explain.go
+++ b/cmd/hookhallctl/cmd/explain.go
@@ -48,8 +48,8 @@
 	for _, pool := range sortedKeys(explanation.WaitMS) {
 		fmt.Fprintf(stdout, "  wait at %s: %.1f ms\n", pool, explanation.WaitMS[pool])
 	}
-	if explanation.Last != nil {
-		fmt.Fprintf(stdout, "  last failure: %s: %s\n", explanation.Last.Cause, explanation.Last.Detail)
+	if explanation.LastFailure != nil {
+		fmt.Fprintf(stdout, "  last failure: %s: %s\n", explanation.LastFailure.Cause, explanation.LastFailure.Detail)
 	}
 	for _, advice := range explanation.Advice {
 		fmt.Fprintf(stdout, "  -> %s\n", advice)
--- a/cmd/hookhallctl/cmd/set.go
+++ b/cmd/hookhallctl/cmd/set.go
@@ -75,14 +75,14 @@
 		return printJSON(outcome)
 	}
 	var halls []string
-	for hall := range outcome.InForce {
+	for hall := range outcome.EntryByHall {
 		halls = append(halls, hall)
 	}
 	sort.Strings(halls)
 	fmt.Fprintf(stdout, "accepted as version %d; in force in %s\n", outcome.Version, strings.Join(halls, ", "))
-	if len(outcome.OutOfReach) > 0 {
-		sort.Strings(outcome.OutOfReach)
-		fmt.Fprintf(stdout, "out of reach, to follow: %s\n", strings.Join(outcome.OutOfReach, ", "))
+	if len(outcome.Unreachable) > 0 {
+		sort.Strings(outcome.Unreachable)
+		fmt.Fprintf(stdout, "out of reach, to follow: %s\n", strings.Join(outcome.Unreachable, ", "))
 	}
 	return nil
 }
--- a/cmd/hookhallctl/cmd/status.go
+++ b/cmd/hookhallctl/cmd/status.go
@@ -34,7 +34,7 @@
 	if status.Error != "" {
 		return errors.New(status.Error)
 	}
-	fmt.Fprintf(stdout, "epoch %d  table version %d\n", status.Epoch, status.Version)
+	fmt.Fprintf(stdout, "epoch %d  table version %d\n", status.Epoch, status.TableVersion)
 	table := tabwriter.NewWriter(stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MEMBER\tHALL\tADDRESS\tANSWERS\tEPOCH\tTABLE")
 	for _, m := range status.Members {
--- a/contract_backend_test.go
+++ b/contract_backend_test.go
@@ -27,7 +27,7 @@
 func stageCall(input string) hookhall.StageCall {
 	return hookhall.StageCall{
 		Request: "r1", Stage: "generate", Attempt: 1, Digest: xxhash.Sum64String(input), Input: []byte(input),
-		MaxTokens: 8, Deadline: time.Now().Add(10 * time.Second), Key: "a/k", Once: true,
+		MaxTokens: 8, Deadline: time.Now().Add(10 * time.Second), Key: "a/k", AtMostOnce: true,
 	}
 }
 
@@ -46,7 +46,7 @@
 		{"refuses", standin.TargetFaults{FailBefore: 1}, hookhall.NotRun, hookhall.CauseRefused, false},
 		{"is leaving", standin.TargetFaults{Leaving: true}, hookhall.NotRun, hookhall.CauseRefused, false},
 		{"fails after running", standin.TargetFaults{FailAfter: 1}, hookhall.MayHaveRun, hookhall.CauseTarget, true},
-		{"drops the connection instead of its answer", standin.TargetFaults{Lose: 1}, hookhall.MayHaveRun, hookhall.CauseConnection, true},
+		{"drops the connection instead of its answer", standin.TargetFaults{LoseAnswer: 1}, hookhall.MayHaveRun, hookhall.CauseConnection, true},
 		{"truncates its answer", standin.TargetFaults{Truncate: 1}, hookhall.MayHaveRun, hookhall.CauseTruncated, true},
 		{"answers with the identity of another call", standin.TargetFaults{Misdirect: 1}, hookhall.MayHaveRun, hookhall.CauseMisdirected, true},
 		{"changes a byte", standin.TargetFaults{Corrupt: 1}, hookhall.MayHaveRun, hookhall.CauseTruncated, true},
@@ -55,7 +55,7 @@
 	ignore := func([]byte) error { return nil }
 	for name, newBackend := range backends {
 		Convey("A backend, "+name, t, func() {
-			engine := standin.NewTarget(standin.TargetSettings{ID: "e", Capacity: 2, Time: time.Millisecond, Token: time.Millisecond})
+			engine := standin.NewTarget(standin.TargetSettings{ID: "e", Capacity: 2, CallTime: time.Millisecond, TokenTime: time.Millisecond})
 			s := httptest.NewServer(engine)
 			Reset(s.Close)
 			target := hookhall.Target{ID: "e", Address: strings.TrimPrefix(s.URL, "http://"), Streams: true}
@@ -91,7 +91,7 @@
 			Convey("does not send an empty or keyed call twice when a reused connection breaks", func() {
 				_, err := b.Call(context.Background(), target, stageCall("first"), ignore)
 				So(err, ShouldBeNil)
-				engine.SetFaults(standin.TargetFaults{Lose: 1})
+				engine.SetFaults(standin.TargetFaults{LoseAnswer: 1})
 				for _, input := range []string{"", "second"} {
 					_, err = b.Call(context.Background(), target, stageCall(input), ignore)
 					So(hookhall.AsError(err).Verdict, ShouldEqual, hookhall.MayHaveRun)
--- a/contract_instances_test.go
+++ b/contract_instances_test.go
@@ -43,7 +43,7 @@
 			So(all, ShouldHaveLength, 1)
 		})
 		Convey("is unavailable during an outage, when its server has stopped, and when the answer is no list", func() {
-			So(standin.Control("PUT", address, "/standin/faults", map[string]bool{"down": true}), ShouldBeNil)
+			So(standin.SendControl("PUT", address, "/standin/faults", map[string]bool{"down": true}), ShouldBeNil)
 			_, err := c.List(context.Background())
 			So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
 			s.Close()
@@ -61,11 +61,11 @@
 				So(err, ShouldBeNil)
 				So(all, ShouldHaveLength, 1)
 			}
-			bytesBefore := c.Bytes()
+			bytesBefore := c.BytesRead()
 			So(bytesBefore, ShouldBeGreaterThan, 0)
 			_, err := c.List(context.Background())
 			So(err, ShouldBeNil)
-			So(c.Bytes(), ShouldEqual, bytesBefore)
+			So(c.BytesRead(), ShouldEqual, bytesBefore)
 		})
 		Convey("lags behind changes", func() {
 			lagging := standin.NewInstances(time.Hour)
--- a/contract_keyvalue_test.go
+++ b/contract_keyvalue_test.go
@@ -46,7 +46,7 @@
 			Convey("returns a zero entry for a key that was never written", func() {
 				e, err := kv.Get(ctx, "new")
 				So(err, ShouldBeNil)
-				So(e, ShouldResemble, hookhall.Entry{})
+				So(e, ShouldResemble, hookhall.KeyValueEntry{})
 			})
 			Convey("writes only if the index is still the one given", func() {
 				So(put("k", "one", 0), ShouldBeTrue)
@@ -68,14 +68,14 @@
 				unchanged, err := kv.Watch(ctx, "w", e.Index, 20*time.Millisecond)
 				So(err, ShouldBeNil)
 				So(unchanged.Index, ShouldEqual, e.Index)
-				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "w", e.Index, time.Minute) })
+				watch := watchAsync(func() (hookhall.KeyValueEntry, error) { return kv.Watch(ctx, "w", e.Index, time.Minute) })
 				So(put("w", "two", e.Index), ShouldBeTrue)
 				r := <-watch
 				So(r.err, ShouldBeNil)
 				So(string(r.entry.Value), ShouldEqual, "two")
 			})
 			Convey("returns from a watch of a missing key when the key is created", func() {
-				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "none", 0, time.Minute) })
+				watch := watchAsync(func() (hookhall.KeyValueEntry, error) { return kv.Watch(ctx, "none", 0, time.Minute) })
 				So(put("none", "now", 0), ShouldBeTrue)
 				r := <-watch
 				So(r.err, ShouldBeNil)
@@ -90,8 +90,8 @@
 				So(e.Index, ShouldEqual, 0)
 			})
 			Convey("accepts values of up to a megabyte", func() {
-				So(put("big", strings.Repeat("x", keyvalue.MaxValue), 0), ShouldBeTrue)
-				_, err := kv.CompareAndSwap(ctx, "bigger", []byte(strings.Repeat("x", keyvalue.MaxValue+1)), 0)
+				So(put("big", strings.Repeat("x", keyvalue.MaxValueBytes), 0), ShouldBeTrue)
+				_, err := kv.CompareAndSwap(ctx, "bigger", []byte(strings.Repeat("x", keyvalue.MaxValueBytes+1)), 0)
 				So(err, ShouldNotBeNil)
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeFalse)
 			})
@@ -109,12 +109,12 @@
 				So(put("o", "one", 0), ShouldBeTrue)
 				e, err := kv.Get(ctx, "o")
 				So(err, ShouldBeNil)
-				watch := watchAsync(func() (hookhall.Entry, error) { return kv.Watch(ctx, "o", e.Index, time.Minute) })
+				watch := watchAsync(func() (hookhall.KeyValueEntry, error) { return kv.Watch(ctx, "o", e.Index, time.Minute) })
 				setFaults(standin.KeyValueFaults{Down: true})
 				So(errors.Is((<-watch).err, hookhall.ErrUnavailable), ShouldBeTrue)
 			})
 			Convey("returns ErrUnavailable for a write whose answer is lost, which may have taken effect", func() {
-				setFaults(standin.KeyValueFaults{LoseWrites: 1})
+				setFaults(standin.KeyValueFaults{LoseWriteAnswers: 1})
 				ok, err := kv.CompareAndSwap(ctx, "lost", []byte("there"), 0)
 				So(ok, ShouldBeFalse)
 				So(errors.Is(err, hookhall.ErrUnavailable), ShouldBeTrue)
@@ -135,12 +135,12 @@
 
 // watchResult is what a watch returned.
 type watchResult struct {
-	entry hookhall.Entry
+	entry hookhall.KeyValueEntry
 	err   error
 }
 
 // watchAsync runs a watch concurrently with the test and returns a channel for its result.
-func watchAsync(watch func() (hookhall.Entry, error)) <-chan watchResult {
+func watchAsync(watch func() (hookhall.KeyValueEntry, error)) <-chan watchResult {
 	c := make(chan watchResult, 1)
 	go func() {
 		e, err := watch()
--- a/contract_peer_test.go
+++ b/contract_peer_test.go
@@ -21,7 +21,7 @@
 type echo struct{}
 
 func (echo) HandleProbe(_ context.Context, p hookhall.Probe) hookhall.ProbeReply {
-	return hookhall.ProbeReply{ID: p.From, Epoch: p.Epoch, TableVersion: p.TableVersion, View: p.View, Leaving: p.Leaving}
+	return hookhall.ProbeReply{ID: p.From, Epoch: p.Epoch, TableVersion: p.TableVersion, View: p.View, LeavingTargets: p.LeavingTargets}
 }
 func (echo) HandleProbeFor(_ context.Context, address string) bool { return address == "reached" }
 func (echo) HandleClaim(_ context.Context, q hookhall.ClaimRequest) hookhall.ClaimReply {
@@ -35,13 +35,13 @@
 	return hookhall.CopyReply{Stored: s.State == hookhall.StateUnknown && string(s.Answer) == "y", Epoch: s.Epoch}
 }
 func (echo) HandleFetch(f hookhall.FetchRequest) hookhall.FetchReply {
-	return hookhall.FetchReply{Epoch: f.Epoch, Slots: []hookhall.SlotRecords{{Slot: f.Slots[0], Through: 3, Layers: []uint64{5},
+	return hookhall.FetchReply{Epoch: f.Epoch, Slots: []hookhall.SlotRecords{{Slot: f.Slots[0], CompleteThrough: 3, CompleteEpochs: []uint64{5},
 		Records: []hookhall.Record{{Key: "k", Sequence: 2}}}}}
 }
-func (echo) HandleWhole(epoch uint64) bool { return epoch == 4 }
-func (echo) HandleTake(t hookhall.TakeRequest) hookhall.TakeReply {
-	w := t.Wants[0]
-	return hookhall.TakeReply{Epoch: t.Epoch, Leases: []hookhall.ShareLease{{Account: w.Account, Rate: w.Rate, Concurrency: w.Concurrency + w.Held, Limited: true, RetryAfter: time.Second}}}
+func (echo) HandleIsComplete(epoch uint64) bool { return epoch == 4 }
+func (echo) HandleLeaseShares(t hookhall.ShareRequest) hookhall.ShareReply {
+	w := t.Demands[0]
+	return hookhall.ShareReply{Epoch: t.Epoch, Leases: []hookhall.ShareLease{{Account: w.Account, Rate: w.Rate, Concurrency: w.Concurrency + w.Held, Limited: true, RetryAfter: time.Second}}}
 }
 func (echo) HandleTable(have uint64) hookhall.TableDocument {
 	return hookhall.TableDocument{Version: have + 1, Root: []byte("r"), Chunks: [][]byte{[]byte("c")}}
@@ -53,7 +53,7 @@
 	Convey("A peer over gRPC returns the complete reply of its handler", t, func() {
 		const secret = "the-secret"
 		s := peers.NewServer(echo{}, secret, log.New(io.Discard))
-		server := grpc.NewServer(grpc.UnaryInterceptor(s.Check))
+		server := grpc.NewServer(grpc.UnaryInterceptor(s.Authenticate))
 		s.Register(server)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
@@ -65,9 +65,9 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		Reset(cancel)
 
-		probe, err := p.Probe(ctx, hookhall.Probe{From: "a", Epoch: 2, TableVersion: 3, View: []byte("v"), Leaving: []string{"t"}})
+		probe, err := p.Probe(ctx, hookhall.Probe{From: "a", Epoch: 2, TableVersion: 3, View: []byte("v"), LeavingTargets: []string{"t"}})
 		So(err, ShouldBeNil)
-		So(probe, ShouldResemble, hookhall.ProbeReply{ID: "a", Epoch: 2, TableVersion: 3, View: []byte("v"), Leaving: []string{"t"}})
+		So(probe, ShouldResemble, hookhall.ProbeReply{ID: "a", Epoch: 2, TableVersion: 3, View: []byte("v"), LeavingTargets: []string{"t"}})
 		reached, err := p.ProbeFor(ctx, "reached")
 		So(err, ShouldBeNil)
 		So(reached, ShouldBeTrue)
@@ -85,12 +85,12 @@
 		fetched, err := p.Fetch(ctx, hookhall.FetchRequest{Epoch: 6, Slots: []uint32{11}})
 		So(err, ShouldBeNil)
 		So(fetched.Slots[0].Slot, ShouldEqual, 11)
-		So(fetched.Slots[0].Layers, ShouldResemble, []uint64{5})
+		So(fetched.Slots[0].CompleteEpochs, ShouldResemble, []uint64{5})
 		So(fetched.Slots[0].Records[0].Sequence, ShouldEqual, 2)
-		complete, err := p.Whole(ctx, 4)
+		complete, err := p.IsComplete(ctx, 4)
 		So(err, ShouldBeNil)
 		So(complete, ShouldBeTrue)
-		lease, err := p.Take(ctx, hookhall.TakeRequest{From: "a", Wants: []hookhall.Want{{Account: "acme", Rate: 3, Held: 1, Concurrency: 2}}})
+		lease, err := p.LeaseShares(ctx, hookhall.ShareRequest{From: "a", Demands: []hookhall.ShareDemand{{Account: "acme", Rate: 3, Held: 1, Concurrency: 2}}})
 		So(err, ShouldBeNil)
 		So(lease.Leases[0], ShouldResemble, hookhall.ShareLease{Account: "acme", Rate: 3, Concurrency: 3, Limited: true, RetryAfter: time.Second})
 		table, err := p.Table(ctx, 3)
@@ -99,7 +99,7 @@
 
 		Convey("and fails at once when no process listens", func() {
 			server.Stop()
-			_, err := p.Whole(ctx, 4)
+			_, err := p.IsComplete(ctx, 4)
 			So(err, ShouldNotBeNil)
 			So(ctx.Err(), ShouldBeNil)
 		})
--- a/forward.go
+++ b/forward.go
@@ -28,19 +28,19 @@
 	ID string
 	// Credential is the client's key, "" if there is none.
 	Credential string
-	// Wait is how long the client waits for the answer; 0 when the call doesn't specify it.
-	Wait time.Duration
+	// ClientTimeout is how long the client waits for the answer; 0 when the call doesn't specify it.
+	ClientTimeout time.Duration
 	// Prompt lists the parts of the prompt in order. The last one is the request's own;
 	// requests may share the others.
 	Prompt []PromptPart
-	// TokensOut is the maximum number of output tokens.
-	TokensOut int
-	// Pieces is the number of pieces per stage, indexed by stage; 0 skips the stage.
-	Pieces []int
+	// MaxOutputTokens is the maximum number of output tokens.
+	MaxOutputTokens int
+	// PieceCounts is the number of pieces per stage, indexed by stage; 0 skips the stage.
+	PieceCounts []int
 	// PieceKey is passed to the stages that read no results of other stages.
 	PieceKey string
-	// LastEvent is the ID of the last event that the client received.
-	LastEvent string
+	// LastEventID is the ID of the last event that the client received.
+	LastEventID string
 }
 
 // PromptPart is a part of a prompt, identified by its content.
@@ -51,18 +51,18 @@
 
 // Attempt is what a gateway adds to a call when it sends the call to a target.
 type Attempt struct {
-	Target  Target
-	Account string        // name of the client account, "" if there is none
-	Left    time.Duration // until the deadline of the call
-	Urgency int           // priority from 0, the most urgent, to 9
-	Inputs  []string      // handles of the results that the target reads
-	// Once is set for a call that may run only once. It is sent on a new connection.
+	Target    Target
+	Account   string        // name of the client account, "" if there is none
+	Remaining time.Duration // until the deadline of the call
+	Urgency   int           // priority from 0, the most urgent, to 9
+	Inputs    []string      // handles of the results that the target reads
+	// AtMostOnce is set for a call that may run only once. It is sent on a new connection.
 	// A kept one may be dead without a sign, and what was written to it may have run,
 	// while a connection that can't be opened proves that nothing ran.
-	Once bool
-	// After is the ID of the last event that the client received, to resume a
+	AtMostOnce bool
+	// ResumeAfter is the ID of the last event that the client received, to resume a
 	// stream there; "" starts the stream from its beginning.
-	After string
+	ResumeAfter string
 }
 
 // ReplyInfo is what a gateway needs to know about a target's answer. A Dialect
@@ -76,8 +76,8 @@
 	NotRun bool
 	// Misdirected is set when a target other than the addressed one answered.
 	Misdirected bool
-	// InputGone is set when the target could not get a result that it had to read.
-	InputGone bool
+	// InputMissing is set when the target could not get a result that it had to read.
+	InputMissing bool
 	// Load is the target's load report, zero if the answer has none.
 	Load LoadReport
 	// Advisory is what the target announces about further requests.
@@ -105,12 +105,12 @@
 	// field is forwarded even when Connection names it, so that no client can have
 	// one removed from its request on the way.
 	EndToEnd(name string) bool
-	// Outgoing returns the header of one attempt; it doesn't modify the header of c.
-	Outgoing(c *Call, a Attempt) http.Header
+	// OutgoingHeader returns the header of one attempt; it doesn't modify the header of c.
+	OutgoingHeader(c *Call, a Attempt) http.Header
 	// ReadReply reads the ReplyInfo of a target's answer.
 	ReadReply(status int, h http.Header) ReplyInfo
-	// Refusal adds to the header of a refusal after which time the client may retry.
-	Refusal(h http.Header, after time.Duration)
+	// SetRetryAfter adds to the header of a refusal after which time the client may retry.
+	SetRetryAfter(h http.Header, after time.Duration)
 }
 
 // AnswerWriter writes the answer to a call.
@@ -121,8 +121,8 @@
 	Chunk(b []byte) error
 }
 
-// ErrCut is returned for an answer that had begun and can't be completed.
-var ErrCut = errors.New("the answer was cut")
+// ErrTruncated is returned for an answer that had begun and can't be completed.
+var ErrTruncated = errors.New("the answer was cut")
 
 // Sender forwards calls to targets.
 type Sender interface {
@@ -134,12 +134,12 @@
 
 // Piece is one item of a stage call.
 type Piece struct {
-	Call   string        // ID of the request
-	Stage  int           // number of the stage, from 0
-	Index  int           // of the piece within the stage of the request
-	Key    string        // for stages without inputs
-	Inputs []string      // handles, for stages with inputs
-	Left   time.Duration // until the deadline of the piece
+	Call      string        // ID of the request
+	Stage     int           // number of the stage, from 0
+	Index     int           // of the piece within the stage of the request
+	Key       string        // for stages without inputs
+	Inputs    []string      // handles, for stages with inputs
+	Remaining time.Duration // until the deadline of the piece
 }
 
 // PieceFailure is the reason why a piece was not made.
@@ -148,10 +148,10 @@
 // The reasons why a piece was not made. Targets send the values of all but
 // PieceNoTarget and PieceCrashes.
 const (
-	PieceLate   PieceFailure = "late"  // the deadline of the piece passed
-	PieceGone   PieceFailure = "gone"  // an input no longer exists
-	PieceNoRoom PieceFailure = "room"  // the target has no memory for the result
-	PieceError  PieceFailure = "error" // making the piece failed
+	PieceExpired   PieceFailure = "late"  // the deadline of the piece passed
+	PieceInputGone PieceFailure = "gone"  // an input no longer exists
+	PieceNoMemory  PieceFailure = "room"  // the target has no memory for the result
+	PieceError     PieceFailure = "error" // making the piece failed
 	// PieceNoTarget is set by the broker: no target may make the piece.
 	PieceNoTarget PieceFailure = "no target"
 	// PieceCrashes is set by the broker: targets crashed while they made pieces of the
@@ -171,6 +171,6 @@
 	Make(ctx context.Context, t Target, pieces []Piece) ([]PieceResult, error)
 	// Free releases results that are held by the target at address.
 	Free(ctx context.Context, address string, handles []string) error
-	// Maker returns the address of the target that made and holds a result.
-	Maker(handle string) string
+	// Holder returns the address of the target that made and holds a result.
+	Holder(handle string) string
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -10,9 +10,9 @@
 	"github.com/pkg/errors"
 )
 
-// Entry is a value of the key-value service with its modification index.
+// KeyValueEntry is a value of the key-value service with its modification index.
 // Index 0 means that the key does not exist.
-type Entry struct {
+type KeyValueEntry struct {
 	Value []byte
 	Index uint64
 }
@@ -24,7 +24,7 @@
 // KeyValue is the platform's key-value service.
 type KeyValue interface {
 	// Get reads a key. A missing key is Entry{} without an error.
-	Get(ctx context.Context, key string) (Entry, error)
+	Get(ctx context.Context, key string) (KeyValueEntry, error)
 	// CompareAndSwap writes value if the key still has the index (0: the key must
 	// not exist), and reports whether it did. After an error it is not known
 	// whether the value was written.
@@ -33,7 +33,7 @@
 	Delete(ctx context.Context, key string) error
 	// Watch blocks until the key's index differs from index or wait has passed,
 	// and returns the value and index at that time.
-	Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Entry, error)
+	Watch(ctx context.Context, key string, index uint64, wait time.Duration) (KeyValueEntry, error)
 }
 
 // InstanceList is the platform's list of live and leaving instances. It lags
@@ -75,10 +75,10 @@
 	Settle(ctx context.Context, s Settlement) (CopyReply, error)
 	// Fetch reads the peer's records of slots.
 	Fetch(ctx context.Context, f FetchRequest) (FetchReply, error)
-	// Whole reports whether the peer has reached epoch and has all records of its slots.
-	Whole(ctx context.Context, epoch uint64) (bool, error)
-	// Take leases shares of accounts' limits from the peer, their owner.
-	Take(ctx context.Context, t TakeRequest) (TakeReply, error)
+	// IsComplete reports whether the peer has reached epoch and has all records of its slots.
+	IsComplete(ctx context.Context, epoch uint64) (bool, error)
+	// LeaseShares leases shares of accounts' limits from the peer, their owner.
+	LeaseShares(ctx context.Context, t ShareRequest) (ShareReply, error)
 	// Table reads the peer's current table. have is the caller's version: the document
 	// has only chunks that are newer, and neither root nor chunks if the peer's table is not.
 	Table(ctx context.Context, have uint64) (TableDocument, error)
--- a/internal/app/admin/admin.go
+++ b/internal/app/admin/admin.go
@@ -53,14 +53,14 @@
 	}
 	logger := logging.New(logTo, config.Log.Level, logging.Admin)
 	editor := tables.NewEditor(a.kv, a.clients, logger)
-	tableHandlers := operators.NewTables(editor, time.Duration(config.Admin.AcceptMS)*time.Millisecond)
+	tableHandlers := operators.NewTableHandler(editor, time.Duration(config.Admin.AcceptMS)*time.Millisecond)
 	httpServer := khttp.NewServer(khttp.Listener(a.listener), khttp.Timeout(0))
 	token := config.Admin.OperatorToken
 	httpServer.HandleFunc(callers.PathHealth, callers.Health)
-	httpServer.HandleFunc(operators.PathTable, operators.Guard(token, tableHandlers.Get))
-	httpServer.HandleFunc(operators.PathEdits, operators.Guard(token, tableHandlers.Edit))
-	httpServer.HandleFunc(operators.PathStatus, operators.Guard(token, operators.JSON(func(r *http.Request) any { return a.Status(r.Context()) })))
-	httpServer.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return a.State() })))
+	httpServer.HandleFunc(operators.PathTable, operators.RequireToken(token, tableHandlers.Get))
+	httpServer.HandleFunc(operators.PathEdits, operators.RequireToken(token, tableHandlers.Edit))
+	httpServer.HandleFunc(operators.PathStatus, operators.RequireToken(token, operators.JSON(func(r *http.Request) any { return a.Status(r.Context()) })))
+	httpServer.HandleFunc(operators.PathState, operators.RequireToken(token, operators.JSON(func(*http.Request) any { return a.State() })))
 	a.app = kratos.New(kratos.Name("hookhall-admin"), kratos.Server(httpServer), kratos.Logger(logging.Bridge(logger)))
 	logger.Info("Listening.", "operators", a.Address())
 	return a, nil
@@ -94,11 +94,11 @@
 // table version is the newest that a member reported. Error is set, and all
 // else empty, if the view can't be read.
 type Status struct {
-	Epoch    uint64            `json:"epoch"`
-	Version  uint64            `json:"table_version"`
-	Members  []MemberStatus    `json:"members"`
-	Unfenced []hookhall.Member `json:"unfenced,omitempty"`
-	Error    string            `json:"error,omitempty"`
+	Epoch        uint64            `json:"epoch"`
+	TableVersion uint64            `json:"table_version"`
+	Members      []MemberStatus    `json:"members"`
+	Unfenced     []hookhall.Member `json:"unfenced,omitempty"`
+	Error        string            `json:"error,omitempty"`
 }
 
 // MemberStatus describes one member of the view. Epoch and TableVersion are those
@@ -133,7 +133,7 @@
 	wg.Wait()
 	sort.Slice(status.Members, func(i, j int) bool { return status.Members[i].ID < status.Members[j].ID })
 	for _, m := range status.Members {
-		status.Version = max(status.Version, m.TableVersion)
+		status.TableVersion = max(status.TableVersion, m.TableVersion)
 	}
 	return status
 }
--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -88,7 +88,7 @@
 	instanceList *instances.Client
 	clients      *peers.Clients
 	store        *claim.Store
-	tables       *tables.Keeper
+	tables       *tables.Follower
 	fleet        *fleet.Fleet
 	claims       *claims.Claims
 	limits       *limits.Limits
@@ -149,17 +149,17 @@
 	e.instanceList = instances.New(config.Platform.Instances)
 	e.clients = peers.NewClients(config.Fleet.Secret)
 	e.store = claim.New(self.ID, config.Fleet.Retention())
-	e.tables = tables.NewKeeper(e.kv, e.logger(logging.Table))
-	e.fleet = fleet.New(fleet.Parts{
-		Self: self, KV: e.kv, List: e.instanceList, Peers: e.clients,
+	e.tables = tables.NewFollower(e.kv, e.logger(logging.Table))
+	e.fleet = fleet.New(fleet.Config{
+		Self: self, KV: e.kv, InstanceList: e.instanceList, Peers: e.clients,
 		Store: e.store, Tables: e.tables, Log: e.logger(logging.Fleet),
-		Timing: fleet.Timing{Heartbeat: config.Fleet.Heartbeat(), Suspect: config.Fleet.Suspect, List: config.Fleet.List()},
+		Timing: fleet.Timing{HeartbeatInterval: config.Fleet.HeartbeatInterval(), SuspectThreshold: config.Fleet.Suspect, ListInterval: config.Fleet.ListInterval()},
 	})
 	e.claims = claims.New(e.store, e.fleet, e.clients, e.logger(logging.Claims))
 	e.limits = limits.New(e.fleet, e.tables, e.clients)
 	backends := backend.New()
 	e.targets = targets.New(e.fleet, e.tables, backends, targetPolicy(config.Policy), e.logger(logging.Targets))
-	e.runner = pipeline.New(pipeline.Parts{
+	e.runner = pipeline.New(pipeline.Dependencies{
 		Tables: e.tables, Targets: e.targets, Claims: e.claims, Limits: e.limits, Backend: backends, Meter: e.metrics,
 		Policy: pipeline.Policy{NoEarlyRefusal: !config.Policy.EarlyRefusal, NoClaims: !config.Policy.Claims},
 	})
@@ -168,7 +168,7 @@
 }
 
 // targetPolicy returns the settings of the targets that experiments may change.
-func targetPolicy(part settings.PolicyPart) targets.Policy {
+func targetPolicy(part settings.PolicySection) targets.Policy {
 	policy := targets.Policy{NoWindow: !part.Window, NoPrefix: !part.Prefix}
 	if part.Order == "arrival" {
 		policy.Order = admission.OrderArrival
@@ -191,13 +191,13 @@
 	httpServer.HandleFunc(callers.PathReady, handler.Ready)
 	httpServer.HandleFunc(callers.PathHealth, callers.Health)
 	token := e.settings.Entry.OperatorToken
-	httpServer.HandleFunc(operators.PathState, operators.Guard(token, operators.JSON(func(*http.Request) any { return e.State() })))
-	httpServer.HandleFunc(operators.PathExplain, operators.Guard(token, operators.JSON(func(r *http.Request) any {
+	httpServer.HandleFunc(operators.PathState, operators.RequireToken(token, operators.JSON(func(*http.Request) any { return e.State() })))
+	httpServer.HandleFunc(operators.PathExplain, operators.RequireToken(token, operators.JSON(func(r *http.Request) any {
 		return e.Explain(r.URL.Query().Get("account"))
 	})))
-	httpServer.HandleFunc(operators.PathMetrics, operators.Guard(token, e.metrics.Handler().ServeHTTP))
+	httpServer.HandleFunc(operators.PathMetrics, operators.RequireToken(token, e.metrics.Handler().ServeHTTP))
 	grpcServer := kgrpc.NewServer(kgrpc.Listener(e.peersListener), kgrpc.Timeout(0),
-		kgrpc.UnaryInterceptor(e.peers.Check), kgrpc.Options(grpc.MaxRecvMsgSize(peers.MaxMessage)))
+		kgrpc.UnaryInterceptor(e.peers.Authenticate), kgrpc.Options(grpc.MaxRecvMsgSize(peers.MaxMessageBytes)))
 	e.peers.Register(grpcServer)
 	return kratos.New(
 		kratos.Name("hookhall-entry"), kratos.Server(httpServer, grpcServer),
@@ -213,11 +213,11 @@
 	return time.Duration(e.settings.Stop.GraceMS) * time.Millisecond
 }
 
-// Callers returns the IP:port at which the entry listens for callers.
-func (e *Entry) Callers() string { return e.callersListener.Addr().String() }
+// CallersAddress returns the IP:port at which the entry listens for callers.
+func (e *Entry) CallersAddress() string { return e.callersListener.Addr().String() }
 
-// Peers returns the IP:port at which the entry listens for its peers.
-func (e *Entry) Peers() string { return e.peersListener.Addr().String() }
+// PeersAddress returns the IP:port at which the entry listens for its peers.
+func (e *Entry) PeersAddress() string { return e.peersListener.Addr().String() }
 
 // Run serves until ctx ends, then carries out the planned stop, which the end of
 // force cuts short. It returns an error if the servers fail.
@@ -233,7 +233,7 @@
 	}
 	served := make(chan error, 1)
 	go func() { served <- e.app.Run() }()
-	e.log.Info("Listening.", "callers", e.Callers(), "peers", e.Peers(), "member", e.fleet.Self().ID)
+	e.log.Info("Listening.", "callers", e.CallersAddress(), "peers", e.PeersAddress(), "member", e.fleet.Self().ID)
 	e.start(ctx)
 	var err error
 	select {
@@ -267,13 +267,13 @@
 	if err := e.fleet.Join(ctx); err != nil {
 		e.log.Warn("could not join the fleet yet; serving without owning claims or limits", "error", err.Error())
 	}
-	for e.fleet.View().Epoch == 0 || e.fleet.Listed() == nil {
+	for e.fleet.View().Epoch == 0 || e.fleet.LatestListing() == nil {
 		e.learnFromPeers(ctx)
 		if !retry.Sleep(ctx, readyPollInterval) {
 			return
 		}
 	}
-	e.fleet.CatchUp(ctx)
+	e.fleet.FetchNewestTable(ctx)
 	e.awaitPools(ctx)
 	e.ready.Store(true)
 	e.log.Info("Ready.", "table", e.tables.Version(), "epoch", e.fleet.View().Epoch)
@@ -314,7 +314,7 @@
 // learnFromPeers probes all entries on the instance list, from which the fleet
 // learns the view, and confirms the table by their answers if it is not confirmed yet.
 func (e *Entry) learnFromPeers(ctx context.Context) {
-	listing := e.fleet.Listed()
+	listing := e.fleet.LatestListing()
 	if listing == nil {
 		return
 	}
@@ -335,7 +335,7 @@
 // notice and grace periods are over or force ends.
 func (e *Entry) stop(force context.Context) {
 	e.draining.Store(true)
-	e.log.Info("Stopping.", "active", e.runner.Active())
+	e.log.Info("Stopping.", "active", e.runner.ActiveRequests())
 	notice := time.Duration(e.settings.Stop.NoticeMS) * time.Millisecond
 	ctx, cancel := context.WithTimeout(force, notice+e.gracePeriod())
 	defer cancel()
@@ -348,14 +348,14 @@
 	}()
 	retry.Sleep(ctx, notice)
 	e.refusing.Store(true)
-	e.drain.Close()
-	for e.runner.Active() > 0 && retry.Sleep(ctx, readyPollInterval) {
+	e.drain.DisableKeepAlives()
+	for e.runner.ActiveRequests() > 0 && retry.Sleep(ctx, readyPollInterval) {
 	}
 	// A request may have been read without being active yet. If its connection were
 	// closed now, its caller would send it again while the first copy still runs, so
 	// that the two would collide.
-	e.drain.Finish(ctx)
-	if active := e.runner.Active(); active > 0 {
+	e.drain.RefuseAndWait(ctx)
+	if active := e.runner.ActiveRequests(); active > 0 {
 		e.log.Error("requests cut off", "active", active)
 	}
 	<-handedOver
@@ -373,6 +373,6 @@
 		for _, m := range append(view.Members, view.Unfenced...) {
 			isCurrent[m.Address] = true
 		}
-		e.clients.Keep(func(address string) bool { return isCurrent[address] })
+		e.clients.CloseUnused(func(address string) bool { return isCurrent[address] })
 	}
 }
--- a/internal/app/entry/handlers.go
+++ b/internal/app/entry/handlers.go
@@ -69,13 +69,15 @@
 	return h.e.fleet.HandleFetch(q)
 }
 
-// HandleWhole implements peers.Handler.
-func (h peerHandler) HandleWhole(epoch uint64) bool { return h.e.store.Whole(epoch) }
+// HandleIsComplete implements peers.Handler.
+func (h peerHandler) HandleIsComplete(epoch uint64) bool { return h.e.store.IsComplete(epoch) }
 
-// HandleTake implements peers.Handler.
-func (h peerHandler) HandleTake(q hookhall.TakeRequest) hookhall.TakeReply {
-	return h.e.limits.Handle(q)
+// HandleLeaseShares implements peers.Handler.
+func (h peerHandler) HandleLeaseShares(q hookhall.ShareRequest) hookhall.ShareReply {
+	return h.e.limits.GrantLeases(q)
 }
 
 // HandleTable implements peers.Handler.
-func (h peerHandler) HandleTable(have uint64) hookhall.TableDocument { return h.e.tables.Serve(have) }
+func (h peerHandler) HandleTable(have uint64) hookhall.TableDocument {
+	return h.e.tables.DocumentSince(have)
+}
--- a/internal/app/entry/state.go
+++ b/internal/app/entry/state.go
@@ -20,23 +20,23 @@
 // State is the state dump of an entry. Members and Unfenced are those of the view in
 // force, whose number is Epoch.
 type State struct {
-	Member       hookhall.Member   `json:"member"`
-	UpSeconds    float64           `json:"up_s"`
-	Ready        bool              `json:"ready"`
-	Draining     bool              `json:"draining"`
-	Active       int64             `json:"active_requests"`
-	TableVersion uint64            `json:"table_version"`
-	TableSince   time.Time         `json:"table_since"`
-	TableReady   bool              `json:"table_confirmed"`
-	Epoch        uint64            `json:"epoch"`
-	Members      []hookhall.Member `json:"members"`
-	Unfenced     []hookhall.Member `json:"unfenced,omitempty"`
-	Claims       claim.Summary     `json:"claims"`
-	ClaimCounts  claims.Counts     `json:"claim_counts"`
-	OwnedLimits  int               `json:"owned_limits"`
-	Pools        []PoolState       `json:"pools"`
-	Estimates    []EstimateState   `json:"estimates"`
-	Cost         CostState         `json:"cost"`
+	Member         hookhall.Member   `json:"member"`
+	UpSeconds      float64           `json:"up_s"`
+	Ready          bool              `json:"ready"`
+	Draining       bool              `json:"draining"`
+	ActiveRequests int64             `json:"active_requests"`
+	TableVersion   uint64            `json:"table_version"`
+	TableSince     time.Time         `json:"table_since"`
+	TableConfirmed bool              `json:"table_confirmed"`
+	Epoch          uint64            `json:"epoch"`
+	Members        []hookhall.Member `json:"members"`
+	Unfenced       []hookhall.Member `json:"unfenced,omitempty"`
+	Claims         claim.Summary     `json:"claims"`
+	ClaimCounts    claims.Counts     `json:"claim_counts"`
+	OwnedLimits    int               `json:"owned_limits"`
+	Pools          []PoolState       `json:"pools"`
+	Estimates      []EstimateState   `json:"estimates"`
+	Cost           CostState         `json:"cost"`
 }
 
 // PoolState describes one pool: its admission gate and its targets.
@@ -81,14 +81,14 @@
 	runtime.ReadMemStats(&mem)
 	return State{
 		Member: e.fleet.Self(), UpSeconds: now.Sub(e.started).Seconds(),
-		Ready: callersService{e}.Ready(), Draining: e.draining.Load(), Active: e.runner.Active(),
-		TableVersion: inForce.Snapshot.Version, TableSince: inForce.Since, TableReady: e.tables.Ready(),
+		Ready: callersService{e}.Ready(), Draining: e.draining.Load(), ActiveRequests: e.runner.ActiveRequests(),
+		TableVersion: inForce.Snapshot.Version, TableSince: inForce.Since, TableConfirmed: e.tables.Ready(),
 		Epoch: view.Epoch, Members: view.Members, Unfenced: view.Unfenced,
-		Claims: e.store.Summary(), ClaimCounts: e.claims.Counts(), OwnedLimits: e.limits.Owned(),
+		Claims: e.store.Summary(), ClaimCounts: e.claims.Counts(), OwnedLimits: e.limits.OwnedAccounts(),
 		Pools: e.poolStates(now), Estimates: e.estimateStates(),
 		Cost: CostState{
-			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.Bytes(), ViewWrites: e.fleet.Writes(), PeerBytes: e.clients.Bytes(), ListBytes: e.instanceList.Bytes(),
-			PeerRefusals: e.peers.Refused(), HeapBytes: mem.HeapAlloc, Goroutines: runtime.NumGoroutine(),
+			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.BytesTransferred(), ViewWrites: e.fleet.ViewWrites(), PeerBytes: e.clients.TransferredBytes(), ListBytes: e.instanceList.BytesRead(),
+			PeerRefusals: e.peers.RefusedCalls(), HeapBytes: mem.HeapAlloc, Goroutines: runtime.NumGoroutine(),
 		},
 	}
 }
@@ -109,7 +109,7 @@
 func (e *Entry) estimateStates() []EstimateState {
 	var list []EstimateState
 	for key, estimate := range e.runner.Estimates().All() {
-		list = append(list, EstimateState{key.Pipeline, key.Stage, key.Size, milliseconds(estimate.Median), milliseconds(estimate.High)})
+		list = append(list, EstimateState{key.Pipeline, key.Stage, key.Size, milliseconds(estimate.Median), milliseconds(estimate.P90)})
 	}
 	sort.Slice(list, func(i, j int) bool {
 		a, b := list[i], list[j]
@@ -135,8 +135,8 @@
 	Known   bool              `json:"known"`
 	Row     *hookhall.Account `json:"row,omitempty"`
 	// Counts has this entry's totals by cause since its start.
-	Counts map[string]int64 `json:"counts"`
-	Last   *metrics.Refusal `json:"last_failure,omitempty"`
+	Counts      map[string]int64 `json:"counts"`
+	LastFailure *metrics.Failure `json:"last_failure,omitempty"`
 	// WaitMS has what a request of this account would wait now, with its weight and
 	// priority, in milliseconds by pool.
 	WaitMS map[string]float64 `json:"wait_ms"`
@@ -160,13 +160,13 @@
 	now := clock.Now()
 	account := e.tables.Current().Snapshot.Accounts[name]
 	stats := e.metrics.Account(name)
-	explanation := Explanation{Account: name, Known: account != nil, Row: account, Counts: stats.Counts(), Last: stats.Last(), WaitMS: map[string]float64{}}
+	explanation := Explanation{Account: name, Known: account != nil, Row: account, Counts: stats.Counts(), LastFailure: stats.LastFailure(), WaitMS: map[string]float64{}}
 	if account == nil {
 		explanation.Advice = []string{"the table in force has no such account"}
 		return explanation
 	}
 	for _, pool := range e.targets.Pools() {
-		explanation.WaitMS[pool.Name] = milliseconds(pool.Gate.Wait(account.Name, account.Weight, account.Priority, now))
+		explanation.WaitMS[pool.Name] = milliseconds(pool.Gate.EstimateWait(account.Name, account.Weight, account.Priority, now))
 	}
 	for cause, text := range adviceByCause {
 		if explanation.Counts[string(cause)] > 0 {
--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -32,11 +32,11 @@
 func (g *Gateway) refusedContents(now time.Time) []RefusedContent {
 	list := []RefusedContent{}
 	for digest, standing := range g.quarantine.Ledger.Refused() {
-		refused := RefusedContent{Content: digest.String(), AgeMS: now.Sub(standing.Since).Milliseconds(), Software: standing.Software}
-		for _, crash := range g.quarantine.Ledger.Of(digest) {
+		refused := RefusedContent{Content: digest.String(), AgeMS: now.Sub(standing.FirstReported).Milliseconds(), Software: standing.Software}
+		for _, crash := range g.quarantine.Ledger.ByContent(digest) {
 			if !crash.Cleared {
 				refused.Account = crash.Account
-				refused.Targets = append(refused.Targets, crash.Life.ID)
+				refused.Targets = append(refused.Targets, crash.Incarnation.ID)
 			}
 		}
 		list = append(list, refused)
@@ -61,7 +61,7 @@
 		return
 	}
 	copy(content[:], decoded)
-	if !g.quarantine.Lift(content) {
+	if !g.quarantine.Release(content) {
 		http.Error(w, "nothing is held against this content", http.StatusNotFound)
 	}
 }
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -95,12 +95,12 @@
 // Adapters has the implementations that connect a gateway to one platform. All are
 // required except Advisories.
 type Adapters struct {
-	Store    hookhall.Store
-	Platform hookhall.Platform
-	Rollouts hookhall.RolloutKeys
-	Dialect  hookhall.Dialect
-	Sender   hookhall.Sender
-	Pool     hookhall.StagePool
+	Store     hookhall.Store
+	Platform  hookhall.StoreSchema
+	Rollouts  hookhall.RolloutSchema
+	Dialect   hookhall.Dialect
+	Sender    hookhall.Sender
+	StagePool hookhall.StagePool
 	// Advisories reports the advisories in targets' answers; nil if the platform has
 	// none.
 	Advisories hookhall.AdvisorySource
@@ -114,7 +114,7 @@
 	settings  settings.Gateway
 	adapters  Adapters
 	log       *log.Logger
-	logWriter *logging.Async
+	logWriter *logging.AsyncWriter
 
 	metrics       *metrics.Metrics
 	eras          *eras.Store
@@ -123,10 +123,10 @@
 	members       *members.Members
 	clients       *fleet.Clients
 	broadcaster   *fleet.Broadcaster
-	starter       *fleet.Starter
+	starter       *fleet.Bootstrapper
 	tracker       *balance.Tracker
 	broker        *stages.Broker
-	placer        *placement.Placer
+	placer        *placement.Owner
 	quarantine    *quarantine.Quarantine
 	advisories    *advisories.Advisories
 	rollouts      *rollouts.Rollouts
@@ -148,7 +148,7 @@
 // names the setting if an address can't be opened. It sets the memory limit of the
 // whole process, and log lines go to logTo without ever blocking the gateway.
 func New(config settings.Gateway, adapters Adapters, logTo io.Writer) (*Gateway, error) {
-	g := &Gateway{settings: config, adapters: adapters, logWriter: logging.NewAsync(logTo), metrics: metrics.New()}
+	g := &Gateway{settings: config, adapters: adapters, logWriter: logging.NewAsyncWriter(logTo), metrics: metrics.New()}
 	g.log = g.logger(logging.App)
 	debug.SetMemoryLimit(int64(memoryLimitShare * float64(config.Gateway.MemoryMB) * (1 << 20)))
 	if err := g.listen(); err != nil {
@@ -184,7 +184,7 @@
 // build constructs the components and connects them. The addresses must be open.
 func (g *Gateway) build() {
 	config := g.settings
-	self := hookhall.Member{ID: config.Gateway.Instance, Instance: config.Gateway.Instance, Hall: config.Gateway.Hall, Address: g.peersListener.Addr().String(), Power: config.Gateway.Power()}
+	self := hookhall.Member{ID: config.Gateway.Instance, Instance: config.Gateway.Instance, Hall: config.Gateway.Hall, Address: g.peersListener.Addr().String(), RelativeCapacity: config.Gateway.Power()}
 	g.eras = eras.New(g.adapters.Store, g.metrics, g.logger(logging.Catalog))
 	g.storeGate = outage.NewGate(g.eras)
 	g.storeGate.Pace = g.outagePace
@@ -193,42 +193,42 @@
 	g.clients = fleet.NewClients(g.logger(logging.Members))
 	g.quarantine = quarantine.New(g.adapters.Connections, g.catalog, g.storeGate, g.logger(logging.Crashes))
 	g.rollouts = &rollouts.Rollouts{
-		Keys: g.adapters.Rollouts, Store: g.storeGate, Fleet: g.members, Directory: g.catalog, Share: config.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
+		Keys: g.adapters.Rollouts, Store: g.storeGate, Fleet: g.members, Directory: g.catalog, MaxCanaryShare: config.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
 		Remote: func(address string) rollouts.Remote { return g.clients.Client(address) },
 	}
-	g.catalog.Orders = g.rollouts.Read
-	g.broadcaster = &fleet.Broadcaster{Peers: g.members, Clients: g.clients, Catalog: g.catalog, Ends: g.quarantine, Rollouts: g.rollouts}
-	g.starter = &fleet.Starter{Clients: g.clients, Catalog: g.catalog, Members: g.members, Ends: g.quarantine, Log: g.logger(logging.Catalog), Began: clock.Now()}
-	g.quarantine.Leads = func() bool { return g.catalog.Rank() == 0 }
+	g.catalog.ApplyOperatorKeys = g.rollouts.Read
+	g.broadcaster = &fleet.Broadcaster{Peers: g.members, Clients: g.clients, Catalog: g.catalog, Crashes: g.quarantine, Rollouts: g.rollouts}
+	g.starter = &fleet.Bootstrapper{Clients: g.clients, Catalog: g.catalog, Members: g.members, Crashes: g.quarantine, Log: g.logger(logging.Catalog), StartedAt: clock.Now()}
+	g.quarantine.IsStoreWriter = func() bool { return g.catalog.ReaderRank() == 0 }
 	g.quarantine.Era = g.eras.Era
-	g.quarantine.Tell = g.broadcaster.Report
+	g.quarantine.Broadcast = g.broadcaster.ReportCrashes
 	g.quarantine.Meter = g.metrics
-	g.broadcaster.Start = g.starter
-	g.broadcaster.Heard = g.storeGate.Heard
-	g.catalog.Read = g.broadcaster.Broadcast
-	g.catalog.Rank = g.readerRank
-	g.catalog.Fleet = g.members.Count
-	g.adapters.Connections.Resting = g.maxIdleConnections
-	g.catalog.Reborn = func(before, after hookhall.Target) {
-		g.adapters.Connections.Forget(before.Address)
-		g.advisories.Book.Reborn(before.Life(), after.Life(), clock.Now())
+	g.broadcaster.Bootstrapper = g.starter
+	g.broadcaster.OnUpdate = g.storeGate.ReportAnswered
+	g.catalog.OnStoreRead = g.broadcaster.Broadcast
+	g.catalog.ReaderRank = g.readerRank
+	g.catalog.GatewayCount = g.members.Count
+	g.adapters.Connections.MaxIdle = g.maxIdleConnections
+	g.catalog.OnRestart = func(before, after hookhall.Target) {
+		g.adapters.Connections.CloseIdle(before.Address)
+		g.advisories.Book.TransferPause(before.Incarnation(), after.Incarnation(), clock.Now())
 	}
-	g.members.Leads = func() bool { return g.catalog.Rank() < 2 }
-	g.advisories = &advisories.Advisories{Book: &advisory.Book{}, Meter: g.metrics, Log: g.logger(logging.Advised), Leave: g.catalog.Leave, Broadcast: g.broadcaster.Advise}
+	g.members.IsLeader = func() bool { return g.catalog.ReaderRank() < 2 }
+	g.advisories = &advisories.Advisories{Book: &advisory.Registry{}, Meter: g.metrics, Log: g.logger(logging.Advised), Leave: g.catalog.MarkLeaving, Broadcast: g.broadcaster.Advise}
 	g.broadcaster.Advisories, g.starter.Advisories = g.advisories, g.advisories
 	if g.adapters.Advisories != nil {
-		g.adapters.Advisories.Observe(g.advisories)
+		g.adapters.Advisories.SetObserver(g.advisories)
 	}
 	g.tracker = balance.NewTracker()
-	g.broker = stages.NewBroker(g.catalog, g.adapters.Pool, g.quarantine, g.rollouts, g.logger(logging.Stages))
+	g.broker = stages.NewBroker(g.catalog, g.adapters.StagePool, g.quarantine, g.rollouts, g.logger(logging.Stages))
 	g.broker.Grants = g.grants
-	coldLimits := balance.ColdLimits{Over: config.Bounds.ColdOver, Slack: config.Bounds.ColdSlack}
-	g.placer = placement.NewPlacer(g.catalog, coldLimits)
-	g.placer.Grants = func(service string) advisory.Grants { return g.grants(placement.Key(service)) }
+	coldLimits := balance.ColdLimits{RateFactor: config.Bounds.ColdOver, ExtraRequests: config.Bounds.ColdSlack}
+	g.placer = placement.NewOwner(g.catalog, coldLimits)
+	g.placer.Grants = func(service string) advisory.Grants { return g.grants(placement.OwnerKey(service)) }
 	runner := &stages.Runner{
 		Local: g.broker, Fleet: g.members, Log: g.logger(logging.Stages),
 		Remote: func(address string) stages.Remote { return g.clients.Client(address) },
-		HallOf: func(handle string) string { return g.catalog.HallAt(g.adapters.Pool.Maker(handle)) },
+		HallOf: func(handle string) string { return g.catalog.HallAt(g.adapters.StagePool.Holder(handle)) },
 	}
 	g.forward = &forward.Forwarder{
 		Placement: &placement.Client{
@@ -243,7 +243,7 @@
 		}, g.sharers, clock.Now()),
 		Buffers: g.memoryBudget(answerBuffersShare),
 		ColdShare: func(target string, service *hookhall.Service) int {
-			return g.coldShare(target, coldLimits.Owners(service))
+			return g.coldShare(target, coldLimits.MaxDirectSenders(service))
 		},
 		HallsIn: g.hallsIn,
 		Meter:   g.metrics, Log: g.logger(logging.Forward),
@@ -273,7 +273,7 @@
 	mux.HandleFunc("DELETE "+pathCrashes+"/{content}", g.serveRelease)
 	operatorServer := newServer(g.metricsListener, mux)
 	peerServer := kgrpc.NewServer(kgrpc.Listener(g.peersListener), kgrpc.Address(g.peersListener.Addr().String()), kgrpc.Timeout(0))
-	pb.RegisterFleetServer(peerServer, &fleet.Server{Broker: g.broker, Placer: g.placer, Broadcaster: g.broadcaster})
+	pb.RegisterFleetServer(peerServer, &fleet.Server{Broker: g.broker, PlacementOwner: g.placer, Broadcaster: g.broadcaster})
 	return kratos.New(
 		kratos.Name("hookhall-gateway"), kratos.Server(clientServer, readyServer, operatorServer, peerServer),
 		kratos.Logger(logging.Bridge(g.log)), kratos.Signal(cli.NoSignal{}), kratos.StopTimeout(time.Second),
@@ -307,7 +307,7 @@
 		"metrics", g.metricsListener.Addr().String(), "store", g.settings.Store.Address)
 	loops, endLoops := context.WithCancel(context.WithoutCancel(ctx))
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){g.logSuspensions, g.catalog.Run, g.members.Run, g.quarantine.Run, g.rollouts.Run, g.cleanUp, g.logReady, g.startFromSeeds, (&fleet.Inviter{Broadcaster: g.broadcaster}).Run} {
+	for _, loop := range []func(context.Context){g.logSuspensions, g.catalog.Run, g.members.Run, g.quarantine.Run, g.rollouts.Run, g.cleanUp, g.logReady, g.startFromSeeds, (&fleet.LostPeerNotifier{Broadcaster: g.broadcaster}).Run} {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
@@ -344,22 +344,22 @@
 	defer cancel()
 	go g.members.Leave(ctx)
 	retry.Sleep(ctx, notice)
-	g.drain.Close()
+	g.drain.DisableKeepAlives()
 	g.clientsListener.StopAccepting()
 	retry.Sleep(ctx, keepAliveDrainPeriod)
-	remaining := g.drain.Finish(ctx)
+	remaining := g.drain.RefuseAndWait(ctx)
 	if remaining == 0 {
 		return
 	}
 	finalCtx, cancelFinal := context.WithTimeout(context.Background(), finalAnswersTimeout)
 	defer cancelFinal()
-	cut := g.drain.End(finalCtx)
+	cut := g.drain.CancelAndWait(finalCtx)
 	g.log.Warn("stop period over with requests still in progress", "in_progress", remaining, "cut", cut, "after", clock.Since(stopStart))
 }
 
 // logSuspensions logs each suspension of the instance, until ctx ends.
 func (g *Gateway) logSuspensions(ctx context.Context) {
-	clock.Watch(ctx, func(slept time.Duration) {
+	clock.WatchSuspensions(ctx, func(slept time.Duration) {
 		g.log.Warn("instance suspended; known state is older by the time it slept", "slept", slept)
 	})
 }
@@ -380,7 +380,7 @@
 			return
 		}
 	}
-	g.log.Info("Ready.", "table", g.catalog.Table().Version(), "targets", len(g.catalog.Known()), "after", clock.Since(startedAt))
+	g.log.Info("Ready.", "table", g.catalog.Table().Version(), "targets", len(g.catalog.KnownTargets()), "after", clock.Since(startedAt))
 }
 
 // cleanUp removes, every cleanupInterval until ctx ends, idle connections and the state
@@ -389,17 +389,17 @@
 	for retry.Sleep(ctx, cleanupInterval) {
 		now := clock.Now()
 		g.adapters.Connections.Sweep(now)
-		if g.catalog.Picture() != nil {
-			targets := g.catalog.Known()
-			isKnown := func(l hookhall.Life) bool { return targets[l.ID].Born == l.Born && targets[l.ID].ID != "" }
-			g.tracker.Keep(isKnown, now)
-			g.placer.Tidy(isKnown, now)
-			g.advisories.Book.Keep(isKnown, now)
+		if g.catalog.Snapshot() != nil {
+			targets := g.catalog.KnownTargets()
+			isKnown := func(l hookhall.Incarnation) bool { return targets[l.ID].Start == l.Start && targets[l.ID].ID != "" }
+			g.tracker.Prune(isKnown, now)
+			g.placer.Prune(isKnown, now)
+			g.advisories.Book.Prune(isKnown, now)
 		}
 		isMember := map[string]bool{}
 		for _, m := range g.members.List(now) {
 			isMember[m.Address] = true
 		}
-		g.clients.Keep(func(address string) bool { return isMember[address] })
+		g.clients.CloseUnused(func(address string) bool { return isMember[address] })
 	}
 }
--- a/internal/app/gateway/shares.go
+++ b/internal/app/gateway/shares.go
@@ -21,7 +21,7 @@
 	for _, m := range g.members.All() {
 		addresses = append(addresses, m.Address)
 	}
-	if balance.Owns(target, g.members.Self().Address, addresses, owners) {
+	if balance.IsDirectSender(target, g.members.Self().Address, addresses, owners) {
 		return 1
 	}
 	return 0
@@ -38,9 +38,9 @@
 // this instance does not know all members yet.
 func (g *Gateway) grants(key string) advisory.Grants {
 	now := clock.Now()
-	grants := advisory.Grants{Book: g.advisories.Book}
+	grants := advisory.Grants{Registry: g.advisories.Book}
 	switch {
-	case grants.Book.Idle(), g.sharers(now).Count == 0:
+	case grants.Registry.Unrestricted(), g.sharers(now).Count == 0:
 	case g.members.Owner(key, nil, now).Address == g.members.Self().Address:
 		grants.Share = 1
 	default:
@@ -63,9 +63,9 @@
 
 // sharers returns the number of processes that share the fleet's quotas, 0 if it is
 // not known yet, and this process's place among them.
-func (g *Gateway) sharers(now time.Time) quota.Sharers {
+func (g *Gateway) sharers(now time.Time) quota.Position {
 	count, place := g.members.Sharers(now)
-	return quota.Sharers{Count: count, Place: place}
+	return quota.Position{Count: count, Index: place}
 }
 
 const (
@@ -81,7 +81,7 @@
 // sharersSnapshot caches the result of Gateway.sharers for sharersMaxAge.
 type sharersSnapshot struct {
 	takenAt time.Time
-	sharers quota.Sharers
+	sharers quota.Position
 }
 
 // maxIdleConnections returns how many idle connections to the target at address this
@@ -104,5 +104,5 @@
 		snapshot = &sharersSnapshot{now, g.sharers(now)}
 		g.recentSharers.Store(snapshot)
 	}
-	return snapshot.sharers.Part(int(idleConnectionsShare*float64(service.MaxConns)), address)
+	return snapshot.sharers.Share(int(idleConnectionsShare*float64(service.MaxConns)), address)
 }
--- a/internal/app/gateway/state.go
+++ b/internal/app/gateway/state.go
@@ -20,26 +20,26 @@
 // the fleet as it knows them. Rejected keys are keys of the store, among those of
 // targets, that name no target. Buffered bytes are those held of answers.
 type State struct {
-	Instance string                     `json:"instance"`
-	Stopping bool                       `json:"stopping"`
-	InFlight int64                      `json:"in_flight"`
-	Era      uint64                     `json:"store_era"`
-	Table    int64                      `json:"table"`
-	TableRev hookhall.Revision          `json:"table_revision"`
-	Targets  hookhall.Revision          `json:"targets_revision"`
-	AgeMS    int64                      `json:"targets_age_ms"`
-	Halls    catalog.Halls              `json:"halls"`
-	Rejected []string                   `json:"keys_of_no_target"`
-	Cold     []string                   `json:"cold_targets"`
-	Members  []hookhall.Member          `json:"members"`
-	Balance  map[string]balance.Status  `json:"balance"`
-	Advised  map[string]advisory.Status `json:"advised"`
-	Refused  []RefusedContent           `json:"refused_contents"`
-	Rollouts []rollouts.Standing        `json:"rollouts"`
-	Repeats  budget.Status              `json:"repeats"`
-	Buffered int64                      `json:"buffered_bytes"`
-	Bodies   int64                      `json:"body_bytes"`
-	Dropped  int64                      `json:"log_lines_dropped"`
+	Instance        string                     `json:"instance"`
+	Stopping        bool                       `json:"stopping"`
+	InFlight        int64                      `json:"in_flight"`
+	StoreEra        uint64                     `json:"store_era"`
+	TableVersion    int64                      `json:"table"`
+	TableRevision   hookhall.Revision          `json:"table_revision"`
+	TargetsRevision hookhall.Revision          `json:"targets_revision"`
+	TargetsAgeMS    int64                      `json:"targets_age_ms"`
+	Halls           catalog.Halls              `json:"halls"`
+	RejectedKeys    []string                   `json:"keys_of_no_target"`
+	ColdTargets     []string                   `json:"cold_targets"`
+	Members         []hookhall.Member          `json:"members"`
+	Balance         map[string]balance.Status  `json:"balance"`
+	Advised         map[string]advisory.Status `json:"advised"`
+	RefusedContents []RefusedContent           `json:"refused_contents"`
+	Rollouts        []rollouts.Progress        `json:"rollouts"`
+	Retries         budget.Status              `json:"repeats"`
+	BufferedBytes   int64                      `json:"buffered_bytes"`
+	BodyBytes       int64                      `json:"body_bytes"`
+	DroppedLogLines int64                      `json:"log_lines_dropped"`
 }
 
 // State returns the current state of the gateway.
@@ -47,27 +47,27 @@
 	now := clock.Now()
 	state := State{
 		Instance: g.settings.Gateway.Instance, Stopping: g.stopping.Load(), InFlight: g.drain.InFlight(),
-		Members: g.members.List(now), Balance: map[string]balance.Status{}, Advised: map[string]advisory.Status{}, Dropped: g.logWriter.Dropped(), Halls: g.catalog.Halls(),
-		Refused: g.refusedContents(now), Rejected: g.catalog.Rejected(),
-		Rollouts: g.rollouts.Orders().List,
-		Era:      g.eras.Era(),
-		Repeats:  g.forward.Budget.Status(now),
-		Buffered: g.forward.Buffers.Held(),
-		Bodies:   g.bodies.Held(),
+		Members: g.members.List(now), Balance: map[string]balance.Status{}, Advised: map[string]advisory.Status{}, DroppedLogLines: g.logWriter.Dropped(), Halls: g.catalog.Halls(),
+		RefusedContents: g.refusedContents(now), RejectedKeys: g.catalog.RejectedKeys(),
+		Rollouts:      g.rollouts.Snapshot().List,
+		StoreEra:      g.eras.Era(),
+		Retries:       g.forward.Budget.Status(now),
+		BufferedBytes: g.forward.Buffers.Held(),
+		BodyBytes:     g.bodies.Held(),
 	}
 	if table := g.catalog.Table(); table != nil {
-		state.Table = table.Version()
-		_, state.TableRev = g.catalog.PackedTable()
+		state.TableVersion = table.Version()
+		_, state.TableRevision = g.catalog.PackedTable()
 	}
-	if picture := g.catalog.Picture(); picture != nil {
-		state.Targets, state.AgeMS = picture.Revision, picture.Age(now).Milliseconds()
-		for id, target := range g.catalog.Known() {
-			state.Balance[id] = g.tracker.Status(target.Life(), now)
-			if advised := g.advisories.Book.Status(target.Life()); advised != (advisory.Status{}) {
+	if picture := g.catalog.Snapshot(); picture != nil {
+		state.TargetsRevision, state.TargetsAgeMS = picture.Revision, picture.Age(now).Milliseconds()
+		for id, target := range g.catalog.KnownTargets() {
+			state.Balance[id] = g.tracker.Status(target.Incarnation(), now)
+			if advised := g.advisories.Book.Status(target.Incarnation()); advised != (advisory.Status{}) {
 				state.Advised[id] = advised
 			}
 		}
-		state.Cold = picture.Cold(now)
+		state.ColdTargets = picture.ColdTargets(now)
 	}
 	return state
 }
--- a/internal/app/gateway/store.go
+++ b/internal/app/gateway/store.go
@@ -42,7 +42,7 @@
 // 1 for its standby, and passiveRank for all others. A process that does not know the
 // other members yet is passive, so that the reading is left to them.
 func (g *Gateway) readerRank() int {
-	if !g.members.Met() {
+	if !g.members.HasList() {
 		return passiveRank
 	}
 	return g.members.Rank(readerKey, clock.Now())
@@ -53,9 +53,9 @@
 func (g *Gateway) outagePace() outage.Pace {
 	switch {
 	case !g.catalog.Ready():
-		return outage.Pace{PauseMost: startMaxPause, Again: outageRetryDelay}
-	case g.catalog.Rank() < passiveRank:
-		return outage.Pace{PauseMost: readerMaxPause, Again: outageRetryDelay}
+		return outage.Pace{MaxPause: startMaxPause, HedgeInterval: outageRetryDelay}
+	case g.catalog.ReaderRank() < passiveRank:
+		return outage.Pace{MaxPause: readerMaxPause, HedgeInterval: outageRetryDelay}
 	}
-	return outage.Pace{PauseMost: max(readerMaxPause, min(time.Duration(g.members.Count())*maxPausePerMember, maxPauseLimit))}
+	return outage.Pace{MaxPause: max(readerMaxPause, min(time.Duration(g.members.Count())*maxPausePerMember, maxPauseLimit))}
 }
--- a/internal/app/logging/async.go
+++ b/internal/app/logging/async.go
@@ -20,27 +20,27 @@
 	flushInterval  = 100 * time.Millisecond
 )
 
-// Async is an io.Writer that never blocks its caller: a goroutine writes the lines to
+// AsyncWriter is an io.Writer that never blocks its caller: a goroutine writes the lines to
 // the underlying writer from a bounded queue. While the queue is full, lines are
 // dropped and counted, and the next write reports their number. It is safe for
 // concurrent use, and the goroutine runs until the process ends.
-type Async struct {
+type AsyncWriter struct {
 	out           io.Writer
 	lines         chan []byte
 	dropped       atomic.Int64
 	flushRequests chan chan struct{}
 }
 
-// NewAsync returns a writer that passes lines on to the writer to.
-func NewAsync(to io.Writer) *Async {
-	a := &Async{out: to, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
+// NewAsyncWriter returns a writer that passes lines on to the writer to.
+func NewAsyncWriter(to io.Writer) *AsyncWriter {
+	a := &AsyncWriter{out: to, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go a.run()
 	return a
 }
 
 // Write queues a copy of line, or drops it if the queue is full. It never returns an
 // error.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case a.lines <- append([]byte(nil), line...):
 	default:
@@ -50,11 +50,11 @@
 }
 
 // Dropped returns how many lines were dropped so far.
-func (a *Async) Dropped() int64 { return a.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // Flush waits until all lines that were queued before the call are written, but no
 // longer than timeout.
-func (a *Async) Flush(timeout time.Duration) {
+func (a *AsyncWriter) Flush(timeout time.Duration) {
 	done := make(chan struct{})
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -70,7 +70,7 @@
 }
 
 // run writes the queued lines; it never returns.
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	var buffer []byte
 	reported := int64(0)
 	timer := time.NewTimer(flushInterval)
--- a/internal/app/logging/async_test.go
+++ b/internal/app/logging/async_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	a := NewAsync(w)
+	a := NewAsyncWriter(w)
 	line := []byte(strings.Repeat("x", 99) + "\n")
 	start := time.Now()
 	for range 5 * maxQueuedLines {
@@ -61,7 +61,7 @@
 // lines that were written before are in the underlying writer.
 func TestFlush(t *testing.T) {
 	var b bytes.Buffer
-	a := NewAsync(&b)
+	a := NewAsyncWriter(&b)
 	_, _ = a.Write([]byte("one\n"))
 	_, _ = a.Write([]byte("two\n"))
 	a.Flush(5 * time.Second)
--- a/internal/app/metrics/metrics.go
+++ b/internal/app/metrics/metrics.go
@@ -65,8 +65,8 @@
 // Close passes the last values on to the exporter and stops the reporting.
 func (m *Metrics) Close() error { return errors.Wrap(m.closer.Close(), "metrics") }
 
-// Stage implements pipeline.Meter: it adds the cost of a stage of a request.
-func (m *Metrics) Stage(pipeline string, cost hookhall.StageCost) {
+// RecordStage implements pipeline.Meter: it adds the cost of a stage of a request.
+func (m *Metrics) RecordStage(pipeline string, cost hookhall.StageCost) {
 	scope := m.scope.Tagged(map[string]string{"pipeline": pipeline, "stage": cost.Stage})
 	scope.Counter("stage_calls").Inc(int64(cost.Calls))
 	scope.Counter("stage_tokens").Inc(int64(cost.Tokens))
@@ -77,9 +77,9 @@
 // causeAnswered is the cause label of a request that was answered.
 const causeAnswered = "answered"
 
-// Done implements pipeline.Meter: it counts a finished request, whose err is nil if it
+// RecordRequest implements pipeline.Meter: it counts a finished request, whose err is nil if it
 // was answered.
-func (m *Metrics) Done(request *hookhall.Request, took time.Duration, err *hookhall.Error) {
+func (m *Metrics) RecordRequest(request *hookhall.Request, took time.Duration, err *hookhall.Error) {
 	cause, verdict := causeAnswered, hookhall.Ran
 	if err != nil {
 		cause, verdict = string(err.Cause), err.Verdict
@@ -97,8 +97,8 @@
 	scope.Histogram("forward_duration", durationBuckets).RecordDuration(took)
 }
 
-// Repeated counts a retry, an attempt of a request at a further target.
-func (m *Metrics) Repeated(service string) {
+// Retried counts a retry, an attempt of a request at a further target.
+func (m *Metrics) Retried(service string) {
 	m.scope.Tagged(map[string]string{"service": service}).Counter("repeats").Inc(1)
 }
 
@@ -109,9 +109,9 @@
 	m.scope.Gauge("store_era").Update(float64(era))
 }
 
-// TargetEnded counts a crash of a target while it ran a request, detected by this
+// TargetCrashed counts a crash of a target while it ran a request, detected by this
 // process. software is the target's service and version.
-func (m *Metrics) TargetEnded(software string) {
+func (m *Metrics) TargetCrashed(software string) {
 	m.scope.Tagged(map[string]string{"software": software}).Counter("target_ends").Inc(1)
 }
 
@@ -128,12 +128,12 @@
 // It is safe for concurrent use.
 type AccountStats struct {
 	countsByCause sync.Map // cause to *atomic.Int64
-	lastFailure   atomic.Pointer[Refusal]
+	lastFailure   atomic.Pointer[Failure]
 }
 
-// Refusal describes a refused or failed request. Detail is the text of the error, Stage
+// Failure describes a refused or failed request. Detail is the text of the error, Stage
 // the stage at which it occurred, "" if it was none.
-type Refusal struct {
+type Failure struct {
 	At     time.Time `json:"at"`
 	Cause  string    `json:"cause"`
 	Detail string    `json:"detail"`
@@ -158,7 +158,7 @@
 	}
 	count.(*atomic.Int64).Add(1)
 	if err != nil {
-		a.lastFailure.Store(&Refusal{time.Now(), cause, err.Detail, err.Stage})
+		a.lastFailure.Store(&Failure{time.Now(), cause, err.Detail, err.Stage})
 	}
 }
 
@@ -173,5 +173,5 @@
 	return counts
 }
 
-// Last returns the last failure, nil if there was none.
-func (a *AccountStats) Last() *Refusal { return a.lastFailure.Load() }
+// LastFailure returns the last failure, nil if there was none.
+func (a *AccountStats) LastFailure() *Failure { return a.lastFailure.Load() }
--- a/internal/app/settings/gateway.go
+++ b/internal/app/settings/gateway.go
@@ -5,18 +5,18 @@
 
 // Gateway has the settings of hookhall-gateway.
 type Gateway struct {
-	Gateway GatewayPart `toml:"gateway"`
-	Store   StorePart   `toml:"store"`
-	Bounds  BoundsPart  `toml:"bounds"`
+	Gateway GatewaySection `toml:"gateway"`
+	Store   StoreSection   `toml:"store"`
+	Bounds  BoundsSection  `toml:"bounds"`
 	// Regions has the region of each hall of the deployment, by hall. Requests that
 	// may run only in some regions are sent to targets in the halls of those regions.
 	Regions map[string]string `toml:"regions"`
-	Log     LogPart           `toml:"log"`
+	Log     LogSection        `toml:"log"`
 }
 
-// GatewayPart identifies a gateway process and its instance, and has its addresses and
+// GatewaySection identifies a gateway process and its instance, and has its addresses and
 // resources.
-type GatewayPart struct {
+type GatewaySection struct {
 	Instance string   `toml:"instance"`  // the platform's name of this instance
 	Hall     string   `toml:"hall"`      // the hall of this instance
 	Clients  string   `toml:"clients"`   // IP:port that clients use
@@ -29,13 +29,13 @@
 	MemoryMB int      `toml:"memory_mb"` // memory that the process may use, in MiB
 }
 
-// StorePart has the address of the platform's store.
-type StorePart struct {
+// StoreSection has the address of the platform's store.
+type StoreSection struct {
 	Address string `toml:"address"` // IP:port
 }
 
-// BoundsPart has the bounds that operators set.
-type BoundsPart struct {
+// BoundsSection has the bounds that operators set.
+type BoundsSection struct {
 	GraceMS       int     `toml:"grace_ms"`        // ms from the signal to stop to the kill
 	NoticeMS      int     `toml:"notice_ms"`       // ms for which a stopping gateway still accepts work; part of GraceMS
 	RetryRatio    float64 `toml:"retry_ratio"`     // retries, as a fraction of requests, 0 to 1
@@ -50,14 +50,14 @@
 // set.
 func DefaultGateway() Gateway {
 	return Gateway{
-		Gateway: GatewayPart{Cores: 1, LinkMbps: 1000, MemoryMB: 256},
-		Bounds:  BoundsPart{GraceMS: 8000, NoticeMS: 2600, RetryRatio: 0.1, RetryWindowMS: 10000, RetrySlack: 10, ColdOver: 1, ExposeShare: 0.1},
-		Log:     LogPart{Level: "info"},
+		Gateway: GatewaySection{Cores: 1, LinkMbps: 1000, MemoryMB: 256},
+		Bounds:  BoundsSection{GraceMS: 8000, NoticeMS: 2600, RetryRatio: 0.1, RetryWindowMS: 10000, RetrySlack: 10, ColdOver: 1, ExposeShare: 0.1},
+		Log:     LogSection{Level: "info"},
 	}
 }
 
-// Check returns all invalid values.
-func (s *Gateway) Check() []Mistake {
+// Validate returns all invalid values.
+func (s *Gateway) Validate() []InvalidValue {
 	c := &checker{}
 	c.name("gateway.instance", s.Gateway.Instance)
 	c.name("gateway.hall", s.Gateway.Hall)
@@ -106,7 +106,7 @@
 
 // Power returns how much of the fleet's shared work the instance can do, relative to
 // others, in cores: the smaller of its cores and of the cores that its link can feed.
-func (p GatewayPart) Power() float64 {
+func (p GatewaySection) Power() float64 {
 	const mbpsPerCore = 100 // a faster link per core is no limit
 	return min(p.Cores, p.LinkMbps/mbpsPerCore)
 }
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -32,16 +32,16 @@
 
 // Entry has the settings of hookhall-entry.
 type Entry struct {
-	Entry    EntryPart    `toml:"entry"`
-	Platform PlatformPart `toml:"platform"`
-	Fleet    FleetPart    `toml:"fleet"`
-	Stop     StopPart     `toml:"stop"`
-	Log      LogPart      `toml:"log"`
-	Policy   PolicyPart   `toml:"policy"`
+	Entry    EntrySection    `toml:"entry"`
+	Platform PlatformSection `toml:"platform"`
+	Fleet    FleetSection    `toml:"fleet"`
+	Stop     StopSection     `toml:"stop"`
+	Log      LogSection      `toml:"log"`
+	Policy   PolicySection   `toml:"policy"`
 }
 
-// EntryPart identifies an entry process and its instance, and has its addresses.
-type EntryPart struct {
+// EntrySection identifies an entry process and its instance, and has its addresses.
+type EntrySection struct {
 	Instance      string `toml:"instance"`       // the platform's name of this instance
 	Hall          string `toml:"hall"`           // the hall of this instance
 	Callers       string `toml:"callers"`        // IP:port that callers use
@@ -50,14 +50,14 @@
 	OperatorToken string `toml:"operator_token"` // bearer token for state dumps and metrics, 8 characters or more
 }
 
-// PlatformPart has the addresses of the platform's services.
-type PlatformPart struct {
+// PlatformSection has the addresses of the platform's services.
+type PlatformSection struct {
 	KeyValue  string `toml:"key_value"` // IP:port of the key-value service
 	Instances string `toml:"instances"` // IP:port of the instance list
 }
 
-// FleetPart has the settings that all processes of a fleet share.
-type FleetPart struct {
+// FleetSection has the settings that all processes of a fleet share.
+type FleetSection struct {
 	Secret         string `toml:"secret"`            // shared by the fleet's processes, 8 characters or more
 	HeartbeatMS    int    `toml:"heartbeat_ms"`      // ms between heartbeats to one peer
 	Suspect        int    `toml:"suspect"`           // consecutive heartbeats that may fail
@@ -65,19 +65,19 @@
 	ClaimRetention int    `toml:"claim_retention_s"` // seconds for which a claim is kept
 }
 
-// StopPart has the durations of a planned stop.
-type StopPart struct {
+// StopSection has the durations of a planned stop.
+type StopSection struct {
 	NoticeMS int `toml:"notice_ms"` // ms for which the entry is not ready, but accepts work
 	GraceMS  int `toml:"grace_ms"`  // ms after that for work in progress to end
 }
 
-// LogPart has the settings of the log.
-type LogPart struct {
+// LogSection has the settings of the log.
+type LogSection struct {
 	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// PolicyPart turns decisions off, for experiments. In production all of them are on.
-type PolicyPart struct {
+// PolicySection turns decisions off, for experiments. In production all of them are on.
+type PolicySection struct {
 	EarlyRefusal bool   `toml:"early_refusal"` // refuse requests that can't finish before their deadline
 	Order        string `toml:"order"`         // fair, or arrival
 	Window       bool   `toml:"window"`        // requests wait at the entry rather than at targets
@@ -88,14 +88,14 @@
 
 // Admin has the settings of hookhall-admin.
 type Admin struct {
-	Admin    AdminPart    `toml:"admin"`
-	Platform PlatformPart `toml:"platform"`
-	Fleet    FleetPart    `toml:"fleet"`
-	Log      LogPart      `toml:"log"`
+	Admin    AdminSection    `toml:"admin"`
+	Platform PlatformSection `toml:"platform"`
+	Fleet    FleetSection    `toml:"fleet"`
+	Log      LogSection      `toml:"log"`
 }
 
-// AdminPart has the address of an admin process and the token of its users.
-type AdminPart struct {
+// AdminSection has the address of an admin process and the token of its users.
+type AdminSection struct {
 	Listen        string `toml:"listen"`         // IP:port that operators use
 	OperatorToken string `toml:"operator_token"` // bearer token of operators, 8 characters or more
 	AcceptMS      int    `toml:"accept_ms"`      // ms that an edit may take to be in force at the entries
@@ -106,27 +106,27 @@
 func DefaultEntry() Entry {
 	return Entry{
 		Fleet:  defaultFleet(),
-		Stop:   StopPart{NoticeMS: 2000, GraceMS: 30000},
-		Log:    LogPart{Level: "info"},
-		Policy: PolicyPart{EarlyRefusal: true, Order: "fair", Window: true, Choice: "load", Prefix: true, Claims: true},
+		Stop:   StopSection{NoticeMS: 2000, GraceMS: 30000},
+		Log:    LogSection{Level: "info"},
+		Policy: PolicySection{EarlyRefusal: true, Order: "fair", Window: true, Choice: "load", Prefix: true, Claims: true},
 	}
 }
 
-func defaultFleet() FleetPart {
-	return FleetPart{HeartbeatMS: 500, Suspect: 3, ListMS: 2000, ClaimRetention: 600}
+func defaultFleet() FleetSection {
+	return FleetSection{HeartbeatMS: 500, Suspect: 3, ListMS: 2000, ClaimRetention: 600}
 }
 
 // DefaultAdmin returns the defaults of all keys that have one; the other keys must be
 // set.
 func DefaultAdmin() Admin {
 	return Admin{
-		Admin: AdminPart{AcceptMS: 5000},
-		Fleet: defaultFleet(), Log: LogPart{Level: "info"},
+		Admin: AdminSection{AcceptMS: 5000},
+		Fleet: defaultFleet(), Log: LogSection{Level: "info"},
 	}
 }
 
-// Check returns all invalid values.
-func (s *Entry) Check() []Mistake {
+// Validate returns all invalid values.
+func (s *Entry) Validate() []InvalidValue {
 	c := &checker{}
 	c.name("entry.instance", s.Entry.Instance)
 	c.name("entry.hall", s.Entry.Hall)
@@ -146,8 +146,8 @@
 	return c.invalid
 }
 
-// Check returns all invalid values.
-func (s *Admin) Check() []Mistake {
+// Validate returns all invalid values.
+func (s *Admin) Validate() []InvalidValue {
 	c := &checker{}
 	c.address("admin.listen", s.Admin.Listen)
 	c.secret("admin.operator_token", s.Admin.OperatorToken)
@@ -158,17 +158,17 @@
 	return c.invalid
 }
 
-// Mistake has the key of an invalid value, and a message on what would be accepted.
-type Mistake struct {
+// InvalidValue has the key of an invalid value, and a message on what would be accepted.
+type InvalidValue struct {
 	Key     string // section.key
 	Message string
 }
 
 // checker collects the invalid values of one program's settings.
-type checker struct{ invalid []Mistake }
+type checker struct{ invalid []InvalidValue }
 
 func (c *checker) add(key, format string, args ...any) {
-	c.invalid = append(c.invalid, Mistake{key, fmt.Sprintf(format, args...)})
+	c.invalid = append(c.invalid, InvalidValue{key, fmt.Sprintf(format, args...)})
 }
 
 // name requires a name that is not empty and has no spaces, # or /. A # separates the
@@ -211,12 +211,12 @@
 	c.add(key, "%q is not a valid value; it must be one of %s", v, strings.Join(words, ", "))
 }
 
-func (c *checker) platform(p PlatformPart) {
+func (c *checker) platform(p PlatformSection) {
 	c.address("platform.key_value", p.KeyValue)
 	c.address("platform.instances", p.Instances)
 }
 
-func (c *checker) fleet(f FleetPart) {
+func (c *checker) fleet(f FleetSection) {
 	c.secret("fleet.secret", f.Secret)
 	c.inRange("fleet.heartbeat_ms", f.HeartbeatMS, 20, 10000)
 	c.inRange("fleet.suspect", f.Suspect, 1, 20)
@@ -224,17 +224,19 @@
 	c.inRange("fleet.claim_retention_s", f.ClaimRetention, 1, 86400)
 }
 
-// Heartbeat returns the time between heartbeats to one peer.
-func (f FleetPart) Heartbeat() time.Duration { return time.Duration(f.HeartbeatMS) * time.Millisecond }
+// HeartbeatInterval returns the time between heartbeats to one peer.
+func (f FleetSection) HeartbeatInterval() time.Duration {
+	return time.Duration(f.HeartbeatMS) * time.Millisecond
+}
 
-// List returns the time between reads of the instance list.
-func (f FleetPart) List() time.Duration { return time.Duration(f.ListMS) * time.Millisecond }
+// ListInterval returns the time between reads of the instance list.
+func (f FleetSection) ListInterval() time.Duration { return time.Duration(f.ListMS) * time.Millisecond }
 
 // Retention returns how long a claim is kept.
-func (f FleetPart) Retention() time.Duration { return time.Duration(f.ClaimRetention) * time.Second }
+func (f FleetSection) Retention() time.Duration { return time.Duration(f.ClaimRetention) * time.Second }
 
 // validator is implemented by the settings of each program.
-type validator interface{ Check() []Mistake }
+type validator interface{ Validate() []InvalidValue }
 
 // Load reads the settings file at path into s, which must hold the defaults, and checks
 // the result. Its error has one line for each invalid value.
@@ -253,7 +255,7 @@
 		return withPosition(path, err)
 	}
 	var lines []string
-	for _, m := range s.Check() {
+	for _, m := range s.Validate() {
 		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s", path, lineOf(b, m.Key), m.Key, m.Message))
 	}
 	if len(lines) > 0 {
--- a/internal/coordination/advisories/advisories.go
+++ b/internal/coordination/advisories/advisories.go
@@ -44,23 +44,23 @@
 // hookhall.AdvisoryObserver and safe for concurrent use; its exported fields are set before
 // the first use.
 type Advisories struct {
-	Book  *advisory.Book
+	Book  *advisory.Registry
 	Meter Meter
 	Log   *log.Logger
 	// Leave marks an incarnation of a target as leaving. It must not block.
-	Leave func(l hookhall.Life, from string)
+	Leave func(l hookhall.Incarnation, from string)
 	// Broadcast sends reports to all other instances. It must not block.
 	Broadcast func(list []advisory.Report)
 
-	mu            sync.Mutex                        // guards pending and lastBroadcast
-	pending       map[hookhall.Life]advisory.Report // not broadcast yet; nil while no broadcast is due
+	mu            sync.Mutex                               // guards pending and lastBroadcast
+	pending       map[hookhall.Incarnation]advisory.Report // not broadcast yet; nil while no broadcast is due
 	lastBroadcast time.Time
 }
 
-// Advised applies the advisory of an answer to a call that was sent at sent, and broadcasts
+// HandleAdvisory applies the advisory of an answer to a call that was sent at sent, and broadcasts
 // what is new. It implements hookhall.AdvisoryObserver.
-func (s *Advisories) Advised(t hookhall.Target, a hookhall.Advisory, sent time.Time) {
-	c := s.Book.Record(t.Life(), a, sent, clock.Now())
+func (s *Advisories) HandleAdvisory(t hookhall.Target, a hookhall.Advisory, sent time.Time) {
+	c := s.Book.Record(t.Incarnation(), a, sent, clock.Now())
 	s.apply(t, c, fromAnswer)
 	if c.Notify {
 		s.enqueue(advisory.Report{Target: t, Leaving: c.After.Leaving, Limit: c.After.Limit})
@@ -89,10 +89,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.pending == nil {
-		s.pending = map[hookhall.Life]advisory.Report{}
+		s.pending = map[hookhall.Incarnation]advisory.Report{}
 		time.AfterFunc(max(batchDelay, broadcastInterval-clock.Since(s.lastBroadcast)), s.flush)
 	}
-	s.pending[r.Target.Life()] = r
+	s.pending[r.Target.Incarnation()] = r
 }
 
 // flush broadcasts the pending reports.
@@ -108,7 +108,7 @@
 func (s *Advisories) apply(t hookhall.Target, c advisory.Change, from string) {
 	s.log(t, c, from)
 	if c.After.Leaving && !c.Before.Leaving {
-		s.Leave(t.Life(), from)
+		s.Leave(t.Incarnation(), from)
 	}
 }
 
@@ -119,19 +119,19 @@
 		return
 	}
 	if after.Leaving && !before.Leaving {
-		s.Log.Info("target announced that it is leaving", "target", t.ID, "service", t.Pool, "born", t.Born, "from", from)
+		s.Log.Info("target announced that it is leaving", "target", t.ID, "service", t.Pool, "born", t.Start, "from", from)
 		s.Meter.Advised(t.Pool, KindLeaving)
 	}
 	if after.PausedUntil.After(before.PausedUntil) {
-		s.Log.Info("target asked this instance to pause", "target", t.ID, "service", t.Pool, "born", t.Born, "pause", clock.Until(after.PausedUntil), "from", from)
+		s.Log.Info("target asked this instance to pause", "target", t.ID, "service", t.Pool, "born", t.Start, "pause", clock.Until(after.PausedUntil), "from", from)
 		s.Meter.Advised(t.Pool, KindPause)
 	}
 	switch b, n := before.Limit, after.Limit; {
 	case n.Named && (!b.Named || c.Notify):
-		s.Log.Info("target set a rate limit", "target", t.ID, "service", t.Pool, "born", t.Born, "limit", n.Rate, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
+		s.Log.Info("target set a rate limit", "target", t.ID, "service", t.Pool, "born", t.Start, "limit", n.Rate, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
 		s.Meter.Advised(t.Pool, KindLimit)
 	case b.Named && !n.Named:
-		s.Log.Info("target removed its rate limit", "target", t.ID, "service", t.Pool, "born", t.Born, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
+		s.Log.Info("target removed its rate limit", "target", t.ID, "service", t.Pool, "born", t.Start, "before", b.Rate, "age", clock.Since(n.Heard), "from", from)
 		s.Meter.Advised(t.Pool, KindNoLimit)
 	}
 }
--- a/internal/coordination/advisories/advisories_test.go
+++ b/internal/coordination/advisories/advisories_test.go
@@ -19,16 +19,16 @@
 
 func (noMeter) Advised(string, string) {}
 
-var target = hookhall.Target{ID: "target", Pool: "pool", Born: 1}
+var target = hookhall.Target{ID: "target", Pool: "pool", Start: 1}
 
 // observe calls f, and returns the broadcasts within the second after it and the incarnations
 // that were marked as leaving.
-func observe(t *testing.T, f func(s *Advisories)) (broadcasts [][]advisory.Report, left []hookhall.Life) {
+func observe(t *testing.T, f func(s *Advisories)) (broadcasts [][]advisory.Report, left []hookhall.Incarnation) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		s := &Advisories{
-			Book: &advisory.Book{}, Meter: noMeter{}, Log: log.New(io.Discard),
-			Leave: func(l hookhall.Life, _ string) { left = append(left, l) },
+			Book: &advisory.Registry{}, Meter: noMeter{}, Log: log.New(io.Discard),
+			Leave: func(l hookhall.Incarnation, _ string) { left = append(left, l) },
 			Broadcast: func(list []advisory.Report) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -48,7 +48,7 @@
 func TestBroadcastOnce(t *testing.T) {
 	broadcasts, left := observe(t, func(s *Advisories) {
 		for range 100 {
-			s.Advised(target, hookhall.Advisory{Leaving: true, Limited: true, Limit: 2}, time.Now())
+			s.HandleAdvisory(target, hookhall.Advisory{Leaving: true, Limited: true, Limit: 2}, time.Now())
 			s.Merge([]advisory.Report{{Target: target, Leaving: true, Limit: advisory.Limit{Named: true, Rate: 2, Heard: time.Now()}}}, "peer")
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -56,7 +56,7 @@
 	if len(broadcasts) != 1 || len(broadcasts[0]) != 1 || !broadcasts[0][0].Leaving || broadcasts[0][0].Limit.Rate != 2 {
 		t.Errorf("broadcasts: %+v", broadcasts)
 	}
-	if len(left) != 1 || left[0] != target.Life() {
+	if len(left) != 1 || left[0] != target.Incarnation() {
 		t.Errorf("left: %v", left)
 	}
 }
@@ -66,7 +66,7 @@
 func TestBroadcastInterval(t *testing.T) {
 	broadcasts, _ := observe(t, func(s *Advisories) {
 		for n := range 200 {
-			s.Advised(target, hookhall.Advisory{Limited: true, Limit: float64(1 + n*n)}, time.Now())
+			s.HandleAdvisory(target, hookhall.Advisory{Limited: true, Limit: float64(1 + n*n)}, time.Now())
 			time.Sleep(10 * time.Millisecond)
 		}
 	})
@@ -82,7 +82,7 @@
 // asked only one for it.
 func TestPauseIsNotBroadcast(t *testing.T) {
 	broadcasts, left := observe(t, func(s *Advisories) {
-		s.Advised(target, hookhall.Advisory{Pause: time.Second}, time.Now())
+		s.HandleAdvisory(target, hookhall.Advisory{Pause: time.Second}, time.Now())
 	})
 	if len(broadcasts)+len(left) > 0 {
 		t.Errorf("broadcasts %v, left %v", broadcasts, left)
--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -67,28 +67,28 @@
 // are functions must be set before Run; all methods may be called concurrently.
 type Catalog struct {
 	store    hookhall.Store
-	platform hookhall.Platform
+	platform hookhall.StoreSchema
 	log      *log.Logger
 
 	table             atomic.Pointer[tableState]
-	snapshot          atomic.Pointer[Picture]
+	snapshot          atomic.Pointer[Snapshot]
 	halls             atomic.Pointer[Halls]
 	listingsByAddress sync.Map // address to listing
-	// Rank returns the reader rank of this process: 0 reads the store for all, 1 stands by, and
+	// ReaderRank returns the reader rank of this process: 0 reads the store for all, 1 stands by, and
 	// higher ranks read only what peers have not updated in time. Set before Run.
-	Rank func() int
-	// Fleet returns the number of gateways. Set before Run.
-	Fleet func() int
-	// Read is called after a read or watch of the store brought something new, so that peers
+	ReaderRank func() int
+	// GatewayCount returns the number of gateways. Set before Run.
+	GatewayCount func() int
+	// OnStoreRead is called after a read or watch of the store brought something new, so that peers
 	// can be updated. Set before Run.
-	Read func()
-	// Orders applies keys that operators have written, as of a revision of the store, and
+	OnStoreRead func()
+	// ApplyOperatorKeys applies keys that operators have written, as of a revision of the store, and
 	// reports whether anything changed that peers need. complete is true if items has all of the
 	// operators' keys. Set before Run.
-	Orders func(items []hookhall.Item, revision hookhall.Revision, complete bool) bool
-	// Reborn is called with the previous and the new listing when a target is listed in another
+	ApplyOperatorKeys func(items []hookhall.Item, revision hookhall.Revision, complete bool) bool
+	// OnRestart is called with the previous and the new listing when a target is listed in another
 	// incarnation. It must not block or call the catalog: c.mu is held. Set before Run.
-	Reborn func(before, after hookhall.Target)
+	OnRestart func(before, after hookhall.Target)
 
 	// readJitter is the part of the random delay that this process waits before it reads for
 	// itself at maxRank, in [0, 1).
@@ -106,7 +106,7 @@
 	rejectedHashes map[string]uint64
 	// departedAt maps incarnations that are leaving and have no entry to the time at which this
 	// was recorded.
-	departedAt map[hookhall.Life]time.Time
+	departedAt map[hookhall.Incarnation]time.Time
 	// bucketDigests has the digests of the listed targets.
 	bucketDigests Digests
 	// lastLapseEnd is the latest time until which a lapsed target stays usable.
@@ -132,8 +132,8 @@
 }
 
 // New returns a Catalog without a table and targets; Run fills it.
-func New(s hookhall.Store, p hookhall.Platform, l *log.Logger) *Catalog {
-	c := &Catalog{store: s, platform: p, log: l, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Life]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, Rank: func() int { return 0 }, Fleet: func() int { return 1 }, Read: func() {}, Orders: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, Reborn: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
+func New(s hookhall.Store, p hookhall.StoreSchema, l *log.Logger) *Catalog {
+	c := &Catalog{store: s, platform: p, log: l, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Incarnation]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, ReaderRank: func() int { return 0 }, GatewayCount: func() int { return 1 }, OnStoreRead: func() {}, ApplyOperatorKeys: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, OnRestart: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
 	c.recordAnswer(clock.Now())
 	return c
 }
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// Picture returns the current snapshot of the targets, or nil before the first reading.
-func (c *Catalog) Picture() *Picture { return c.snapshot.Load() }
+// Snapshot returns the current snapshot of the targets, or nil before the first reading.
+func (c *Catalog) Snapshot() *Snapshot { return c.snapshot.Load() }
 
 // Targets returns the usable targets of a service, sorted by id. The caller must not modify them.
 func (c *Catalog) Targets(pool string) []hookhall.Target {
@@ -161,7 +161,7 @@
 // that operators have evacuated.
 func (c *Catalog) Evacuated(pool string) bool {
 	p := c.snapshot.Load()
-	return p != nil && len(p.ByPool[pool]) == 0 && p.Evacuated[pool]
+	return p != nil && len(p.ByPool[pool]) == 0 && p.EvacuatedServices[pool]
 }
 
 // HallAt returns the hall of the target at an address, or "" if the address is unknown.
@@ -180,9 +180,9 @@
 	return ""
 }
 
-// Over reports whether the list of targets shows that the incarnation of t has ended: t is
+// HasEnded reports whether the list of targets shows that the incarnation of t has ended: t is
 // listed with another start time, or another target has its address.
-func (c *Catalog) Over(t hookhall.Target) bool {
+func (c *Catalog) HasEnded(t hookhall.Target) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	l, ok := c.listingsByAddress.Load(t.Address)
@@ -190,11 +190,11 @@
 		return false
 	}
 	e := c.entriesByKey[l.(listing).key]
-	return e != nil && e.missingSince.IsZero() && (e.target.Life() != t.Life())
+	return e != nil && e.missingSince.IsZero() && (e.target.Incarnation() != t.Incarnation())
 }
 
-// Known returns all known targets by id, including those that are leaving or missing.
-func (c *Catalog) Known() map[string]hookhall.Target {
+// KnownTargets returns all known targets by id, including those that are leaving or missing.
+func (c *Catalog) KnownTargets() map[string]hookhall.Target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := make(map[string]hookhall.Target, len(c.entriesByKey))
@@ -204,8 +204,8 @@
 	return known
 }
 
-// Rejected returns the keys below the targets' prefix that hold no valid target, sorted.
-func (c *Catalog) Rejected() []string {
+// RejectedKeys returns the keys below the targets' prefix that hold no valid target, sorted.
+func (c *Catalog) RejectedKeys() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Sorted(maps.Keys(c.rejectedHashes))
@@ -234,10 +234,10 @@
 // needsRead reports whether state that was confirmed at a given time is so old that this
 // process must read the store itself.
 func (c *Catalog) needsRead(confirmed, now time.Time) bool {
-	rank := min(c.Rank(), maxRank)
+	rank := min(c.ReaderRank(), maxRank)
 	maxAge := readInterval + time.Duration(rank)*rankDelayStep
 	if rank == maxRank {
-		spread := rankDelayStep/2 + min(time.Duration(c.Fleet())*fleetDelayStep, maxFleetDelay)
+		spread := rankDelayStep/2 + min(time.Duration(c.GatewayCount())*fleetDelayStep, maxFleetDelay)
 		maxAge += time.Duration(c.readJitter * float64(spread))
 	}
 	return now.Sub(confirmed) >= maxAge
@@ -246,9 +246,9 @@
 // Failing reports whether this process's last call of the store failed.
 func (c *Catalog) Failing() bool { return c.isFailing.Load() }
 
-// Silence returns the time since the store last answered this process, which may not have made
+// TimeSinceAnswer returns the time since the store last answered this process, which may not have made
 // a call in the meantime.
-func (c *Catalog) Silence(now time.Time) time.Duration { return now.Sub(*c.lastAnswer.Load()) }
+func (c *Catalog) TimeSinceAnswer(now time.Time) time.Duration { return now.Sub(*c.lastAnswer.Load()) }
 
 func (c *Catalog) recordAnswer(now time.Time) { c.lastAnswer.Store(&now) }
 
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -41,11 +41,11 @@
 	// reports that it stays cold for another two seconds.
 	_, t.Hall, _ = strings.Cut(t.ID, "@")
 	var left int
-	if n, _ := fmt.Sscanf(string(b), "cold %d %d", &t.Beat, &left); n == 2 {
+	if n, _ := fmt.Sscanf(string(b), "cold %d %d", &t.HeartbeatCount, &left); n == 2 {
 		t.ColdLeft = time.Duration(left) * time.Millisecond
 	}
 	// "born 5 leaving" and "born 5 cold" are values of the incarnation that started at 5.
-	fmt.Sscanf(string(b), "born %d", &t.Born)
+	fmt.Sscanf(string(b), "born %d", &t.Start)
 	if strings.HasSuffix(string(b), " cold") {
 		t.ColdLeft = time.Minute
 	}
@@ -101,7 +101,7 @@
 // setEvacuated writes or removes a hall's key.
 func (s *fakeStore) setEvacuated(hall string, on bool) {
 	s.update(func() {
-		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.revision, Gone: !on})
+		s.events = append(s.events, hookhall.Item{Key: "op/out/" + hall, Revision: s.revision, Deleted: !on})
 		delete(s.hallRevisions, hall)
 		if on {
 			s.hallRevisions[hall] = s.revision
@@ -177,7 +177,7 @@
 	}
 	for id := range old {
 		if _, ok := s.targets[id]; !ok {
-			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.revision, Gone: true})
+			list = append(list, hookhall.Item{Key: "t/" + id, Revision: s.revision, Deleted: true})
 		}
 	}
 	s.targetsByRevision[s.revision] = maps.Clone(s.targets)
@@ -304,21 +304,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.LearnTable(value, 5, "store", time.Now())
+	a.ApplyTable(value, 5, "store", time.Now())
 	packed, revision := a.PackedTable()
 	if len(packed) > len(value)/5 {
 		t.Errorf("%d bytes of %d", len(packed), len(value))
 	}
-	if b.LearnPacked([]byte("no table"), 4, "peer", time.Now()) || b.Table() != nil {
+	if b.ApplyPackedTable([]byte("no table"), 4, "peer", time.Now()) || b.Table() != nil {
 		t.Error("invalid bytes were applied as a table")
 	}
-	if !b.LearnPacked(packed, revision, "peer", time.Now()) || b.Table().Version() != 9 {
+	if !b.ApplyPackedTable(packed, revision, "peer", time.Now()) || b.Table().Version() != 9 {
 		t.Error("the packed table was not applied")
 	}
 	if again, _ := b.PackedTable(); string(again) != string(packed) {
 		t.Error("the table was packed again")
 	}
-	if b.LearnPacked(packed, revision-1, "peer", time.Now()) {
+	if b.ApplyPackedTable(packed, revision-1, "peer", time.Now()) {
 		t.Error("an older revision was applied")
 	}
 }
@@ -336,7 +336,7 @@
 		if c.Table() == nil || len(c.Targets("pool")) != 1 {
 			t.Fatal("known state was lost in an outage")
 		}
-		if age := c.Picture().Age(time.Now()); age < 9*time.Second {
+		if age := c.Snapshot().Age(time.Now()); age < 9*time.Second {
 			t.Fatalf("the age is %v after ten seconds of outage", age)
 		}
 		s.update(func() { s.down = false })
@@ -360,7 +360,7 @@
 			}
 			r.Items = append(r.Items, hookhall.Item{Key: "t/" + key, Value: []byte(value)})
 		}
-		c.Learn(r, "test")
+		c.ApplyReading(r, "test")
 	}
 	usable := func(c *Catalog) int { return len(c.Targets("pool")) }
 	Convey("Given a catalog with five targets", t, func() {
@@ -391,11 +391,11 @@
 			read(c, 3, "a", "b")
 			read(c, 2, "a", "b", "c", "d", "e", "f")
 			So(usable(c), ShouldEqual, 5) // three lapsed, f unknown
-			So(c.Known(), ShouldNotContainKey, "f")
+			So(c.KnownTargets(), ShouldNotContainKey, "f")
 		})
 		Convey("a key that cannot be parsed is skipped", func() {
-			c.Learn(Reading{Revision: 2, Began: time.Now(), Items: []hookhall.Item{{Key: "t/x", Value: []byte("bad")}}}, "test")
-			So(c.Known(), ShouldNotContainKey, "x")
+			c.ApplyReading(Reading{Revision: 2, Began: time.Now(), Items: []hookhall.Item{{Key: "t/x", Value: []byte("bad")}}}, "test")
+			So(c.KnownTargets(), ShouldNotContainKey, "x")
 		})
 	})
 }
--- a/internal/coordination/catalog/doc.go
+++ b/internal/coordination/catalog/doc.go
@@ -10,7 +10,7 @@
 // that wait only briefly, so that a connection that was cut silently is noticed well within the
 // time in which a change must be in force. It watches the targets in the same way, and lists
 // all of them every ten seconds: a watch returns nothing while heartbeats alone change their
-// keys. The other processes receive updates from peers (LearnNews, ConfirmTable, LearnPacked) and
+// keys. The other processes receive updates from peers (ApplyUpdate, ConfirmTable, ApplyPackedTable) and
 // read the store themselves when the last update is too old: the second reader first, then
 // all others. A new first reader watches from the revision up to which its peers have
 // updated it, and lists all targets within ten seconds. Ages count from the moment at which the
--- a/internal/coordination/catalog/entry.go
+++ b/internal/coordination/catalog/entry.go
@@ -74,7 +74,7 @@
 		text = append(append(text, s...), 0)
 	}
 	text = binary.AppendVarint(text, int64(t.Slots))
-	text = binary.AppendVarint(text, t.Born)
+	text = binary.AppendVarint(text, t.Start)
 	for _, on := range []bool{t.Streams, t.Leaving, t.ColdLeft > 0} {
 		if on {
 			text = append(text, 1)
@@ -153,7 +153,7 @@
 // updateEntry sets an entry to what the key of a listed target holds. c.mu must be held.
 func (c *Catalog) updateEntry(e *entry, t hookhall.Target, value []byte, from string, now time.Time) {
 	sum := targetDigest(&t)
-	if t.Life() != e.target.Life() {
+	if t.Incarnation() != e.target.Incarnation() {
 		c.startIncarnation(e, t, from)
 	}
 	if !e.missingSince.IsZero() {
@@ -166,7 +166,7 @@
 		e.changedAt = now
 	}
 	e.missingSince, e.lapsesAt = time.Time{}, time.Time{}
-	if !e.isLeaving && (t.Leaving || c.hasDeparted(t.Life(), now)) {
+	if !e.isLeaving && (t.Leaving || c.hasDeparted(t.Incarnation(), now)) {
 		e.isLeaving = true
 		c.markDirty(e)
 		c.log.Info("target leaving", "target", t.ID, "service", t.Pool, "from", from)
@@ -186,9 +186,9 @@
 // startIncarnation handles a target that is listed in another incarnation: nothing is known of
 // the new one, so a target that was leaving gets requests again. c.mu must be held.
 func (c *Catalog) startIncarnation(e *entry, t hookhall.Target, from string) {
-	c.log.Info("target restarted", "target", t.ID, "service", t.Pool, "born", t.Born, "before", e.target.Born, "left", e.isLeaving, "from", from)
+	c.log.Info("target restarted", "target", t.ID, "service", t.Pool, "born", t.Start, "before", e.target.Start, "left", e.isLeaving, "from", from)
 	e.isLeaving = false
-	c.Reborn(e.target, t)
+	c.OnRestart(e.target, t)
 }
 
 // toggleDigest adds sum to the digest of a target's bucket, or removes it. c.mu must be held.
@@ -252,7 +252,7 @@
 		if !e.missingSince.IsZero() && now.Sub(e.missingSince) > missingTTL {
 			c.unindex(e)
 			if e.isLeaving {
-				c.rememberDeparted(e.target.Life(), now)
+				c.rememberDeparted(e.target.Incarnation(), now)
 			}
 			delete(c.entriesByKey, key)
 			c.listingsByAddress.CompareAndDelete(e.target.Address, listingOf(e))
--- a/internal/coordination/catalog/follow_test.go
+++ b/internal/coordination/catalog/follow_test.go
@@ -104,8 +104,8 @@
 func TestRepair(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(readyReading(1, "x0"), "store")
-		follower.Learn(readyReading(1, "x0"), "store")
+		reader.ApplyReading(readyReading(1, "x0"), "store")
+		follower.ApplyReading(readyReading(1, "x0"), "store")
 		checkDigests := func(c *Catalog) {
 			var want Digests
 			for key, e := range c.entriesByKey {
@@ -123,20 +123,20 @@
 				value := rapid.SampledFrom([]string{"ready", "leaving", "cold 1 2000", "cold 2 0"}).Draw(t, "value")
 				r.Items = append(r.Items, hookhall.Item{Key: fmt.Sprint("t/x", i*rapid.IntRange(1, 3).Draw(t, "step")), Value: []byte(value)})
 			}
-			reader.Learn(r, "store")
-			n := reader.News(time.Now())
+			reader.ApplyReading(r, "store")
+			n := reader.RecentUpdate(time.Now())
 			if rapid.Bool().Draw(t, "part of the update is lost") {
 				n.Gone = nil
 				n.Changed = n.Changed[:len(n.Changed)/2]
 			}
-			if _, gap := follower.LearnNews(n, "reader"); gap {
-				if !follower.LearnRepair(reader.Differing(follower.Digests()), "reader") {
+			if _, gap := follower.ApplyUpdate(n, "reader"); gap {
+				if !follower.ApplyRepair(reader.DifferingBuckets(follower.Digests()), "reader") {
 					t.Fatal("the repair left a gap")
 				}
 			}
 			checkDigests(reader)
 			checkDigests(follower)
-			if follower.Picture().Digest != reader.Picture().Digest || follower.Picture().Revision != at {
+			if follower.Snapshot().Digest != reader.Snapshot().Digest || follower.Snapshot().Revision != at {
 				t.Fatal("the follower is not up to date")
 			}
 		}
@@ -146,15 +146,15 @@
 // TestBadRepair checks that an invalid repair changes neither age nor revision.
 func TestBadRepair(t *testing.T) {
 	c := newCatalog(newFakeStore())
-	c.Learn(readyReading(5, "a", "b"), "store")
+	c.ApplyReading(readyReading(5, "a", "b"), "store")
 	for name, r := range map[string]Repair{
 		"older":               {Reading: readyReading(4, "a"), Buckets: []int{0}},
-		"an unknown bucket":   {Reading: readyReading(6, "a"), Buckets: []int{Buckets}},
+		"an unknown bucket":   {Reading: readyReading(6, "a"), Buckets: []int{BucketCount}},
 		"another digest":      {Reading: readyReading(6, "a", "c"), Buckets: []int{bucketOf("t/c")}, Digest: 1},
 		"nothing from nobody": {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if c.LearnRepair(r, "peer") || c.Picture().Revision != 5 {
+			if c.ApplyRepair(r, "peer") || c.Snapshot().Revision != 5 {
 				t.Error("an invalid repair was accepted")
 			}
 		})
@@ -170,15 +170,15 @@
 			for i := range n {
 				r.Items = append(r.Items, hookhall.Item{Key: fmt.Sprint("t/target-", i), Value: []byte("ready")})
 			}
-			reader.Learn(r, "store")
-			follower.Learn(r, "store")
+			reader.ApplyReading(r, "store")
+			follower.ApplyReading(r, "store")
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				value := []string{"leaving", "ready"}[i%2]
 				began := time.Now()
-				reader.Follow([]hookhall.Item{{Key: "t/target-7", Value: []byte(value)}}, hookhall.Revision(i+2), began)
+				reader.ApplyEvents([]hookhall.Item{{Key: "t/target-7", Value: []byte(value)}}, hookhall.Revision(i+2), began)
 				changed := hookhall.Item{Key: "t/target-7", Value: []byte(value)}
-				follower.LearnNews(News{Revision: hookhall.Revision(i + 2), Began: began, Digest: reader.Picture().Digest, Changed: []hookhall.Item{changed}}, "reader")
+				follower.ApplyUpdate(Update{Revision: hookhall.Revision(i + 2), Began: began, Digest: reader.Snapshot().Digest, Changed: []hookhall.Item{changed}}, "reader")
 			}
 		})
 	}
@@ -192,7 +192,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
 				c := newCatalog(s)
-				c.Rank = func() int { return rank }
+				c.ReaderRank = func() int { return rank }
 				ctx, cancel := context.WithCancel(t.Context())
 				var run sync.WaitGroup
 				run.Go(func() { c.Run(ctx) })
--- a/internal/coordination/catalog/halls.go
+++ b/internal/coordination/catalog/halls.go
@@ -61,19 +61,19 @@
 	}
 	for _, i := range events {
 		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
-			evacuated[hall] = !i.Gone
+			evacuated[hall] = !i.Deleted
 			delete(c.heldUntil, hall)
 		}
 	}
 	c.mu.Unlock()
 	maps.DeleteFunc(evacuated, func(_ string, on bool) bool { return !on })
-	return c.LearnHalls(Halls{revision, slices.Sorted(maps.Keys(evacuated))}, "store")
+	return c.ApplyHalls(Halls{revision, slices.Sorted(maps.Keys(evacuated))}, "store")
 }
 
-// LearnHalls applies the evacuated halls as read from the store or received from a peer, and
+// ApplyHalls applies the evacuated halls as read from the store or received from a peer, and
 // reports whether anything changed. Halls of an earlier revision than the known one change
 // nothing, so that an old update cannot readmit a hall.
-func (c *Catalog) LearnHalls(h Halls, from string) bool {
+func (c *Catalog) ApplyHalls(h Halls, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.halls.Load()
--- a/internal/coordination/catalog/halls_test.go
+++ b/internal/coordination/catalog/halls_test.go
@@ -54,7 +54,7 @@
 			s.setEvacuated("south", true)
 			time.Sleep(time.Millisecond)
 			expectUsable(t, c, "a@north", "c@west")
-			if len(c.Known()) != 3 || c.Evacuated("pool") {
+			if len(c.KnownTargets()) != 3 || c.Evacuated("pool") {
 				t.Error("the hall's targets are unknown, or the service counts as evacuated")
 			}
 			s.setEvacuated("south", false)
@@ -135,7 +135,7 @@
 // replace newer ones, and that a new snapshot of the targets keeps evacuated halls out.
 func TestOlderHallsChangeNothing(t *testing.T) {
 	c := newCatalog(newFakeStore())
-	c.Learn(Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
+	c.ApplyReading(Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
 	steps := []struct {
 		name    string
 		halls   Halls
@@ -151,11 +151,11 @@
 	}
 	for _, s := range steps {
 		t.Run(s.name, func(t *testing.T) {
-			if changed := c.LearnHalls(s.halls, "peer"); changed != s.changed {
+			if changed := c.ApplyHalls(s.halls, "peer"); changed != s.changed {
 				t.Errorf("changed: %v", changed)
 			}
 			expectUsable(t, c, s.usable...)
-			c.Learn(Reading{Revision: s.halls.Revision + 100, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
+			c.ApplyReading(Reading{Revision: s.halls.Revision + 100, Items: []hookhall.Item{{Key: "t/a@north"}, {Key: "t/b@south"}}, Began: time.Now()}, "store")
 			expectUsable(t, c, s.usable...)
 		})
 	}
@@ -173,7 +173,7 @@
 			for id, v := range values {
 				r.Items = append(r.Items, hookhall.Item{Key: "t/" + id, Value: []byte(v)})
 			}
-			c.Learn(r, "store")
+			c.ApplyReading(r, "store")
 		}
 		learn(map[string]string{"a": "cold 1 3000", "b": "cold 1 0"})
 		expectCold(t, c, "a")
--- a/internal/coordination/catalog/incarnations_test.go
+++ b/internal/coordination/catalog/incarnations_test.go
@@ -49,18 +49,18 @@
 		t.Run(name, func(t *testing.T) {
 			for way, learn := range map[string]func(c *Catalog, i hookhall.Item){
 				"by readings": func(c *Catalog, i hookhall.Item) {
-					c.Learn(Reading{Revision: i.Revision, Items: []hookhall.Item{i}, Began: time.Now()}, "store")
+					c.ApplyReading(Reading{Revision: i.Revision, Items: []hookhall.Item{i}, Began: time.Now()}, "store")
 				},
 				"by a watch": func(c *Catalog, i hookhall.Item) {
-					c.Follow([]hookhall.Item{i}, i.Revision, time.Now())
+					c.ApplyEvents([]hookhall.Item{i}, i.Revision, time.Now())
 				},
 				"by updates": func(c *Catalog, i hookhall.Item) {
-					c.LearnNews(News{Revision: i.Revision, Began: time.Now(), Changed: []hookhall.Item{i}}, "peer")
+					c.ApplyUpdate(Update{Revision: i.Revision, Began: time.Now(), Changed: []hookhall.Item{i}}, "peer")
 				},
 			} {
 				t.Run(way, func(t *testing.T) {
 					catalog := newCatalog(newFakeStore())
-					catalog.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
+					catalog.ApplyReading(Reading{Revision: 1, Began: time.Now()}, "store")
 					for n, value := range c.values {
 						learn(catalog, targetItem(hookhall.Revision(n+2), value))
 					}
@@ -81,10 +81,10 @@
 		r := rand.New(rand.NewPCG(seed, 0))
 		last := 1 + r.IntN(len(values))
 		c := newCatalog(newFakeStore())
-		c.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
-		var list []News
+		c.ApplyReading(Reading{Revision: 1, Began: time.Now()}, "store")
+		var list []Update
 		for n, value := range values[:last] {
-			update := News{Revision: hookhall.Revision(n + 2), Began: time.Now(), Digest: 1} // always leaves a gap
+			update := Update{Revision: hookhall.Revision(n + 2), Began: time.Now(), Digest: 1} // always leaves a gap
 			if value == "" {
 				update.Gone = []string{"t/a"}
 			} else {
@@ -95,7 +95,7 @@
 		list = append(list, list[r.IntN(len(list))]) // one update arrives twice
 		r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for _, n := range list {
-			c.LearnNews(n, "peer")
+			c.ApplyUpdate(n, "peer")
 		}
 		want := strings.HasSuffix(values[last-1], "ready") || strings.HasSuffix(values[last-1], "cold")
 		if listed, cold := targetStatus(c); listed != want || cold != strings.HasSuffix(values[last-1], "cold") {
--- a/internal/coordination/catalog/leaving.go
+++ b/internal/coordination/catalog/leaving.go
@@ -18,9 +18,9 @@
 	maxDeparted = 4096
 )
 
-// Leave marks an incarnation of a target as leaving, whatever its key in the store says. The
+// MarkLeaving marks an incarnation of a target as leaving, whatever its key in the store says. The
 // target gets no new requests in that incarnation.
-func (c *Catalog) Leave(l hookhall.Life, from string) {
+func (c *Catalog) MarkLeaving(l hookhall.Incarnation, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
@@ -41,9 +41,9 @@
 }
 
 // findIncarnation returns the entry whose present incarnation is l, or nil. c.mu must be held.
-func (c *Catalog) findIncarnation(l hookhall.Life) *entry {
+func (c *Catalog) findIncarnation(l hookhall.Incarnation) *entry {
 	for _, e := range c.entriesByKey {
-		if e.target.Life() == l {
+		if e.target.Incarnation() == l {
 			return e
 		}
 	}
@@ -51,7 +51,7 @@
 }
 
 // rememberDeparted records an incarnation that is leaving and has no entry. c.mu must be held.
-func (c *Catalog) rememberDeparted(l hookhall.Life, now time.Time) {
+func (c *Catalog) rememberDeparted(l hookhall.Incarnation, now time.Time) {
 	for o, at := range c.departedAt {
 		if now.Sub(at) > departedTTL || len(c.departedAt) >= maxDeparted {
 			delete(c.departedAt, o)
@@ -62,7 +62,7 @@
 
 // hasDeparted reports whether an incarnation has announced that it is leaving while it had no
 // entry, or before its entry was removed. c.mu must be held.
-func (c *Catalog) hasDeparted(l hookhall.Life, now time.Time) bool {
+func (c *Catalog) hasDeparted(l hookhall.Incarnation, now time.Time) bool {
 	at, ok := c.departedAt[l]
 	return ok && now.Sub(at) <= departedTTL
 }
--- a/internal/coordination/catalog/leaving_test.go
+++ b/internal/coordination/catalog/leaving_test.go
@@ -32,17 +32,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			catalog := newCatalog(newFakeStore())
-			catalog.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
+			catalog.ApplyReading(Reading{Revision: 1, Began: time.Now()}, "store")
 			for n, value := range c.values {
 				if value == left {
-					catalog.Leave(hookhall.Life{ID: "a", Born: 5}, "answer")
+					catalog.MarkLeaving(hookhall.Incarnation{ID: "a", Start: 5}, "answer")
 					continue
 				}
 				r := Reading{Revision: hookhall.Revision(n + 2), Began: time.Now()}
 				if value != "" {
 					r.Items = []hookhall.Item{targetItem(r.Revision, value)}
 				}
-				catalog.Learn(r, "store")
+				catalog.ApplyReading(r, "store")
 			}
 			if listed, _ := targetStatus(catalog); listed != c.listed {
 				t.Errorf("listed %v, want %v", listed, c.listed)
@@ -62,11 +62,11 @@
 			for i := range items {
 				items[i].Revision = revision
 			}
-			c.Learn(Reading{Revision: revision, Items: items, Began: time.Now()}, "store")
+			c.ApplyReading(Reading{Revision: revision, Items: items, Began: time.Now()}, "store")
 		}
 		other := hookhall.Item{Key: "t/other", Value: []byte("ready")}
 		learn(targetItem(0, "born 5 ready"), other)
-		c.Leave(hookhall.Life{ID: "a", Born: 5}, "answer")
+		c.MarkLeaving(hookhall.Incarnation{ID: "a", Start: 5}, "answer")
 		learn(other)
 		time.Sleep(missingTTL + time.Second)
 		learn() // another target goes missing, which removes expired entries
--- a/internal/coordination/catalog/pools.go
+++ b/internal/coordination/catalog/pools.go
@@ -37,15 +37,15 @@
 }
 
 // rebuild applies the pending changes to a snapshot that is not yet published. c.mu must be held.
-func (c *Catalog) rebuild(p *Picture, now time.Time) {
-	p.ByPool, p.Evacuated = maps.Clone(p.ByPool), maps.Clone(p.Evacuated)
+func (c *Catalog) rebuild(p *Snapshot, now time.Time) {
+	p.ByPool, p.EvacuatedServices = maps.Clone(p.ByPool), maps.Clone(p.EvacuatedServices)
 	if p.ByPool == nil {
-		p.ByPool, p.Evacuated = map[string][]hookhall.Target{}, map[string]bool{}
+		p.ByPool, p.EvacuatedServices = map[string][]hookhall.Target{}, map[string]bool{}
 	}
 	halls := c.Halls()
 	for pool, d := range c.changesByPool {
 		if d.needsRebuild || len(halls.Evacuated) > 0 {
-			p.ByPool[pool], p.Evacuated[pool] = c.usableTargets(pool, halls, now)
+			p.ByPool[pool], p.EvacuatedServices[pool] = c.usableTargets(pool, halls, now)
 			continue
 		}
 		p.ByPool[pool] = c.mergeChanges(pool, p.ByPool[pool], d.entries, now)
--- a/internal/coordination/catalog/pools_test.go
+++ b/internal/coordination/catalog/pools_test.go
@@ -19,25 +19,25 @@
 	values := []string{"ready", "leaving", "born 3", "bad"}
 	rapid.Check(t, func(t *rapid.T) {
 		c := newCatalog(newFakeStore())
-		c.Learn(Reading{Revision: 1, Began: time.Now()}, "store")
+		c.ApplyReading(Reading{Revision: 1, Began: time.Now()}, "store")
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			var events []hookhall.Item
 			for range rapid.IntRange(1, 4).Draw(t, "events") {
 				i := hookhall.Item{Key: fmt.Sprint("t/target-", rapid.IntRange(0, 9).Draw(t, "target")), Revision: hookhall.Revision(step + 2)}
 				if rapid.IntRange(0, 3).Draw(t, "gone") == 0 {
-					i.Gone = true
+					i.Deleted = true
 				} else {
 					i.Value = []byte(rapid.SampledFrom(values).Draw(t, "value"))
 				}
 				events = append(events, i)
 			}
-			before := c.Picture()
+			before := c.Snapshot()
 			previous := map[string][]hookhall.Target{}
 			for pool, list := range before.ByPool {
 				previous[pool] = slices.Clone(list)
 			}
-			c.Follow(events, hookhall.Revision(step+2), time.Now())
-			for pool, list := range c.Picture().ByPool {
+			c.ApplyEvents(events, hookhall.Revision(step+2), time.Now())
+			for pool, list := range c.Snapshot().ByPool {
 				c.mu.Lock()
 				all, _ := c.usableTargets(pool, Halls{}, time.Now())
 				c.mu.Unlock()
--- a/internal/coordination/catalog/restored.go
+++ b/internal/coordination/catalog/restored.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	gone := !e.missingSince.IsZero() && now.After(e.lapsesAt)
-	return t.Born < e.target.Born || (gone && t.Life() == e.target.Life())
+	return t.Start < e.target.Start || (gone && t.Incarnation() == e.target.Incarnation())
 }
 
 // isOlderTable reports whether the store has, in a later era, a table that is older than the one
--- a/internal/coordination/catalog/restored_test.go
+++ b/internal/coordination/catalog/restored_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		panic(err) // a struct of numbers always marshals
 	}
-	c.LearnTable(value, at, "store", time.Now())
+	c.ApplyTable(value, at, "store", time.Now())
 }
 
 // quietCatalog returns a catalog that logs nothing.
@@ -106,7 +106,7 @@
 				if s.value != "" {
 					r.Items = []hookhall.Item{targetItem(s.at, s.value)}
 				}
-				catalog.Learn(r, "store")
+				catalog.ApplyReading(r, "store")
 			}
 			if listed, _ := targetStatus(catalog); listed != c.want {
 				t.Errorf("usable: %v", listed)
@@ -126,10 +126,10 @@
 				t.Errorf("%s: %v, want %v", when, got, want)
 			}
 		}
-		c.LearnHalls(Halls{Revision: revisionIn(1, 10), Evacuated: []string{"north", "south"}}, "store")
-		c.LearnHalls(Halls{Revision: revisionIn(2, 4), Evacuated: []string{"south"}}, "store")
+		c.ApplyHalls(Halls{Revision: revisionIn(1, 10), Evacuated: []string{"north", "south"}}, "store")
+		c.ApplyHalls(Halls{Revision: revisionIn(2, 4), Evacuated: []string{"south"}}, "store")
 		expectHalls("the copy lacks one", "north", "south")
-		c.applyHallEvents([]hookhall.Item{{Key: "op/out/south", Revision: revisionIn(2, 5), Gone: true}}, revisionIn(2, 5))
+		c.applyHallEvents([]hookhall.Item{{Key: "op/out/south", Revision: revisionIn(2, 5), Deleted: true}}, revisionIn(2, 5))
 		expectHalls("operators readmit one", "north")
 		time.Sleep(evacuationHoldTime + time.Millisecond)
 		c.applyHallEvents(nil, revisionIn(2, 5))
@@ -170,7 +170,7 @@
 			if a.state.leaving {
 				value = fmt.Sprintf("born %d leaving", a.state.born)
 			}
-			newer := c.Learn(Reading{Revision: a.at, Items: []hookhall.Item{targetItem(a.wrote[1], value)}, Began: time.Now()}, "store")
+			newer := c.ApplyReading(Reading{Revision: a.at, Items: []hookhall.Item{targetItem(a.wrote[1], value)}, Began: time.Now()}, "store")
 			if newer && a.state.leaving {
 				left[i] = max(left[i], a.state.born)
 			}
@@ -179,8 +179,8 @@
 			}
 			versions[i] = c.Table().Version()
 			for _, target := range c.Targets("pool") {
-				if int(target.Born) <= left[i] {
-					t.Fatalf("gateway %d uses incarnation %d, and knows that %d has left", i, target.Born, left[i])
+				if int(target.Start) <= left[i] {
+					t.Fatalf("gateway %d uses incarnation %d, and knows that %d has left", i, target.Start, left[i])
 				}
 			}
 		}
--- a/internal/coordination/catalog/start_test.go
+++ b/internal/coordination/catalog/start_test.go
@@ -23,7 +23,7 @@
 			s.targets = map[string]string{"a": "", "new": ""}
 		})
 		c := newCatalog(s)
-		c.Rank = func() int { return rank }
+		c.ReaderRank = func() int { return rank }
 		ctx, cancel := context.WithCancel(t.Context())
 		var run sync.WaitGroup
 		run.Go(func() { c.Run(ctx) })
@@ -60,11 +60,11 @@
 			expectUsable(t, c, "a", "old")
 			reader := newCatalog(s)
 			copied, at, _ := s.RangeStale(t.Context(), "t/")
-			reader.Learn(Reading{at, copied, time.Now()}, "store")
+			reader.ApplyReading(Reading{at, copied, time.Now()}, "store")
 			for range 8 {
 				time.Sleep(readInterval)
-				reader.Learn(readingOf(t, s), "store")
-				c.LearnNews(reader.News(time.Now()), "reader")
+				reader.ApplyReading(readingOf(t, s), "store")
+				c.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")
 			}
 			expectUsable(t, c, "a", "new")
 			if s.targetReads != 8 {
@@ -93,13 +93,13 @@
 	s := newFakeStore()
 	s.update(func() { s.targets = map[string]string{"a": "", "b": ""} })
 	c := newCatalog(s)
-	c.Learn(readingOf(t, s), "store")
-	if n := c.News(time.Now()); len(n.Changed) != 0 || n.Digest == 0 {
+	c.ApplyReading(readingOf(t, s), "store")
+	if n := c.RecentUpdate(time.Now()); len(n.Changed) != 0 || n.Digest == 0 {
 		t.Errorf("%d targets are sent after the first reading, digest %x", len(n.Changed), n.Digest)
 	}
 	s.update(func() { s.targets["c"] = "" })
-	c.Learn(readingOf(t, s), "store")
-	if n := c.News(time.Now()); len(n.Changed) != 1 || n.Changed[0].Key != "t/c" {
+	c.ApplyReading(readingOf(t, s), "store")
+	if n := c.RecentUpdate(time.Now()); len(n.Changed) != 1 || n.Changed[0].Key != "t/c" {
 		t.Errorf("%v is sent after the second", n.Changed)
 	}
 }
--- a/internal/coordination/catalog/table.go
+++ b/internal/coordination/catalog/table.go
@@ -40,10 +40,10 @@
 // followTable watches the table if this process is the first reader, and otherwise reads it when
 // peers have not confirmed it in time. It returns when ctx ends.
 func (c *Catalog) followTable(ctx context.Context) {
-	pause := retry.Between(minRetryDelay, maxRetryDelay)
+	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	watchRevision := hookhall.Revision(0)
 	for ctx.Err() == nil {
-		if s := c.table.Load(); s != nil && c.Rank() > 0 && !c.needsRead(s.confirmed, clock.Now()) {
+		if s := c.table.Load(); s != nil && c.ReaderRank() > 0 && !c.needsRead(s.confirmed, clock.Now()) {
 			watchRevision = 0 // updates of peers may be ahead of an earlier watch
 			retry.Sleep(ctx, pollInterval)
 			continue
@@ -62,7 +62,7 @@
 		if errors.Is(err, errNoTable) {
 			c.recordCall(ctx, nil)
 			c.logNoTable()
-			if c.Rank() == maxRank {
+			if c.ReaderRank() == maxRank {
 				retry.Sleep(ctx, retry.Jitter(noTableRetryDelay))
 			} else {
 				pause.Wait(ctx)
@@ -95,11 +95,11 @@
 	}
 	// The halls are applied first: a process is ready with its first table, and must not send
 	// anything to a hall that was evacuated before it started.
-	fresh := c.LearnHalls(Halls{revision, c.evacuatedHalls(items)}, "store")
-	fresh = c.Orders(items, revision, true) || fresh
+	fresh := c.ApplyHalls(Halls{revision, c.evacuatedHalls(items)}, "store")
+	fresh = c.ApplyOperatorKeys(items, revision, true) || fresh
 	found := c.applyStoredTable(items, began)
 	if fresh {
-		c.Read()
+		c.OnStoreRead()
 	}
 	if !found {
 		return 0, errNoTable
@@ -118,8 +118,8 @@
 		return 0, err
 	}
 	changed := c.applyHallEvents(events, revision)
-	if changed = c.Orders(events, revision, false) || changed; changed {
-		c.Read()
+	if changed = c.ApplyOperatorKeys(events, revision, false) || changed; changed {
+		c.OnStoreRead()
 	}
 	if c.applyStoredTable(events, began) {
 		return revision, nil
@@ -139,15 +139,15 @@
 func (c *Catalog) applyStoredTable(items []hookhall.Item, began time.Time) bool {
 	var newest hookhall.Item
 	for _, i := range items {
-		if i.Key == c.platform.RoutingKey() && !i.Gone && i.Revision > newest.Revision {
+		if i.Key == c.platform.RoutingKey() && !i.Deleted && i.Revision > newest.Revision {
 			newest = i
 		}
 	}
 	if newest.Revision == 0 {
 		return false
 	}
-	if c.LearnTable(newest.Value, newest.Revision, "store", began) {
-		c.Read()
+	if c.ApplyTable(newest.Value, newest.Revision, "store", began) {
+		c.OnStoreRead()
 	}
 	return true
 }
@@ -178,9 +178,9 @@
 	return 0, 0
 }
 
-// LearnTable applies a table of a revision, read in a call that began at a given time, and
+// ApplyTable applies a table of a revision, read in a call that began at a given time, and
 // reports whether it was newer than the one in force.
-func (c *Catalog) LearnTable(value []byte, revision hookhall.Revision, from string, began time.Time) bool {
+func (c *Catalog) ApplyTable(value []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	if c.ConfirmTable(revision, began) {
 		return false
 	}
@@ -192,8 +192,8 @@
 	return c.installTable(value, packed, revision, from, began)
 }
 
-// LearnPacked is like LearnTable for the compressed value that a peer's PackedTable returned.
-func (c *Catalog) LearnPacked(packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
+// ApplyPackedTable is like ApplyTable for the compressed value that a peer's PackedTable returned.
+func (c *Catalog) ApplyPackedTable(packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	if c.ConfirmTable(revision, began) {
 		return false
 	}
--- a/internal/coordination/catalog/takeover_test.go
+++ b/internal/coordination/catalog/takeover_test.go
@@ -50,10 +50,10 @@
 				reader, follower := newCatalog(s), newCatalog(s)
 				var rank atomic.Int64
 				rank.Store(maxRank)
-				follower.Rank = func() int { return int(rank.Load()) }
-				reader.Read = func() {
+				follower.ReaderRank = func() int { return int(rank.Load()) }
+				reader.OnStoreRead = func() {
 					if c.hasUpdates {
-						follower.LearnNews(reader.News(time.Now()), "reader")
+						follower.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")
 					}
 				}
 				readerCtx, stopReader := context.WithCancel(t.Context())
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -22,9 +22,9 @@
 	Began time.Time
 }
 
-// Picture is an immutable copy of the targets' state. It shares the lists of services that have
+// Snapshot is an immutable copy of the targets' state. It shares the lists of services that have
 // not changed with the copy before it.
-type Picture struct {
+type Snapshot struct {
 	// Revision is the store's revision at the reading that confirmed the snapshot, and Began the
 	// time at which that reading began, by this process's monotonic clock.
 	Revision hookhall.Revision
@@ -32,15 +32,15 @@
 	// ByPool has the usable targets by service, sorted by id, without those that are leaving or
 	// in evacuated halls.
 	ByPool map[string][]hookhall.Target
-	// Evacuated has the services with targets that are kept out of ByPool only by the evacuation
+	// EvacuatedServices has the services with targets that are kept out of ByPool only by the evacuation
 	// of their hall.
-	Evacuated map[string]bool
+	EvacuatedServices map[string]bool
 	// Digest combines the digests of all listed targets; equal digests mean equal lists.
 	Digest uint64
 }
 
-// Cold returns the ids of the usable targets that count as cold, sorted.
-func (p *Picture) Cold(now time.Time) []string {
+// ColdTargets returns the ids of the usable targets that count as cold, sorted.
+func (p *Snapshot) ColdTargets(now time.Time) []string {
 	var ids []string
 	for _, list := range p.ByPool {
 		for _, t := range list {
@@ -54,13 +54,13 @@
 }
 
 // Age returns the time since the reading that confirmed the snapshot began.
-func (p *Picture) Age(now time.Time) time.Duration { return now.Sub(p.Began) }
+func (p *Snapshot) Age(now time.Time) time.Duration { return now.Sub(p.Began) }
 
 // followTargets reads the targets whenever their state is too old for the rank of this process.
 // The first reader watches them, and lists all of them every fullReadInterval. It returns when
 // ctx ends.
 func (c *Catalog) followTargets(ctx context.Context) {
-	f := targetsFollower{Catalog: c, pause: retry.Between(minRetryDelay, maxRetryDelay)}
+	f := targetsFollower{Catalog: c, pause: retry.NewWithDelays(minRetryDelay, maxRetryDelay)}
 	for ctx.Err() == nil {
 		if !f.isDue(clock.Now()) {
 			f.watchRevision = 0 // updates of peers may be ahead of an earlier watch
@@ -79,7 +79,7 @@
 // targetsFollower is the state of the loop in followTargets.
 type targetsFollower struct {
 	*Catalog
-	pause         *retry.Pause
+	pause         *retry.Backoff
 	copyBegan     time.Time         // lower bound of the time at which the initial copy was made
 	watchRevision hookhall.Revision // the revision to watch from, 0 to list all targets
 	lastFullRead  time.Time         // when all targets were last listed
@@ -93,7 +93,7 @@
 // it. Listing all targets first would take seconds in a large fleet, during which no gateway
 // would learn of a change.
 func (f *targetsFollower) takeOver(now time.Time) {
-	if f.Rank() != 0 || f.Failing() {
+	if f.ReaderRank() != 0 || f.Failing() {
 		return
 	}
 	f.mu.Lock()
@@ -114,7 +114,7 @@
 	case p.Began.Equal(f.copyBegan) && f.awaitsUpdates(f.copyBegan, now):
 		return false
 	}
-	return f.Rank() == 0 || f.needsRead(p.Began, now)
+	return f.ReaderRank() == 0 || f.needsRead(p.Began, now)
 }
 
 // step makes one call of the store and applies its answer.
@@ -135,7 +135,7 @@
 	}
 	f.pause.Reset()
 	if fresh && !isFirst {
-		f.Read()
+		f.OnStoreRead()
 	}
 	if f.hasEvents {
 		retry.Sleep(ctx, eventGatherDelay)
@@ -148,7 +148,7 @@
 // whether the answer was newer than the known state.
 func (f *targetsFollower) readOrWatch(ctx context.Context, isFirst bool) (fresh bool, err error) {
 	f.hasEvents = false
-	if f.watchRevision > 0 && f.Rank() == 0 && clock.Since(f.lastFullRead) < fullReadInterval {
+	if f.watchRevision > 0 && f.ReaderRank() == 0 && clock.Since(f.lastFullRead) < fullReadInterval {
 		return f.watch(ctx)
 	}
 	r, err := f.readTargets(ctx, isFirst)
@@ -157,10 +157,10 @@
 	}
 	if isFirst {
 		f.copyBegan = r.Began
-		return f.Learn(r, "store's copy"), nil
+		return f.ApplyReading(r, "store's copy"), nil
 	}
 	f.watchRevision, f.lastFullRead = r.Revision, clock.Now()
-	return f.Learn(r, "store"), nil
+	return f.ApplyReading(r, "store"), nil
 }
 
 // watch waits up to readInterval for changes of the targets, applies them, and reports whether the
@@ -176,13 +176,13 @@
 		began = began.Add(readInterval) // the store waited that long and found no change
 	}
 	f.hasEvents = len(events) > 0
-	return f.Follow(events, revision, began), nil
+	return f.ApplyEvents(events, revision, began), nil
 }
 
 // awaitsUpdates reports whether a process that started with a copy still leaves it to its peers
 // to update it, rather than read the store.
 func (c *Catalog) awaitsUpdates(copyBegan, now time.Time) bool {
-	return c.Rank() == maxRank && now.Before(copyBegan.Add(maxCopyAge+confirmTimeout))
+	return c.ReaderRank() == maxRank && now.Before(copyBegan.Add(maxCopyAge+confirmTimeout))
 }
 
 // readTargets lists the targets. With stale set, as for a process that knows none, it reads a copy
@@ -198,8 +198,8 @@
 	return Reading{revision, items, began}, err
 }
 
-// Learn applies a reading of all targets, and reports whether it was newer than the known state.
-func (c *Catalog) Learn(r Reading, from string) bool {
+// ApplyReading applies a reading of all targets, and reports whether it was newer than the known state.
+func (c *Catalog) ApplyReading(r Reading, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p := c.snapshot.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
@@ -223,9 +223,9 @@
 	return true
 }
 
-// Follow applies the events of a watch of the targets up to a revision, and reports whether they
+// ApplyEvents applies the events of a watch of the targets up to a revision, and reports whether they
 // were newer than the known state.
-func (c *Catalog) Follow(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
+func (c *Catalog) ApplyEvents(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.snapshot.Load() == nil || c.isOlder(revision, began) {
@@ -238,9 +238,9 @@
 	}
 	var lost []*entry
 	for key, i := range last {
-		if e := c.entriesByKey[key]; i.Gone && e != nil && e.missingSince.IsZero() {
+		if e := c.entriesByKey[key]; i.Deleted && e != nil && e.missingSince.IsZero() {
 			lost = append(lost, e)
-		} else if !i.Gone {
+		} else if !i.Deleted {
 			c.applyItem(i, "store", now)
 		}
 	}
@@ -266,13 +266,13 @@
 // publish stores a new snapshot of the known targets, as confirmed at a revision in a call that
 // began at a given time. c.mu must be held.
 func (c *Catalog) publish(revision hookhall.Revision, began, now time.Time) {
-	p := &Picture{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
+	p := &Snapshot{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
 	old := c.snapshot.Load()
 	if old == nil || c.hasLapsed(old.Began) {
 		c.markAllDirty()
 	}
 	if old != nil {
-		p.ByPool, p.Evacuated = old.ByPool, old.Evacuated
+		p.ByPool, p.EvacuatedServices = old.ByPool, old.EvacuatedServices
 	}
 	if len(c.changesByPool) > 0 {
 		c.rebuild(p, now)
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -16,15 +16,15 @@
 // times. A process that has missed all of them repairs the buckets that differ.
 const changeResendTime = time.Second
 
-// Buckets is the number of buckets into which the targets are divided by the hash of their keys.
+// BucketCount is the number of buckets into which the targets are divided by the hash of their keys.
 // With 3,000 targets, a bucket has some 50, and its repair takes some 2 KB.
-const Buckets = 64
+const BucketCount = 64
 
 // bucketOf returns the bucket of a key.
-func bucketOf(key string) int { return int(xxhash.Sum64String(key) % Buckets) }
+func bucketOf(key string) int { return int(xxhash.Sum64String(key) % BucketCount) }
 
 // Digests has the digest of the listed targets of each bucket. Equal digests mean equal lists.
-type Digests [Buckets]uint64
+type Digests [BucketCount]uint64
 
 // combined returns the digest of all targets.
 func (d *Digests) combined() uint64 {
@@ -35,9 +35,9 @@
 	return sum
 }
 
-// News has the recent changes of the targets, for peers. A process that has all earlier changes
+// Update has the recent changes of the targets, for peers. A process that has all earlier changes
 // arrives at the same list, as the digest shows.
-type News struct {
+type Update struct {
 	Revision hookhall.Revision
 	Began    time.Time       // when the confirming reading began, by this process's monotonic clock
 	Digest   uint64          // of all targets
@@ -45,15 +45,15 @@
 	Gone     []string        // keys that are no longer listed
 }
 
-// News returns the update to send to peers, with the changes of the last changeResendTime.
-func (c *Catalog) News(now time.Time) News {
+// RecentUpdate returns the update to send to peers, with the changes of the last changeResendTime.
+func (c *Catalog) RecentUpdate(now time.Time) Update {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.snapshot.Load()
 	if p == nil {
-		return News{}
+		return Update{}
 	}
-	n := News{Revision: p.Revision, Began: p.Began, Digest: p.Digest}
+	n := Update{Revision: p.Revision, Began: p.Began, Digest: p.Digest}
 	for key, e := range c.entriesByKey {
 		switch {
 		case now.Sub(e.changedAt) > changeResendTime:
@@ -68,10 +68,10 @@
 	return n
 }
 
-// LearnNews applies an update of a peer. It reports whether the update was newer, and whether this
+// ApplyUpdate applies an update of a peer. It reports whether the update was newer, and whether this
 // process lacks earlier changes, as a different digest shows. With such a gap the changes
 // are applied, but the snapshot keeps its revision and age until the gap is repaired.
-func (c *Catalog) LearnNews(n News, from string) (fresh, gap bool) {
+func (c *Catalog) ApplyUpdate(n Update, from string) (fresh, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.snapshot.Load()
@@ -114,9 +114,9 @@
 	Digest uint64
 }
 
-// Differing returns the repair for a peer: the listed targets of the buckets in which the peer's
+// DifferingBuckets returns the repair for a peer: the listed targets of the buckets in which the peer's
 // digests differ from those of this process.
-func (c *Catalog) Differing(theirs Digests) Repair {
+func (c *Catalog) DifferingBuckets(theirs Digests) Repair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.snapshot.Load()
@@ -124,8 +124,8 @@
 		return Repair{}
 	}
 	r := Repair{Reading: Reading{Revision: p.Revision, Began: p.Began}, Digest: c.bucketDigests.combined()}
-	differs := [Buckets]bool{}
-	for b := range Buckets {
+	differs := [BucketCount]bool{}
+	for b := range BucketCount {
 		if c.bucketDigests[b] != theirs[b] {
 			differs[b] = true
 			r.Buckets = append(r.Buckets, b)
@@ -156,9 +156,9 @@
 	return r
 }
 
-// LearnRepair applies a repair from a peer, and reports whether the snapshot is now as recent as
+// ApplyRepair applies a repair from a peer, and reports whether the snapshot is now as recent as
 // the peer's, which requires that all buckets agree. Otherwise it keeps its revision and age.
-func (c *Catalog) LearnRepair(r Repair, from string) bool {
+func (c *Catalog) ApplyRepair(r Repair, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.snapshot.Load()
@@ -166,9 +166,9 @@
 		return false
 	}
 	now := clock.Now()
-	repaired := [Buckets]bool{}
+	repaired := [BucketCount]bool{}
 	for _, b := range r.Buckets {
-		if b < 0 || b >= Buckets {
+		if b < 0 || b >= BucketCount {
 			return false
 		}
 		repaired[b] = true
--- a/internal/coordination/catalog/updates_test.go
+++ b/internal/coordination/catalog/updates_test.go
@@ -29,43 +29,43 @@
 func TestUpdates(t *testing.T) {
 	Convey("Given a reader and a follower with the same targets", t, func() {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(readyReading(1, "a", "b", "c"), "store")
-		follower.Learn(readyReading(1, "a", "b", "c"), "store")
-		began := follower.Picture().Began
+		reader.ApplyReading(readyReading(1, "a", "b", "c"), "store")
+		follower.ApplyReading(readyReading(1, "a", "b", "c"), "store")
+		began := follower.Snapshot().Began
 		Convey("an update without changes confirms the follower's state", func() {
-			reader.Learn(readyReading(2, "a", "b", "c"), "store")
-			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
-			So(follower.Picture().Revision, ShouldEqual, 2)
-			So(follower.Picture().Began.After(began), ShouldBeTrue)
+			reader.ApplyReading(readyReading(2, "a", "b", "c"), "store")
+			So(isNewer(follower.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")), ShouldBeTrue)
+			So(follower.Snapshot().Revision, ShouldEqual, 2)
+			So(follower.Snapshot().Began.After(began), ShouldBeTrue)
 		})
 		Convey("an update brings changes and a new age", func() {
-			reader.Learn(readyReading(2, "a", "b", "d"), "store")
-			So(isNewer(follower.LearnNews(reader.News(time.Now()), "reader")), ShouldBeTrue)
-			So(follower.Picture().Digest, ShouldEqual, reader.Picture().Digest)
-			So(follower.Picture().Revision, ShouldEqual, 2)
+			reader.ApplyReading(readyReading(2, "a", "b", "d"), "store")
+			So(isNewer(follower.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")), ShouldBeTrue)
+			So(follower.Snapshot().Digest, ShouldEqual, reader.Snapshot().Digest)
+			So(follower.Snapshot().Revision, ShouldEqual, 2)
 			So(len(follower.Targets("pool")), ShouldEqual, 3)
 		})
 		Convey("a gap leaves revision and age of the snapshot as they were", func() {
-			reader.Learn(readyReading(2, "a", "b", "d"), "store")
-			n := reader.News(time.Now())
+			reader.ApplyReading(readyReading(2, "a", "b", "d"), "store")
+			n := reader.RecentUpdate(time.Now())
 			n.Gone = nil // the update with the end of c was lost earlier
-			So(hasGap(follower.LearnNews(n, "reader")), ShouldBeTrue)
-			So(follower.Picture().Revision, ShouldEqual, 1)
-			So(follower.Picture().Began, ShouldEqual, began)
-			So(follower.Known(), ShouldContainKey, "d")
+			So(hasGap(follower.ApplyUpdate(n, "reader")), ShouldBeTrue)
+			So(follower.Snapshot().Revision, ShouldEqual, 1)
+			So(follower.Snapshot().Began, ShouldEqual, began)
+			So(follower.KnownTargets(), ShouldContainKey, "d")
 		})
 		Convey("an older update changes nothing", func() {
-			old := reader.News(time.Now())
-			follower.Learn(readyReading(3, "a"), "store")
-			So(isNewer(follower.LearnNews(old, "reader")), ShouldBeFalse)
+			old := reader.RecentUpdate(time.Now())
+			follower.ApplyReading(readyReading(3, "a"), "store")
+			So(isNewer(follower.ApplyUpdate(old, "reader")), ShouldBeFalse)
 		})
 		Convey("a process without a snapshot ignores updates", func() {
-			So(isNewer(newCatalog(newFakeStore()).LearnNews(reader.News(time.Now()), "reader")), ShouldBeFalse)
+			So(isNewer(newCatalog(newFakeStore()).ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")), ShouldBeFalse)
 		})
 	})
 }
 
-// isNewer and hasGap select one of the two results of LearnNews.
+// isNewer and hasGap select one of the two results of ApplyUpdate.
 func isNewer(fresh, _ bool) bool { return fresh }
 func hasGap(_, gap bool) bool    { return gap }
 
@@ -79,8 +79,8 @@
 func TestRandomUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reader, follower := newCatalog(newFakeStore()), newCatalog(newFakeStore())
-		reader.Learn(readyReading(1, "x0"), "store")
-		follower.Learn(readyReading(1, "x0"), "store")
+		reader.ApplyReading(readyReading(1, "x0"), "store")
+		follower.ApplyReading(readyReading(1, "x0"), "store")
 		for at := hookhall.Revision(2); at < 30; at++ {
 			var ids []string
 			for i := range 6 {
@@ -88,20 +88,20 @@
 					ids = append(ids, fmt.Sprint("x", i))
 				}
 			}
-			reader.Learn(readyReading(at, ids...), "store")
+			reader.ApplyReading(readyReading(at, ids...), "store")
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			before := follower.Picture().Revision
-			follower.LearnNews(reader.News(time.Now()), "reader")
-			p := follower.Picture()
-			if p.Digest != reader.Picture().Digest {
+			before := follower.Snapshot().Revision
+			follower.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")
+			p := follower.Snapshot()
+			if p.Digest != reader.Snapshot().Digest {
 				if p.Revision != before {
 					t.Fatal("a gap was confirmed")
 				}
 				continue
 			}
-			for id := range reader.Known() {
+			for id := range reader.KnownTargets() {
 				if isListed(reader, id) != isListed(follower, id) {
 					t.Fatalf("%s differs under equal digests", id)
 				}
@@ -118,18 +118,18 @@
 		s.targets["a"] = "ready"
 		s.changed = make(chan struct{})
 		first, follower := newCatalog(s), newCatalog(s)
-		follower.Rank = func() int { return 2 }
+		follower.ReaderRank = func() int { return 2 }
 		var isSilent atomic.Bool
-		first.Read = func() {
+		first.OnStoreRead = func() {
 			if isSilent.Load() {
 				return
 			}
-			follower.LearnNews(first.News(time.Now()), "first")
+			follower.ApplyUpdate(first.RecentUpdate(time.Now()), "first")
 			revision, age := first.TableAge(time.Now())
 			follower.ConfirmTable(revision, time.Now().Add(-age))
 		}
 		var ownReads atomic.Int64
-		follower.Read = func() { ownReads.Add(1) }
+		follower.OnStoreRead = func() { ownReads.Add(1) }
 		s.setTable(1)
 		ctx := t.Context()
 		done := make(chan struct{}, 2)
--- a/internal/coordination/claims/claims.go
+++ b/internal/coordination/claims/claims.go
@@ -60,7 +60,7 @@
 	maxSettleAttempts = 30
 	// MaxAnswerBytes is the size in bytes of the largest answer that is stored with a
 	// claim; a larger one is dropped.
-	KeepAnswer = 64 << 10
+	MaxAnswerBytes = 64 << 10
 )
 
 // Claims implements the three roles of this process: origin, owner and standby.
@@ -112,7 +112,7 @@
 // record of a claim that has finished, or a *hookhall.Error. Digest identifies
 // the request's content: a key that was used with another digest is refused.
 func (c *Claims) Acquire(ctx context.Context, key string, digest uint64) (*Ticket, *hookhall.Record, error) {
-	pause := retry.Between(minHeldPause, maxHeldPause)
+	pause := retry.NewWithDelays(minHeldPause, maxHeldPause)
 	for {
 		requestedAt := clock.Now()
 		q := hookhall.ClaimRequest{Key: key, Digest: digest, Origin: c.fleet.Self().ID, Token: c.lastToken.Add(1)}
@@ -137,7 +137,7 @@
 				continue
 			}
 			err = hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseInProgress,
-				"another submission with this key is still running").After(maxHeldPause)
+				"another submission with this key is still running").WithRetryAfter(maxHeldPause)
 		}
 		c.held.Add(1)
 		c.logNotGranted(key, reply.Record, requestedAt, err)
@@ -163,7 +163,7 @@
 		return true, nil
 	case r.State == hookhall.StateUnknown:
 		return false, unknownOutcomeError(c.store.Retention())
-	case !c.store.Placement().Alive(r.Origin):
+	case !c.store.Placement().IsMember(r.Origin):
 		return false, unknownOutcomeError(c.store.Retention())
 	}
 	return false, nil
@@ -173,7 +173,7 @@
 // place; a retry makes sense after the retention.
 func unknownOutcomeError(retention time.Duration) error {
 	return hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseUnknown,
-		"an earlier submission with this key may have run, and its outcome is not known").After(retention)
+		"an earlier submission with this key may have run, and its outcome is not known").WithRetryAfter(retention)
 }
 
 // Peek returns hookhall.NotRun when nobody has claimed the key, and
@@ -190,7 +190,7 @@
 // held, with at most maxRequestAttempts attempts. With token 0 it only reads, and
 // ends with ClaimRefused, too, which then says that there is no claim.
 func (c *Claims) requestClaim(ctx context.Context, q hookhall.ClaimRequest) (hookhall.ClaimReply, error) {
-	pause := retry.Between(minHeldPause, maxHeldPause)
+	pause := retry.NewWithDelays(minHeldPause, maxHeldPause)
 	last := hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseNoClaim, "no owner of the key could be asked")
 	for i := 0; i < maxRequestAttempts && ctx.Err() == nil; i++ {
 		p := c.store.Placement()
@@ -215,7 +215,7 @@
 			last = hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoClaim, "the key's standby did not answer")
 		case reply.Outcome == hookhall.ClaimLost:
 			last = hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseNoClaim,
-				"records of earlier submissions may have been lost").After(reply.RetryAfter)
+				"records of earlier submissions may have been lost").WithRetryAfter(reply.RetryAfter)
 			if reply.RetryAfter > maxHeldPause {
 				return reply, last
 			}
@@ -309,7 +309,7 @@
 // in the background, which Drain waits for. An answer that is larger than
 // MaxAnswerBytes is not stored.
 func (c *Claims) Settle(t *Ticket, state hookhall.RecordState, answer []byte, wait time.Duration) {
-	if len(answer) > KeepAnswer {
+	if len(answer) > MaxAnswerBytes {
 		answer = nil
 	}
 	done := make(chan struct{})
--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -62,7 +62,7 @@
 	for _, c := range p.entries {
 		c.fleet.Adopt(p.view)
 		for slot := range uint32(view.SlotCount) {
-			c.store.Forget(slot, p.view.Epoch)
+			c.store.MarkCompleteBefore(slot, p.view.Epoch)
 		}
 	}
 	return p
@@ -71,8 +71,8 @@
 func newEntry(m hookhall.Member, p hookhall.Peers) *Claims {
 	quiet := log.New(io.Discard)
 	s := claim.New(m.ID, keyRetention)
-	return New(s, fleet.New(fleet.Parts{
-		Self: m, Peers: p, Store: s, Tables: tables.NewKeeper(nil, quiet), Log: quiet,
+	return New(s, fleet.New(fleet.Config{
+		Self: m, Peers: p, Store: s, Tables: tables.NewFollower(nil, quiet), Log: quiet,
 	}), p, quiet)
 }
 
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -21,7 +21,7 @@
 )
 
 // SuccessorCount is the number of members that each member sends heartbeats to.
-const Successors = 3
+const SuccessorCount = 3
 
 const (
 	// viewWriteTimeout bounds one change of the view, retries included.
@@ -34,16 +34,16 @@
 // Timing holds the settings of failure detection.
 type Timing struct {
 	// HeartbeatInterval is the time between heartbeats to one member, and their timeout.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// SuspectThreshold is the number of failed heartbeats in a row after which other members
 	// are asked to probe the member.
-	Suspect int
+	SuspectThreshold int
 	// ListInterval is the time between reads of the platform's instance list.
-	List time.Duration
+	ListInterval time.Duration
 }
 
 // DefaultTiming detects a dead member within some two seconds.
-var DefaultTiming = Timing{Heartbeat: 500 * time.Millisecond, Suspect: 3, List: 2 * time.Second}
+var DefaultTiming = Timing{HeartbeatInterval: 500 * time.Millisecond, SuspectThreshold: 3, ListInterval: 2 * time.Second}
 
 // Fleet maintains the membership of this process, and this process's copy of the
 // view. It is safe for concurrent use.
@@ -53,7 +53,7 @@
 	instanceList hookhall.InstanceList
 	peers        hookhall.Peers
 	store        *claim.Store
-	tables       *tables.Keeper
+	tables       *tables.Follower
 	timing       Timing
 	log          *log.Logger
 
@@ -84,7 +84,7 @@
 type Listing struct {
 	Instances []hookhall.Instance
 	// ReadAt is the time of the read, by package clock.
-	At time.Time
+	ReadAt time.Time
 }
 
 // Has reports whether the list has an instance with the ID.
@@ -98,31 +98,31 @@
 }
 
 // Config holds the dependencies and settings of a Fleet.
-type Parts struct {
+type Config struct {
 	// Self is this process as a member.
 	Self hookhall.Member
 	// KV stores the view.
 	KV hookhall.KeyValue
 	// InstanceList is the platform's instance list.
-	List hookhall.InstanceList
+	InstanceList hookhall.InstanceList
 	// Peers gives the clients of other members.
 	Peers hookhall.Peers
 	// Store holds the claims and the view in force.
 	Store *claim.Store
 	// Tables holds the routing table, whose versions heartbeats carry.
-	Tables *tables.Keeper
+	Tables *tables.Follower
 	// Timing is replaced by DefaultTiming if its HeartbeatInterval is 0.
 	Timing Timing
 	Log    *log.Logger
 }
 
 // New returns a Fleet whose process is not yet a member of the view.
-func New(config Parts) *Fleet {
-	if config.Timing.Heartbeat == 0 {
+func New(config Config) *Fleet {
+	if config.Timing.HeartbeatInterval == 0 {
 		config.Timing = DefaultTiming
 	}
 	return &Fleet{
-		self: config.Self, kv: config.KV, instanceList: config.List, peers: config.Peers, store: config.Store,
+		self: config.Self, kv: config.KV, instanceList: config.InstanceList, peers: config.Peers, store: config.Store,
 		tables: config.Tables, timing: config.Timing, log: config.Log,
 		suspicions: map[string]suspicion{}, repairRequested: make(chan struct{}, 1),
 	}
@@ -135,11 +135,11 @@
 func (f *Fleet) View() *hookhall.View { return f.store.Placement().View }
 
 // LatestListing returns the instance list as last read, nil before the first read.
-func (f *Fleet) Listed() *Listing { return f.listing.Load() }
+func (f *Fleet) LatestListing() *Listing { return f.listing.Load() }
 
 // ViewWrites returns the number of view writes that this process has attempted since its
 // start, failed ones included.
-func (f *Fleet) Writes() int64 { return f.viewWrites.Load() }
+func (f *Fleet) ViewWrites() int64 { return f.viewWrites.Load() }
 
 // Adopt puts a view in force, whatever its source; an older one is ignored.
 func (f *Fleet) Adopt(v *hookhall.View) {
@@ -181,7 +181,7 @@
 }
 
 // adoptStored adopts a view as read from the key-value service.
-func (f *Fleet) adoptStored(entry hookhall.Entry) error {
+func (f *Fleet) adoptStored(entry hookhall.KeyValueEntry) error {
 	v, err := view.Decode(entry.Value)
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 }
 
 // isMember reports whether this process is in the view in force.
-func (f *Fleet) isMember() bool { return f.store.Placement().Alive(f.self.ID) }
+func (f *Fleet) isMember() bool { return f.store.Placement().IsMember(f.self.ID) }
 
 // Join adds this process to the view. Run adds it again whenever it was removed,
 // also if this call returns an error.
@@ -265,7 +265,7 @@
 	for len(waiting) > 0 {
 		var next []hookhall.Member
 		for _, m := range waiting {
-			if !f.store.Placement().Alive(m.ID) {
+			if !f.store.Placement().IsMember(m.ID) {
 				continue // it has left or was removed: others now own its slots
 			}
 			if complete, err := f.askComplete(ctx, m, epoch); err != nil || !complete {
@@ -283,9 +283,9 @@
 // askComplete asks a member whether it holds a complete copy of the records of its
 // slots, at the epoch or a later one.
 func (f *Fleet) askComplete(ctx context.Context, m hookhall.Member, epoch uint64) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
+	ctx, cancel := context.WithTimeout(ctx, f.timing.HeartbeatInterval)
 	defer cancel()
-	return f.peers.Peer(m.Address).Whole(ctx, epoch)
+	return f.peers.Peer(m.Address).IsComplete(ctx, epoch)
 }
 
 // sweepLoop drops expired claims every few seconds.
--- a/internal/coordination/fleet/heartbeat.go
+++ b/internal/coordination/fleet/heartbeat.go
@@ -31,9 +31,9 @@
 // heartbeatLoop probes this process's successors, all at once, about every
 // Timing.HeartbeatInterval.
 func (f *Fleet) heartbeatLoop(ctx context.Context) {
-	for retry.Sleep(ctx, retry.Jitter(f.timing.Heartbeat)) {
+	for retry.Sleep(ctx, retry.Jitter(f.timing.HeartbeatInterval)) {
 		var wg sync.WaitGroup
-		for _, m := range successors(f.View().Members, f.self.ID, Successors) {
+		for _, m := range successors(f.View().Members, f.self.ID, SuccessorCount) {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
@@ -65,7 +65,7 @@
 // confirm. A process that is not a member removes nobody: it may be the one that is cut off.
 func (f *Fleet) checkMember(ctx context.Context, m hookhall.Member) {
 	s := f.countProbeResult(m, f.Probe(ctx, m))
-	if s.failedProbes < f.timing.Suspect || ctx.Err() != nil || f.leaving.Load() || !f.isMember() {
+	if s.failedProbes < f.timing.SuspectThreshold || ctx.Err() != nil || f.leaving.Load() || !f.isMember() {
 		return
 	}
 	reached, isolated := f.askWitnesses(ctx, m)
@@ -91,7 +91,7 @@
 	if failedAt := f.serviceFailedAt.Load(); failedAt != nil && failedAt.After(since) {
 		since = *failedAt
 	}
-	return f.isMember() && clock.Since(since) >= isolatedSuspectFactor*time.Duration(f.timing.Suspect)*f.timing.Heartbeat
+	return f.isMember() && clock.Since(since) >= isolatedSuspectFactor*time.Duration(f.timing.SuspectThreshold)*f.timing.HeartbeatInterval
 }
 
 // noteServiceFailure records that a watch or read of the view failed now.
@@ -139,20 +139,20 @@
 
 // probe sends one heartbeat, with the encoded view unless that is nil.
 func (f *Fleet) probe(ctx context.Context, m hookhall.Member, encoded []byte) error {
-	timeout := f.timing.Heartbeat
+	timeout := f.timing.HeartbeatInterval
 	probeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	peer := f.peers.Peer(m.Address)
 	sentEpoch := f.View().Epoch
 	reply, err := peer.Probe(probeCtx, hookhall.Probe{
-		From: f.self.ID, Epoch: sentEpoch, TableVersion: f.tables.Version(), View: encoded, Leaving: f.listedLeaving(),
+		From: f.self.ID, Epoch: sentEpoch, TableVersion: f.tables.Version(), View: encoded, LeavingTargets: f.listedLeaving(),
 	})
 	if err != nil {
 		return err
 	}
-	f.leavingReports.add(reply.Leaving, clock.Now())
+	f.leavingReports.add(reply.LeavingTargets, clock.Now())
 	f.adoptEncoded(reply.View)
-	f.tables.Hint(ctx, reply.TableVersion, peer)
+	f.tables.PullIfNewer(ctx, reply.TableVersion, peer)
 	if reply.Epoch < sentEpoch && encoded == nil {
 		return f.Push(ctx, m)
 	}
@@ -161,9 +161,9 @@
 
 // FetchNewestTable fetches the newest table among this process's successors. It is called before
 // the process serves, since the key-value service may have returned an older one.
-func (f *Fleet) CatchUp(ctx context.Context) {
-	for _, m := range successors(f.View().Members, f.self.ID, Successors) {
-		probeCtx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
+func (f *Fleet) FetchNewestTable(ctx context.Context) {
+	for _, m := range successors(f.View().Members, f.self.ID, SuccessorCount) {
+		probeCtx, cancel := context.WithTimeout(ctx, f.timing.HeartbeatInterval)
 		peer := f.peers.Peer(m.Address)
 		reply, err := peer.Probe(probeCtx, hookhall.Probe{From: f.self.ID, Epoch: f.View().Epoch, TableVersion: f.tables.Version()})
 		cancel()
@@ -193,12 +193,12 @@
 // older.
 func (f *Fleet) HandleProbe(ctx context.Context, p hookhall.Probe) hookhall.ProbeReply {
 	f.adoptEncoded(p.View)
-	f.leavingReports.add(p.Leaving, clock.Now())
+	f.leavingReports.add(p.LeavingTargets, clock.Now())
 	v := f.View()
 	if m, ok := view.Find(v, p.From); ok {
-		f.tables.Hint(context.WithoutCancel(ctx), p.TableVersion, f.peers.Peer(m.Address))
+		f.tables.PullIfNewer(context.WithoutCancel(ctx), p.TableVersion, f.peers.Peer(m.Address))
 	}
-	reply := hookhall.ProbeReply{ID: f.self.ID, Epoch: v.Epoch, TableVersion: f.tables.Version(), Leaving: f.listedLeaving()}
+	reply := hookhall.ProbeReply{ID: f.self.ID, Epoch: v.Epoch, TableVersion: f.tables.Version(), LeavingTargets: f.listedLeaving()}
 	// An admin process sends epoch 0 and keeps no view.
 	if p.Epoch < v.Epoch && p.From != "admin" {
 		reply.View = view.Encode(v)
@@ -208,7 +208,7 @@
 
 // HandleProbeFor probes an address for another member, and reports whether it answered.
 func (f *Fleet) HandleProbeFor(ctx context.Context, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, f.timing.Heartbeat)
+	ctx, cancel := context.WithTimeout(ctx, f.timing.HeartbeatInterval)
 	defer cancel()
 	_, err := f.peers.Peer(address).Probe(ctx, hookhall.Probe{From: f.self.ID, Epoch: f.View().Epoch})
 	return err == nil
@@ -226,7 +226,7 @@
 			continue
 		}
 		asked++
-		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
+		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.HeartbeatInterval)
 		seen, err := f.peers.Peer(witness.Address).ProbeFor(witnessCtx, m.Address)
 		cancel()
 		if err == nil {
@@ -258,14 +258,14 @@
 // or one that was read more than three intervals ago, proves nothing.
 func (f *Fleet) isUnlisted(m hookhall.Member) bool {
 	listing := f.listing.Load()
-	return listing != nil && clock.Since(listing.At) < 3*f.timing.List && len(listing.Instances) > 0 && !listing.Has(m.Instance)
+	return listing != nil && clock.Since(listing.ReadAt) < 3*f.timing.ListInterval && len(listing.Instances) > 0 && !listing.Has(m.Instance)
 }
 
 // listLoop reads the instance list every Timing.ListInterval, and fences removed members that it
 // no longer has.
 func (f *Fleet) listLoop(ctx context.Context) {
 	// An empty list is read again sooner: the list of a new fleet lags.
-	emptyPause := retry.Between(min(retry.First, f.timing.List), f.timing.List)
+	emptyPause := retry.NewWithDelays(min(retry.DefaultMinDelay, f.timing.ListInterval), f.timing.ListInterval)
 	for ctx.Err() == nil {
 		list, err := f.instanceList.List(ctx)
 		if err == nil {
@@ -278,7 +278,7 @@
 			emptyPause.Wait(ctx)
 			continue
 		}
-		if !retry.Sleep(ctx, retry.Jitter(f.timing.List)) {
+		if !retry.Sleep(ctx, retry.Jitter(f.timing.ListInterval)) {
 			return
 		}
 	}
--- a/internal/coordination/fleet/leaving.go
+++ b/internal/coordination/fleet/leaving.go
@@ -44,7 +44,9 @@
 
 // IsReportedLeaving reports whether a peer's recent heartbeat reported the target as leaving. The
 // instance list lags, so peers may know it earlier.
-func (f *Fleet) HeardLeaving(id string, now time.Time) bool { return f.leavingReports.has(id, now) }
+func (f *Fleet) IsReportedLeaving(id string, now time.Time) bool {
+	return f.leavingReports.has(id, now)
+}
 
 // listedLeaving returns the IDs of the targets that are leaving by the instance list that this
 // process has read, at most maxLeavingTargets.
--- a/internal/coordination/fleet/membership_test.go
+++ b/internal/coordination/fleet/membership_test.go
@@ -36,18 +36,18 @@
 // platform's instance list.
 type fakePlatform struct {
 	mu        sync.Mutex
-	entry     hookhall.Entry
+	entry     hookhall.KeyValueEntry
 	changed   chan struct{} // closed at the next write
 	down      bool
 	instances []hookhall.Instance
 }
 
-func (s *fakePlatform) Get(context.Context, string) (hookhall.Entry, error) {
+func (s *fakePlatform) Get(context.Context, string) (hookhall.KeyValueEntry, error) {
 	time.Sleep(callLatency)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return hookhall.Entry{}, hookhall.ErrUnavailable
+		return hookhall.KeyValueEntry{}, hookhall.ErrUnavailable
 	}
 	return s.entry, nil
 }
@@ -70,7 +70,7 @@
 
 func (s *fakePlatform) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
 
-func (s *fakePlatform) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.Entry, error) {
+func (s *fakePlatform) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.KeyValueEntry, error) {
 	s.mu.Lock()
 	changed, behind := s.changed, s.entry.Index != index
 	s.mu.Unlock()
@@ -81,7 +81,7 @@
 		case <-changed:
 		case <-timer.C:
 		case <-ctx.Done():
-			return hookhall.Entry{}, ctx.Err()
+			return hookhall.KeyValueEntry{}, ctx.Err()
 		}
 	}
 	return s.Get(ctx, key)
@@ -113,7 +113,7 @@
 }
 
 // memberLink is one member's client of another.
-type way struct {
+type memberLink struct {
 	hookhall.Peer
 	m        *memberGroup
 	from, to string
@@ -126,12 +126,12 @@
 }
 
 func (w memberPeers) Peer(address string) hookhall.Peer {
-	return way{m: w.m, from: w.from, to: address}
+	return memberLink{m: w.m, from: w.from, to: address}
 }
 
 // deliver waits for callLatency and returns the member that is called. If the link is cut, it
 // waits until ctx ends and returns its error.
-func (w way) deliver(ctx context.Context) (*Fleet, error) {
+func (w memberLink) deliver(ctx context.Context) (*Fleet, error) {
 	time.Sleep(callLatency)
 	w.m.mu.Lock()
 	cut := w.m.cutLinks
@@ -144,7 +144,7 @@
 	return w.m.fleets[w.to], nil
 }
 
-func (w way) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
+func (w memberLink) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
 	f, err := w.deliver(ctx)
 	if err != nil {
 		return hookhall.ProbeReply{}, err
@@ -152,7 +152,7 @@
 	return f.HandleProbe(ctx, p), nil
 }
 
-func (w way) ProbeFor(ctx context.Context, address string) (bool, error) {
+func (w memberLink) ProbeFor(ctx context.Context, address string) (bool, error) {
 	f, err := w.deliver(ctx)
 	if err != nil {
 		return false, err
@@ -160,7 +160,7 @@
 	return f.HandleProbeFor(ctx, address), nil
 }
 
-func (w way) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
+func (w memberLink) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
 	f, err := w.deliver(ctx)
 	if err != nil {
 		return hookhall.FetchReply{}, err
@@ -168,12 +168,12 @@
 	return f.HandleFetch(q), nil
 }
 
-func (w way) Whole(ctx context.Context, epoch uint64) (bool, error) {
+func (w memberLink) IsComplete(ctx context.Context, epoch uint64) (bool, error) {
 	f, err := w.deliver(ctx)
 	if err != nil {
 		return false, err
 	}
-	return f.store.Whole(epoch), nil
+	return f.store.IsComplete(epoch), nil
 }
 
 // newMemberGroup starts n members, and returns when all are in the view.
@@ -186,9 +186,9 @@
 		name := fmt.Sprintf("m%d", i)
 		self := hookhall.Member{ID: name + "#1", Instance: name, Hall: name, Address: name}
 		m.platform.instances = append(m.platform.instances, hookhall.Instance{ID: name, Role: hookhall.RoleEntry, Hall: name, Address: name})
-		m.fleets[name] = New(Parts{
-			Self: self, KV: m.platform, List: m.platform, Peers: memberPeers{m, name},
-			Store: claim.New(self.ID, testRetention), Tables: tables.NewKeeper(m.platform, quiet), Log: quiet,
+		m.fleets[name] = New(Config{
+			Self: self, KV: m.platform, InstanceList: m.platform, Peers: memberPeers{m, name},
+			Store: claim.New(self.ID, testRetention), Tables: tables.NewFollower(m.platform, quiet), Log: quiet,
 		})
 	}
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/coordination/fleet/rejoin.go
+++ b/internal/coordination/fleet/rejoin.go
@@ -19,9 +19,9 @@
 // members can reach it. A process that can send but not be reached would otherwise
 // be removed and rejoin endlessly.
 func (f *Fleet) rejoinLoop(ctx context.Context) {
-	pause := retry.Between(f.timing.Heartbeat, maxRejoinPause)
+	pause := retry.NewWithDelays(f.timing.HeartbeatInterval, maxRejoinPause)
 	var rejoinedAt time.Time
-	for retry.Sleep(ctx, retry.Jitter(f.timing.Heartbeat)) {
+	for retry.Sleep(ctx, retry.Jitter(f.timing.HeartbeatInterval)) {
 		if f.leaving.Load() || !f.wantsMembership.Load() {
 			continue
 		}
@@ -46,10 +46,10 @@
 // reachable asks this process's successors to probe it, and reports whether at least half
 // of them reach it. It is true if there are no other members.
 func (f *Fleet) reachable(ctx context.Context) bool {
-	members := successors(f.View().Members, f.self.ID, Successors)
+	members := successors(f.View().Members, f.self.ID, SuccessorCount)
 	reached := 0
 	for _, m := range members {
-		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.Heartbeat)
+		witnessCtx, cancel := context.WithTimeout(ctx, 2*f.timing.HeartbeatInterval)
 		seen, err := f.peers.Peer(m.Address).ProbeFor(witnessCtx, f.self.Address)
 		cancel()
 		if err == nil && seen {
--- a/internal/coordination/fleet/repair.go
+++ b/internal/coordination/fleet/repair.go
@@ -45,12 +45,12 @@
 // of slots that still lack claims.
 func (f *Fleet) Repair(ctx context.Context) int {
 	for {
-		before := f.store.Missing()
+		before := f.store.MissingEpochs()
 		if len(before) == 0 || ctx.Err() != nil {
 			return len(before)
 		}
 		f.fetchMissing(ctx, before)
-		after := f.store.Missing()
+		after := f.store.MissingEpochs()
 		if !madeProgress(before, after) {
 			return len(after)
 		}
@@ -58,7 +58,7 @@
 }
 
 // madeProgress reports whether the list of missing layers has changed.
-func madeProgress(before, after []claim.Need) bool {
+func madeProgress(before, after []claim.MissingEpoch) bool {
 	if len(before) != len(after) {
 		return true
 	}
@@ -73,7 +73,7 @@
 // fetchMissing fetches each needed layer (the grants of one epoch for one slot) from the
 // owner and the standby of that epoch. A layer whose pair is gone is noted in the store as
 // lost.
-func (f *Fleet) fetchMissing(ctx context.Context, needs []claim.Need) {
+func (f *Fleet) fetchMissing(ctx context.Context, needs []claim.MissingEpoch) {
 	v := f.View()
 	now := clock.Now()
 	membersByEpoch := map[uint64][]hookhall.Member{}
@@ -82,7 +82,7 @@
 	for _, n := range needs {
 		members, ok := membersByEpoch[n.Epoch]
 		if !ok {
-			members, ok = view.At(v, n.Epoch)
+			members, ok = view.MembersAt(v, n.Epoch)
 			if !ok {
 				f.expireBeforeHistory(v, n, now)
 				continue
@@ -97,7 +97,7 @@
 			}
 		}
 		if isPairGone(v, pair) {
-			f.store.Lost(n, now)
+			f.store.MarkPairLost(n, now)
 		}
 	}
 	f.fetchFromMembers(ctx, v, slotsByMember, addressByMember)
@@ -165,11 +165,11 @@
 // no longer has. If no member is unfenced, all members of that epoch are gone or have
 // advanced to a later one, and their grants expire within the retention. After that time,
 // the layer and all earlier ones of the slot count as held.
-func (f *Fleet) expireBeforeHistory(v *hookhall.View, n claim.Need, now time.Time) {
+func (f *Fleet) expireBeforeHistory(v *hookhall.View, n claim.MissingEpoch, now time.Time) {
 	if len(v.Unfenced) > 0 {
 		return
 	}
-	if f.store.Lost(n, now) {
-		f.store.Forget(n.Slot, n.Epoch+1)
+	if f.store.MarkPairLost(n, now) {
+		f.store.MarkCompleteBefore(n.Slot, n.Epoch+1)
 	}
 }
--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -30,7 +30,7 @@
 // Key follows a key of kv until ctx ends. It calls apply with each entry that it reads, and
 // onError with each error of kv or apply. An entry may be passed to apply again unchanged,
 // since a Watch call also returns after 30 seconds without a change.
-func Key(ctx context.Context, kv hookhall.KeyValue, key string, apply func(hookhall.Entry) error, onError func(error)) {
+func Key(ctx context.Context, kv hookhall.KeyValue, key string, apply func(hookhall.KeyValueEntry) error, onError func(error)) {
 	var index uint64
 	pause := retry.New()
 	read := kv.Get // the first call is not Watch: a key that does not exist has no change to wait for
@@ -52,7 +52,7 @@
 		}
 		pause.Reset()
 		index = entry.Index
-		read = func(ctx context.Context, key string) (hookhall.Entry, error) {
+		read = func(ctx context.Context, key string) (hookhall.KeyValueEntry, error) {
 			return kv.Watch(ctx, key, index, watchTimeout)
 		}
 	}
--- a/internal/coordination/forward/attempt.go
+++ b/internal/coordination/forward/attempt.go
@@ -21,10 +21,10 @@
 // attempt is one attempt to have a target answer the request, with its outcome.
 type attempt struct {
 	reply  *hookhall.Reply
-	use    *balance.Use
+	use    *balance.ActiveCall
 	placed placement.Placement
 	// rolloutUse counts the attempt for a rollout, nil if no rollout includes the target.
-	rolloutUse *rollouts.Use
+	rolloutUse *rollouts.Attempt
 	err        *hookhall.Error
 	began      time.Time
 	// unread is set once the client has stalled the stream for unreadTimeLimit: the target may
@@ -38,7 +38,7 @@
 	duration := clock.Since(a.began)
 	a.use.Succeeded(duration)
 	a.rolloutUse.Answered(duration, false)
-	a.placed.Tell(placement.Read)
+	a.placed.Report(placement.PromptRead)
 }
 
 // recordFailure records a failure of the target. hard means that it could not be reached or did
@@ -46,7 +46,7 @@
 func (a *attempt) recordFailure(hard bool) {
 	a.use.Failed(hard, clock.Now())
 	if hard {
-		a.placed.Tell(placement.Failed)
+		a.placed.Report(placement.Failed)
 	}
 }
 
@@ -54,7 +54,7 @@
 func (a *attempt) recordEnd() {
 	a.use.End()
 	a.rolloutUse.End()
-	a.placed.Tell(placement.Ended)
+	a.placed.Report(placement.Ended)
 }
 
 // close closes the reply, if there is one, and records the end of the attempt.
@@ -77,7 +77,7 @@
 		if failure != nil || !r.Quarantine.Standing(r.contentDigest).RefusedBy(target.Software()) {
 			return target, failure
 		}
-		r.placed.Tell(placement.Ended)
+		r.placed.Report(placement.Ended)
 	}
 }
 
@@ -85,7 +85,7 @@
 // and targets of services of which some have a rate limit, are chosen by the service's
 // placement owner, if it answers; otherwise this process chooses.
 func (r *request) pickTarget(ctx context.Context) (hookhall.Target, *hookhall.Error) {
-	r.wish.Slack = max(clock.Until(r.firstByteDue), 0)
+	r.wish.LatencyBudget = max(clock.Until(r.firstByteDue), 0)
 	r.placed = placement.Placement{}
 	for {
 		r.wish.Versions = r.Rollouts.Versions(r.service, r.attempts == 0)
@@ -95,9 +95,9 @@
 		r.wish.Limiter = nil
 		if limited {
 			// Only the placement owner grants the rates of limited targets.
-			r.wish.Limiter = advisory.Grants{Book: r.Advisories}
+			r.wish.Limiter = advisory.Grants{Registry: r.Advisories}
 		}
-		if r.wish.Engine || limited || allCold(targets, clock.Now()) {
+		if r.wish.IsEngineCall || limited || allCold(targets, clock.Now()) {
 			if target, ok := r.requestPlacement(ctx, limits); ok {
 				return target, nil
 			}
@@ -113,7 +113,7 @@
 		// All targets are cold and have got their limit of requests for this second.
 		if !allCold(targets, clock.Now()) || clock.Now().After(r.firstByteDue) || !retry.Sleep(ctx, coldTargetPollInterval) {
 			failure := hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "no target of %s is left to try", r.service)
-			return hookhall.Target{}, failure.After(retryAfter(r.placed.RetryAfter, pauseLeft))
+			return hookhall.Target{}, failure.WithRetryAfter(retryAfter(r.placed.RetryAfter, pauseLeft))
 		}
 	}
 }
@@ -122,10 +122,10 @@
 // until the first pause ends, 0 if none pauses.
 func (r *request) exclude(targets []hookhall.Target) (pauseLeft time.Duration) {
 	paused, pauseLeft := r.Advisories.Paused(targets, clock.Now())
-	r.wish.Exclude = r.tried
+	r.wish.ExcludedTargets = r.tried
 	if len(paused) > 0 {
 		maps.Copy(paused, r.tried)
-		r.wish.Exclude = paused
+		r.wish.ExcludedTargets = paused
 	}
 	return pauseLeft
 }
@@ -164,15 +164,15 @@
 	targets := r.Catalog.Targets(r.service)
 	r.exclude(targets)
 	for _, target := range targets {
-		if target.ID != r.placed.Target || !r.wish.Allow(target) || r.wish.Exclude[target.ID] {
+		if target.ID != r.placed.Target || !r.wish.Allow(target) || r.wish.ExcludedTargets[target.ID] {
 			continue
 		}
-		if expired && (r.placed.Wait > 0 || r.Advisories.Status(target.Life()).Limit.Named) {
+		if expired && (r.placed.Wait > 0 || r.Advisories.Status(target.Incarnation()).Limit.Named) {
 			break
 		}
 		return target, true
 	}
-	r.placed.Tell(placement.Ended) // this process does not know the target, or may not use it now
+	r.placed.Report(placement.Ended) // this process does not know the target, or may not use it now
 	r.placed = placement.Placement{Choice: placement.Choice{RetryAfter: r.placed.RetryAfter}}
 	return hookhall.Target{}, false
 }
@@ -201,8 +201,8 @@
 	r.target = target
 	defer r.scheduleRelease()()
 	reply, err := r.Sender.Send(ctx, r.call, hookhall.Attempt{
-		Target: target, Account: r.accountName(), Left: clock.Until(r.deadline), Urgency: r.urgency(), Inputs: r.results.Handles(),
-		Once: !r.route.Repeatable(), After: after,
+		Target: target, Account: r.accountName(), Remaining: clock.Until(r.deadline), Urgency: r.urgency(), Inputs: r.results.Handles(),
+		AtMostOnce: !r.route.Repeatable(), ResumeAfter: after,
 	})
 	if err != nil {
 		a.err = hookhall.AsError(err)
@@ -230,7 +230,7 @@
 	}
 	r.retryWait = max(r.retryWait, now.Sub(r.retryGrantedAt))
 	r.retryGrantedAt = time.Time{}
-	return r.Budget.Renew(r.service, r.retryAccount, now)
+	return r.Budget.Revalidate(r.service, r.retryAccount, now)
 }
 
 // scheduleRelease releases the results of stages after the time in which the target should have
@@ -253,7 +253,7 @@
 	case info.Misdirected:
 		a.recordFailure(true)
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseMisdirected, "another target has the address")
-	case info.InputGone:
+	case info.InputMissing:
 		r.isResultLost = true
 		if r.results.Released() {
 			r.readTime.recordTooShort()
@@ -261,7 +261,7 @@
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseStage, "a result is gone")
 	}
 	a.use.Refused(now)
-	a.placed.Tell(placement.Full)
+	a.placed.Report(placement.AtCapacity)
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseRefused, "the target refused with status %d", a.reply.Status)
 }
 
@@ -269,8 +269,8 @@
 func (r *request) logFailedAttempt(a *attempt, target hookhall.Target, next string) {
 	r.Log.Warn("attempt failed", "request", r.call.ID, "content", r.contentDigest(), "bytes", len(r.call.Body), "service", r.service, "target", target.ID, "send", r.attempts,
 		"took_ms", clock.Since(a.began).Milliseconds(), "verdict", a.err.Verdict.String(), "cause", string(a.err.Cause),
-		"detail", a.err.Detail, "next", next, "repeats_held", r.retryAccount.Held, "repeats_most", r.retryAccount.Most,
-		"sharers", r.retryAccount.Sharers, "process_age_ms", r.retryAccount.Age.Milliseconds())
+		"detail", a.err.Detail, "next", next, "repeats_held", r.retryAccount.Available, "repeats_most", r.retryAccount.Capacity,
+		"sharers", r.retryAccount.Processes, "process_age_ms", r.retryAccount.ProcessAge.Milliseconds())
 }
 
 // spendRetry takes a retry out of the service's budget and reports whether there was one.
@@ -281,7 +281,7 @@
 		return false
 	}
 	r.retryGrantedAt = now
-	r.Meter.Repeated(r.service)
+	r.Meter.Retried(r.service)
 	return true
 }
 
@@ -309,7 +309,7 @@
 		r.countFailure(ctx, a)
 	}
 	if a.err.Verdict == hookhall.MayHaveRun && ctx.Err() == nil {
-		r.Quarantine.Broke(r.contentDigest(), r.accountName(), target)
+		r.Quarantine.Suspect(r.contentDigest(), r.accountName(), target)
 	}
 	reason := ""
 	switch {
--- a/internal/coordination/forward/crashing.go
+++ b/internal/coordination/forward/crashing.go
@@ -14,7 +14,7 @@
 // contentDigest returns the digest of the request content. It is computed at the first call.
 func (r *request) contentDigest() crashes.Digest {
 	if r.cachedDigest == (crashes.Digest{}) {
-		r.cachedDigest = crashes.Sum(r.accountName(), r.call.Host, r.call.URI, r.call.Body)
+		r.cachedDigest = crashes.DigestOf(r.accountName(), r.call.Host, r.call.URI, r.call.Body)
 	}
 	return r.cachedDigest
 }
@@ -42,5 +42,5 @@
 	}
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseCrashes,
 		"%d targets of %s ended while they ran this request, the first %s ago; it is not sent again",
-		standing.Ends, r.service, clock.Since(standing.Since).Round(time.Second))
+		standing.Crashes, r.service, clock.Since(standing.FirstReported).Round(time.Second))
 }
--- a/internal/coordination/forward/forwarder.go
+++ b/internal/coordination/forward/forwarder.go
@@ -61,8 +61,8 @@
 	Targets(pool string) []hookhall.Target
 	// TargetsAge returns the age of the list of targets.
 	TargetsAge(now time.Time) time.Duration
-	// Silence returns the time since the store last answered this process.
-	Silence(now time.Time) time.Duration
+	// TimeSinceAnswer returns the time since the store last answered this process.
+	TimeSinceAnswer(now time.Time) time.Duration
 	// Evacuated reports whether a service has targets, but all usable ones are in evacuated halls.
 	Evacuated(pool string) bool
 }
@@ -77,16 +77,16 @@
 type Placement interface {
 	// Place returns where to send a request. An empty target in it means that the caller
 	// chooses. limits are the rate limits of targets that the caller knows.
-	Place(ctx context.Context, service string, w balance.Wish, limits []advisory.Report) placement.Placement
+	Place(ctx context.Context, service string, w balance.Criteria, limits []advisory.Report) placement.Placement
 }
 
 // Quarantine records request contents that crash the targets which run them.
 type Quarantine interface {
 	// Standing returns the crashes recorded for a request content. It calls content only if
 	// crashes are recorded for any content, so that the digest is computed only when needed.
-	Standing(content func() crashes.Digest) crashes.Standing
-	// Broke records that t broke off its answer to a request content of a client account.
-	Broke(content crashes.Digest, account string, t hookhall.Target)
+	Standing(content func() crashes.Digest) crashes.Status
+	// Suspect records that t broke off its answer to a request content of a client account.
+	Suspect(content crashes.Digest, account string, t hookhall.Target)
 	// Served records that a target answered a request content completely.
 	Served(content func() crashes.Digest)
 }
@@ -98,7 +98,7 @@
 	// target received the request yet.
 	Versions(service string, first bool) balance.Versions
 	// Begin counts a request that is sent to t. It returns nil if no rollout includes t.
-	Begin(route string, t hookhall.Target) *rollouts.Use
+	Begin(route string, t hookhall.Target) *rollouts.Attempt
 }
 
 // Meter receives the counts of a Forwarder.
@@ -106,8 +106,8 @@
 	// Forwarded counts the end of a request, took after its arrival. cause is "answered" if the
 	// client got a target's answer.
 	Forwarded(route, cause string, verdict hookhall.Verdict, took time.Duration)
-	// Repeated counts a retry of a request for a service.
-	Repeated(service string)
+	// Retried counts a retry of a request for a service.
+	Retried(service string)
 }
 
 // Forwarder answers requests. The exported fields are set before the first call of Serve.
@@ -121,7 +121,7 @@
 	Rollouts   Rollouts
 	Tracker    *balance.Tracker
 	// Advisories holds the rate limits and pauses that targets reported.
-	Advisories *advisory.Book
+	Advisories *advisory.Registry
 	Budget     *budget.Budget
 	// Buffers limits the memory for answers that are read before they are passed on.
 	Buffers *buffer.Budget
@@ -145,7 +145,7 @@
 }
 
 // Serve answers call by way of answer. If it returns a *hookhall.Error, nothing was written to
-// answer; hookhall.ErrCut means that the answer was begun and could not be completed.
+// answer; hookhall.ErrTruncated means that the answer was begun and could not be completed.
 func (f *Forwarder) Serve(ctx context.Context, call *hookhall.Call, answer hookhall.AnswerWriter) error {
 	r, err := f.newRequest(call)
 	if err != nil {
@@ -166,13 +166,13 @@
 // newRequest resolves the route, the client account and the deadline of call. The request is
 // never nil; with an error it has what was resolved until then.
 func (f *Forwarder) newRequest(call *hookhall.Call) (*request, error) {
-	clock.Check() // detects a suspension, after which the table and the targets may be outdated
+	clock.DetectSuspension() // detects a suspension, after which the table and the targets may be outdated
 	now := clock.Now()
 	r := &request{Forwarder: f, call: call, arrived: now, deadline: now, tried: map[string]bool{}}
 	r.table = f.Catalog.Table()
 	if r.table == nil {
-		silence := f.Catalog.Silence(now)
-		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNotReady, "no table is known yet").After(outageRetryAfter(silence))
+		silence := f.Catalog.TimeSinceAnswer(now)
+		return r, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNotReady, "no table is known yet").WithRetryAfter(outageRetryAfter(silence))
 	}
 	path, _, _ := strings.Cut(call.URI, "?")
 	if r.route = r.table.Route(call.Host, path); r.route == nil {
@@ -185,7 +185,7 @@
 	}
 	r.service = pickService(r.route.Backends)
 	r.halls = f.allowedHalls(r)
-	timeout := call.Wait
+	timeout := call.ClientTimeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
@@ -193,7 +193,7 @@
 		timeout = min(timeout, r.route.Timeout)
 	}
 	r.deadline = now.Add(max(timeout-deadlineMargin, time.Millisecond))
-	r.firstByteDue = now.Add(r.route.Objective)
+	r.firstByteDue = now.Add(r.route.LatencyObjective)
 	return r, nil
 }
 
@@ -261,7 +261,7 @@
 	if err != nil {
 		failure := hookhall.AsError(err)
 		cause, verdict, detail = string(failure.Cause), failure.Verdict, failure.Detail
-		if errors.Is(err, hookhall.ErrCut) {
+		if errors.Is(err, hookhall.ErrTruncated) {
 			cause, detail = "cut", r.cutDetail
 		}
 	}
--- a/internal/coordination/forward/plain.go
+++ b/internal/coordination/forward/plain.go
@@ -138,14 +138,14 @@
 	r.logFailedAttempt(a, target, "another target")
 }
 
-// writeAnswer sends an answer to the client. It returns hookhall.ErrCut if that fails.
+// writeAnswer sends an answer to the client. It returns hookhall.ErrTruncated if that fails.
 func (r *request) writeAnswer(held *heldAnswer) error {
 	defer held.release()
 	reply := held.attempt.reply
 	r.answer.Begin(reply.Status, reply.Header)
 	if err := r.answer.Chunk(held.Bytes()); err != nil {
 		r.cutDetail = "the client has gone"
-		return hookhall.ErrCut
+		return hookhall.ErrTruncated
 	}
 	if !held.hasMore {
 		return nil
@@ -161,14 +161,14 @@
 		n, err := a.reply.Body.Read(chunk)
 		if n > 0 && r.answer.Chunk(chunk[:n]) != nil {
 			r.cutDetail = "the client has gone"
-			return hookhall.ErrCut
+			return hookhall.ErrTruncated
 		}
 		if err == io.EOF {
 			return nil
 		}
 		if err != nil {
 			r.cutDetail = "the answer was cut: " + err.Error()
-			return hookhall.ErrCut
+			return hookhall.ErrTruncated
 		}
 	}
 }
--- a/internal/coordination/forward/request.go
+++ b/internal/coordination/forward/request.go
@@ -57,13 +57,13 @@
 	stagesElapsed    time.Duration
 	firstByteElapsed time.Duration // from the arrival to the first event of a stream
 	maxEventGap      time.Duration // longest time between two events of a stream
-	wish             balance.Wish
+	wish             balance.Criteria
 	tried            map[string]bool // excluded targets: they refused the request, may have run it, or would crash
 	isResultLost     bool            // a target did not find a result of a stage
 	stageReruns      int             // how often the stages ran again
 	attempts         int             // how often the request was sent
 	// retryAccount is the state of the service's retry budget at the last request for a retry.
-	retryAccount budget.Account
+	retryAccount budget.Decision
 	// retryGrantedAt is when a retry was granted that is not sent yet, zero if there is none;
 	// retryWait is the longest time from a grant to its attempt.
 	retryGrantedAt time.Time
@@ -99,7 +99,7 @@
 
 // serve runs the stages and answers the request.
 func (r *request) serve(ctx context.Context) error {
-	r.Budget.Request(r.service, r.arrived)
+	r.Budget.RecordRequest(r.service, r.arrived)
 	r.wish = r.makeWish()
 	if refusal := r.refuseEvacuated(); refusal != nil {
 		return refusal
@@ -122,28 +122,28 @@
 func (r *request) refuseEvacuated() *hookhall.Error {
 	needed := []string{r.service}
 	for i, stage := range r.route.Stages {
-		if i < len(r.call.Pieces) && r.call.Pieces[i] > 0 {
+		if i < len(r.call.PieceCounts) && r.call.PieceCounts[i] > 0 {
 			needed = append(needed, stage.Service)
 		}
 	}
 	for _, service := range needed {
 		if r.Catalog.Evacuated(service) {
-			return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "all halls with targets of %s are evacuated", service).After(evacuatedRetryAfter)
+			return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "all halls with targets of %s are evacuated", service).WithRetryAfter(evacuatedRetryAfter)
 		}
 	}
 	return nil
 }
 
 // makeWish returns the criteria by which the target is chosen.
-func (r *request) makeWish() balance.Wish {
-	wish := balance.Wish{Exclude: r.tried, OutTokens: r.call.TokensOut, Halls: r.halls}
+func (r *request) makeWish() balance.Criteria {
+	wish := balance.Criteria{ExcludedTargets: r.tried, MaxOutputTokens: r.call.MaxOutputTokens, Halls: r.halls}
 	service := r.table.Service(r.service)
 	if service != nil && service.Engine != nil {
-		wish.Engine = true
-		wish.Spec = service.Engine
+		wish.IsEngineCall = true
+		wish.EngineSpec = service.Engine
 	}
 	if service != nil && service.ColdRate > 0 {
-		wish.Cold = func(target string) int { return r.ColdShare(target, service) }
+		wish.MaxColdRequests = func(target string) int { return r.ColdShare(target, service) }
 	}
 	last := len(r.call.Prompt) - 1
 	for i, part := range r.call.Prompt {
@@ -152,7 +152,7 @@
 			wish.OwnTokens = part.Tokens
 			break
 		}
-		wish.Shared = part.ID
+		wish.SharedPart = part.ID
 		wish.SharedTokens += part.Tokens
 	}
 	return wish
@@ -176,15 +176,15 @@
 		return nil
 	}
 	graph := stages.Graph{
-		Call: r.call, Route: r.route, Table: r.table, Aim: r.firstByteDue, End: r.firstByteDeadline(), Urgency: r.urgency(),
-		Answer: r.expectedAnswerTime(), Hall: r.expectedEngineHall(), Content: r.contentDigest(), Account: r.accountName(),
+		Call: r.call, Route: r.route, Table: r.table, FirstByteDue: r.firstByteDue, FirstByteDeadline: r.firstByteDeadline(), Urgency: r.urgency(),
+		TimeToFirstByte: r.expectedAnswerTime(), TargetHall: r.expectedEngineHall(), Content: r.contentDigest(), Account: r.accountName(),
 	}
 	for {
 		results, err := r.Stages.Run(ctx, graph)
 		r.stagesElapsed = clock.Since(r.arrived)
 		if err == nil {
 			r.results = results
-			r.wish.Near = results.Bytes()
+			r.wish.BytesByHall = results.BytesByHall()
 			return nil
 		}
 		failure := hookhall.AsError(err)
@@ -208,16 +208,16 @@
 // the answer. It lets the stages of requests with long prompts run earlier. It assumes that
 // the engine has read the shared parts of the prompt before.
 func (r *request) expectedAnswerTime() time.Duration {
-	if !r.wish.Engine {
+	if !r.wish.IsEngineCall {
 		return minAnswerTime
 	}
-	return minAnswerTime + time.Duration(concurrentReadFactor*float64(balance.ReadTime(r.wish.OwnTokens)))
+	return minAnswerTime + time.Duration(concurrentReadFactor*float64(balance.PromptReadTime(r.wish.OwnTokens)))
 }
 
 // firstByteDeadline returns when the client stops waiting for the first byte: the route's stall
 // timeout after the arrival, or the deadline if that is earlier.
 func (r *request) firstByteDeadline() time.Time {
-	if stallTimeout := r.route.Patience; stallTimeout > 0 && stallTimeout < r.deadline.Sub(r.arrived) {
+	if stallTimeout := r.route.StallTimeout; stallTimeout > 0 && stallTimeout < r.deadline.Sub(r.arrived) {
 		return r.arrived.Add(stallTimeout)
 	}
 	return r.deadline
@@ -230,11 +230,11 @@
 // expectedEngineHall returns the hall of the engine that will probably read the results, "" if
 // the engine will be chosen by the hall of the results or is not known.
 func (r *request) expectedEngineHall() string {
-	if !r.wish.Engine || r.wish.SharedTokens < minSharedTokens {
+	if !r.wish.IsEngineCall || r.wish.SharedTokens < minSharedTokens {
 		return ""
 	}
 	targets := r.Catalog.Targets(r.service)
-	first := r.Tracker.First(r.wish.Shared, targets)
+	first := r.Tracker.PreferredTarget(r.wish.SharedPart, targets)
 	for _, target := range targets {
 		if target.ID == first {
 			return target.Hall
@@ -252,7 +252,7 @@
 	expired := !clock.Now().Before(r.deadline)
 	switch {
 	case isStopping(ctx):
-		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseStopping, "this instance stops: %s", failure.Detail).After(stoppingRetryAfter)
+		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseStopping, "this instance stops: %s", failure.Detail).WithRetryAfter(stoppingRetryAfter)
 	case ctx.Err() != nil && !expired:
 		failure = hookhall.Errorf(failure.Verdict, hookhall.CauseCanceled, "the client has gone: %s", failure.Detail)
 	case ctx.Err() != nil, expired && failure.Cause == hookhall.CauseCanceled:
--- a/internal/coordination/forward/stream.go
+++ b/internal/coordination/forward/stream.go
@@ -33,7 +33,7 @@
 
 // serveStream passes a stream on, from several targets in turn if the route allows it.
 func (r *request) serveStream(ctx context.Context) error {
-	s := &stream{r: r, lastEventID: r.call.LastEvent}
+	s := &stream{r: r, lastEventID: r.call.LastEventID}
 	for {
 		if err := r.rerunStages(ctx); err != nil {
 			return s.finalError(ctx, hookhall.AsError(err))
@@ -55,12 +55,12 @@
 	}
 }
 
-// finalError returns the error for the client after the last failure: hookhall.ErrCut if the
+// finalError returns the error for the client after the last failure: hookhall.ErrTruncated if the
 // stream has begun.
 func (s *stream) finalError(ctx context.Context, failure *hookhall.Error) error {
 	if s.hasBegun {
 		s.r.cutDetail = failure.Detail
-		return hookhall.ErrCut
+		return hookhall.ErrTruncated
 	}
 	return s.r.finalError(ctx, failure)
 }
--- a/internal/coordination/forward/unread_test.go
+++ b/internal/coordination/forward/unread_test.go
@@ -44,14 +44,14 @@
 				target := hookhall.Target{ID: "t"}
 				broken := iotest.ErrReader(errors.New("connection reset"))
 				a := &attempt{
-					use: tracker.Begin(target, balance.Wish{}, clock.Now()), began: clock.Now(),
+					use: tracker.Begin(target, balance.Criteria{}, clock.Now()), began: clock.Now(),
 					reply: &hookhall.Reply{Body: io.NopCloser(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), broken))},
 				}
 				s := &stream{r: &request{answer: pacedClient{c.pace}}}
 				if e := s.passEvents(t.Context(), a); e == nil || e.Cause != hookhall.CauseTruncated {
 					t.Fatalf("the stream ended with %v", e)
 				}
-				if failed := tracker.Status(target.Life(), clock.Now()).FailRate > 0; failed != c.failed {
+				if failed := tracker.Status(target.Incarnation(), clock.Now()).FailRate > 0; failed != c.failed {
 					t.Errorf("counted as the target's failure: %v", failed)
 				}
 			})
