--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -52,7 +52,7 @@
 // methods are safe for concurrent use.
 type Limits struct {
 	fleet              *fleet.Fleet
-	tables             *tables.Keeper
+	tables             *tables.Follower
 	peers              hookhall.Peers
 	allocations        share.Allocations
 	grants             share.Grants
@@ -61,7 +61,7 @@
 }
 
 // New returns a Limits without leases.
-func New(members *fleet.Fleet, accounts *tables.Keeper, peers hookhall.Peers) *Limits {
+func New(members *fleet.Fleet, accounts *tables.Follower, peers hookhall.Peers) *Limits {
 	return &Limits{fleet: members, tables: accounts, peers: peers}
 }
 
@@ -92,7 +92,7 @@
 // enterWithoutOwner admits or refuses a request by an even share of its account's
 // limits among the entries of the fleet.
 func (l *Limits) enterWithoutOwner(account *hookhall.Account, allocation *share.Allocation) (func(), error) {
-	admitted, retryAfter := allocation.Fallback(account, len(l.fleet.View().Members), clock.Now())
+	admitted, retryAfter := allocation.SpendWithoutOwner(account, len(l.fleet.View().Members), clock.Now())
 	if !admitted {
 		return nil, limitError(account, retryAfter)
 	}
@@ -101,7 +101,7 @@
 
 func limitError(account *hookhall.Account, retryAfter time.Duration) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseLimit,
-		"account %s is at its limit", account.Name).After(max(retryAfter, time.Millisecond))
+		"account %s is at its limit", account.Name).WithRetryAfter(max(retryAfter, time.Millisecond))
 }
 
 // refill leases units of the account from its owner, sharing the call with
@@ -110,7 +110,7 @@
 	answered, _, _ := l.leaseCalls.Do(account.Name, func() (any, error) {
 		lease, answered := l.requestLease(context.WithoutCancel(ctx), account.Name, allocation.Want(account, clock.Now()))
 		if answered {
-			allocation.Fill(lease, clock.Now())
+			allocation.ApplyLease(lease, clock.Now())
 		}
 		return answered, nil
 	})
@@ -120,19 +120,19 @@
 // requestLease asks the owner of an account for a lease, or grants it itself if
 // this entry is the owner. It returns false if there is no owner, if the owner is
 // in its cooldown, or if it fails to answer; a failure starts a cooldown.
-func (l *Limits) requestLease(ctx context.Context, account string, want hookhall.Want) (hookhall.ShareLease, bool) {
+func (l *Limits) requestLease(ctx context.Context, account string, want hookhall.ShareDemand) (hookhall.ShareLease, bool) {
 	fleetView := l.fleet.View()
 	owner := view.Owner(fleetView.Members, account)
-	request := hookhall.TakeRequest{From: l.fleet.Self().ID, Epoch: fleetView.Epoch, Wants: []hookhall.Want{want}}
+	request := hookhall.ShareRequest{From: l.fleet.Self().ID, Epoch: fleetView.Epoch, Demands: []hookhall.ShareDemand{want}}
 	switch {
 	case owner == nil || l.unresponsiveOwners.isActive(owner.ID, clock.Now()):
 		return hookhall.ShareLease{}, false
 	case owner.ID == l.fleet.Self().ID:
-		return l.Handle(request).Leases[0], true
+		return l.GrantLeases(request).Leases[0], true
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaseTimeout)
 	defer cancel()
-	reply, err := l.peers.Peer(owner.Address).Take(ctx, request)
+	reply, err := l.peers.Peer(owner.Address).LeaseShares(ctx, request)
 	if err != nil || len(reply.Leases) != 1 || reply.Leases[0].Account != account {
 		l.unresponsiveOwners.add(owner.ID, clock.Now().Add(ownerCooldown))
 		return hookhall.ShareLease{}, false
@@ -140,12 +140,12 @@
 	return reply.Leases[0], true
 }
 
-// Handle grants the leases that an entry asks for. It is called on the owner
+// GrantLeases grants the leases that an entry asks for. It is called on the owner
 // of the accounts, and applies the limits of the table in force there.
-func (l *Limits) Handle(request hookhall.TakeRequest) hookhall.TakeReply {
+func (l *Limits) GrantLeases(request hookhall.ShareRequest) hookhall.ShareReply {
 	fleetView, snapshot := l.fleet.View(), l.tables.Current().Snapshot
-	reply := hookhall.TakeReply{Epoch: fleetView.Epoch}
-	for _, want := range request.Wants {
+	reply := hookhall.ShareReply{Epoch: fleetView.Epoch}
+	for _, want := range request.Demands {
 		reply.Leases = append(reply.Leases, l.grants.Lease(snapshot.Accounts[want.Account], request.From, want, len(fleetView.Members), clock.Now()))
 	}
 	return reply
@@ -157,7 +157,7 @@
 func (l *Limits) Run(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(renewInterval)) {
 		snapshot := l.tables.Current().Snapshot
-		for _, name := range l.allocations.Renewals(clock.Now()) {
+		for _, name := range l.allocations.DueRenewals(clock.Now()) {
 			account, allocation := snapshot.Accounts[name], l.allocations.Allocation(name)
 			if account == nil {
 				continue
@@ -168,13 +168,13 @@
 				want.Concurrency = 0
 			}
 			if lease, ok := l.requestLease(ctx, name, want); ok {
-				allocation.Fill(lease, clock.Now())
+				allocation.ApplyLease(lease, clock.Now())
 			}
 		}
 		l.grants.Sweep(clock.Now())
 	}
 }
 
-// Owned returns the number of accounts of which this entry, as their owner,
+// OwnedAccounts returns the number of accounts of which this entry, as their owner,
 // still has a record of granted shares.
-func (l *Limits) Owned() int { return l.grants.Len() }
+func (l *Limits) OwnedAccounts() int { return l.grants.Len() }
--- a/internal/coordination/members/follow.go
+++ b/internal/coordination/members/follow.go
@@ -19,7 +19,7 @@
 // follow keeps the list current until ctx ends: by watches of the store, or by the updates
 // of a leader while those arrive.
 func (m *Members) follow(ctx context.Context) {
-	pause := retry.Between(minRetryDelay, maxRetryDelay)
+	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	revision := hookhall.Revision(0)
 	for ctx.Err() == nil {
 		if m.finishRestore(clock.Now()) {
@@ -54,7 +54,7 @@
 // day of 295 gateways were a third of the day's 10,215 store calls.
 func (m *Members) read(ctx context.Context) (hookhall.Revision, error) {
 	readItems := m.store.RangeStale
-	if m.Met() && m.Leads() {
+	if m.HasList() && m.IsLeader() {
 		readItems = m.store.Range
 	}
 	items, revision, err := readItems(ctx, keyPrefix)
@@ -154,11 +154,11 @@
 	switch {
 	case listed && m.isRestoredCopy(previous, item):
 		// An outdated record: the member registers again with its current state.
-	case item.Gone && listed && !m.restoreSeenAt.IsZero():
+	case item.Deleted && listed && !m.restoreSeenAt.IsZero():
 		// The restore lost its lease; the member registers again.
-	case item.Gone && listed:
+	case item.Deleted && listed:
 		m.removeKey(item.Key, now)
-	case !item.Gone && (!listed || previous.item.Revision < item.Revision):
+	case !item.Deleted && (!listed || previous.item.Revision < item.Revision):
 		m.addMember(item, now)
 	}
 }
@@ -188,8 +188,8 @@
 	if _, err := netip.ParseAddrPort(member.Address); err != nil {
 		return member, errors.Wrap(err, "member")
 	}
-	if member.Power < 0 || member.Power > maxPower {
-		return member, errors.Errorf("member: power %g is not between 0 and the maximum", member.Power)
+	if member.RelativeCapacity < 0 || member.RelativeCapacity > maxPower {
+		return member, errors.Errorf("member: power %g is not between 0 and the maximum", member.RelativeCapacity)
 	}
 	return member, nil
 }
--- a/internal/coordination/members/lag_test.go
+++ b/internal/coordination/members/lag_test.go
@@ -109,12 +109,12 @@
 		m, s := newRegistered()
 		m.setDeclining(t.Context(), true, declineThreshold)
 		wantOwners(t, m, now, 2, 4)
-		if !s.values[key].Resting {
+		if !s.values[key].DecliningOwnership {
 			t.Error("the key does not state that it declines")
 		}
 		m.setDeclining(t.Context(), false, 0)
 		wantOwners(t, m, now, 1, 4)
-		if s.values[key].Resting {
+		if s.values[key].DecliningOwnership {
 			t.Error("the key still states that it declines")
 		}
 	})
@@ -126,14 +126,14 @@
 			t.Fatal("the lease was renewed")
 		}
 		s.unavailable = false
-		if err := m.renew(t.Context()); err != nil || !s.values[key].Resting {
+		if err := m.renew(t.Context()); err != nil || !s.values[key].DecliningOwnership {
 			t.Errorf("%v, %v", err, s.values)
 		}
 	})
 	t.Run("others exclude it", func(t *testing.T) {
 		m, _ := newRegistered()
 		o := member(3)
-		o.Resting = true
+		o.DecliningOwnership = true
 		m.applyEvents([]hookhall.Item{memberItem(o, 9)}, 9)
 		if got := keysPerOwner(m, now)[o.Address]; got != 0 {
 			t.Errorf("it owns %d keys", got)
@@ -143,7 +143,7 @@
 		m, _ := newRegistered()
 		for n := 2; n <= 4; n++ {
 			o := member(n)
-			o.Resting = true
+			o.DecliningOwnership = true
 			m.applyEvents([]hookhall.Item{memberItem(o, 9)}, 9)
 		}
 		wantOwners(t, m, now, 1, 4)
--- a/internal/coordination/members/members.go
+++ b/internal/coordination/members/members.go
@@ -78,13 +78,13 @@
 	lease              atomic.Pointer[hookhall.Lease] // nil while this process is not registered
 	listedSince        sync.Map                       // address to the time.Time when it was first listed; self: first registered
 
-	// Leads reports whether this process is a leader, which follows the store and sends
+	// IsLeader reports whether this process is a leader, which follows the store and sends
 	// updates to the others. The default is true. Set it before Run.
-	Leads func() bool
+	IsLeader func() bool
 
 	mu                    sync.Mutex // guards the fields below
 	listingByKey          map[string]listing
-	keyRemovedAt          map[string]time.Time         // when keys were removed; expired entries are deleted by Members.News
+	keyRemovedAt          map[string]time.Time         // when keys were removed; expired entries are deleted by Members.OutgoingUpdate
 	rejectedRevisionByKey map[string]hookhall.Revision // last revision of keys with invalid records
 	addressRemovedAt      map[string]time.Time         // when addresses were removed; expired entries are deleted by Sharers
 	hasList               bool                         // a list was read from the store or received from a peer
@@ -103,7 +103,7 @@
 // process's key in store. Run starts it.
 func New(self hookhall.Member, store hookhall.Store, logger *log.Logger) *Members {
 	m := &Members{
-		self: self, store: store, log: logger, Leads: func() bool { return true },
+		self: self, store: store, log: logger, IsLeader: func() bool { return true },
 		listingByKey: map[string]listing{}, keyRemovedAt: map[string]time.Time{}, rejectedRevisionByKey: map[string]hookhall.Revision{}, addressRemovedAt: map[string]time.Time{},
 	}
 	m.publish()
@@ -148,8 +148,8 @@
 	return 2
 }
 
-// Met reports whether a list of members was read from the store or received from a peer.
-func (m *Members) Met() bool {
+// HasList reports whether a list of members was read from the store or received from a peer.
+func (m *Members) HasList() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.hasList
@@ -244,9 +244,9 @@
 	wg.Wait()
 }
 
-// Meet adds members that a peer has listed, as long as no list was read from the store.
+// AddFromPeer adds members that a peer has listed, as long as no list was read from the store.
 // The store's list replaces them once it can be read.
-func (m *Members) Meet(list []hookhall.Member) {
+func (m *Members) AddFromPeer(list []hookhall.Member) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.revision > 0 {
--- a/internal/coordination/members/members_test.go
+++ b/internal/coordination/members/members_test.go
@@ -16,7 +16,7 @@
 )
 
 func member(n int) hookhall.Member {
-	return hookhall.Member{ID: fmt.Sprint("m", n), Instance: fmt.Sprint("m", n), Address: fmt.Sprintf("10.0.0.%d:1", n), Power: 1}
+	return hookhall.Member{ID: fmt.Sprint("m", n), Instance: fmt.Sprint("m", n), Address: fmt.Sprintf("10.0.0.%d:1", n), RelativeCapacity: 1}
 }
 
 // newEstablished returns a Members of member 1 that lists members 1 to n as of an hour ago,
@@ -134,7 +134,7 @@
 	Convey("Weak members own little work", t, func() {
 		m := New(member(1), nil, log.New(io.Discard))
 		weak := member(2)
-		weak.Power = 0.2
+		weak.RelativeCapacity = 0.2
 		m.listingByKey[keyPrefix+"2"] = listing{member: weak}
 		m.publish()
 		n := 0
@@ -163,7 +163,7 @@
 	if m.Count() != 2 {
 		t.Fatalf("%d members", m.Count())
 	}
-	m.applyItem(hookhall.Item{Key: keyPrefix + "m5", Gone: true}, now)
+	m.applyItem(hookhall.Item{Key: keyPrefix + "m5", Deleted: true}, now)
 	m.publish()
 	if m.Count() != 1 {
 		t.Fatalf("%d members", m.Count())
@@ -183,7 +183,7 @@
 	if n := count(time.Hour); n != 0 {
 		t.Fatalf("%d sharers before a list is known", n)
 	}
-	m.Meet([]hookhall.Member{member(2), member(3)})
+	m.AddFromPeer([]hookhall.Member{member(2), member(3)})
 	if n := count(minSettleTime / 2); n != 0 {
 		t.Fatalf("%d sharers before the list has settled", n)
 	}
--- a/internal/coordination/members/register.go
+++ b/internal/coordination/members/register.go
@@ -35,7 +35,7 @@
 // advertised returns the record of this process with its current state, for the others.
 func (m *Members) advertised() hookhall.Member {
 	o := m.self
-	o.Resting = m.declining.Load()
+	o.DecliningOwnership = m.declining.Load()
 	return o
 }
 
@@ -49,13 +49,13 @@
 	if err := m.store.Put(ctx, keyPrefix+o.Instance, value, lease); err != nil {
 		return err
 	}
-	m.publishedDeclining.Store(o.Resting)
+	m.publishedDeclining.Store(o.DecliningOwnership)
 	return nil
 }
 
 // register keeps this process registered until ctx ends or Leave is called.
 func (m *Members) register(ctx context.Context) {
-	pause := retry.Between(minRetryDelay, maxRetryDelay)
+	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	failing := false
 	for ctx.Err() == nil && !m.stopping.Load() {
 		if err := m.renew(ctx); err != nil {
--- a/internal/coordination/members/restored_test.go
+++ b/internal/coordination/members/restored_test.go
@@ -75,7 +75,7 @@
 		s.revision = revisionInEra(2, 12)
 		s.items = []hookhall.Item{memberItem(member(2), revisionInEra(2, 10)), memberItem(member(3), revisionInEra(2, 11))}
 		read()
-		m.applyEvents([]hookhall.Item{{Key: keyPrefix + member(2).Instance, Revision: revisionInEra(2, 13), Gone: true}}, revisionInEra(2, 13))
+		m.applyEvents([]hookhall.Item{{Key: keyPrefix + member(2).Instance, Revision: revisionInEra(2, 13), Deleted: true}}, revisionInEra(2, 13))
 		wantListed("right after", member(2).Address, moved.Address, member(4).Address)
 		if m.finishRestore(time.Now()) {
 			t.Error("the restore was finished at once")
--- a/internal/coordination/members/roster.go
+++ b/internal/coordination/members/roster.go
@@ -26,7 +26,7 @@
 			continue
 		}
 		strong = append(strong, o)
-		if !o.Resting {
+		if !o.DecliningOwnership {
 			willing = append(willing, o)
 		}
 	}
@@ -52,4 +52,4 @@
 
 // effectivePower returns how much work a member can do, relative to other members. It is
 // at least minPower.
-func effectivePower(o hookhall.Member) float64 { return max(o.Power, minPower) }
+func effectivePower(o hookhall.Member) float64 { return max(o.RelativeCapacity, minPower) }
--- a/internal/coordination/members/roster_test.go
+++ b/internal/coordination/members/roster_test.go
@@ -19,7 +19,7 @@
 	clear(m.listingByKey)
 	for i, p := range powers {
 		o := member(i + 1)
-		o.Power = p
+		o.RelativeCapacity = p
 		if i == 0 {
 			m.self = o
 		}
--- a/internal/coordination/members/update.go
+++ b/internal/coordination/members/update.go
@@ -23,9 +23,9 @@
 	followCheckInterval = 200 * time.Millisecond
 )
 
-// News holds the recent changes of the store's list of members. A process
+// Update holds the recent changes of the store's list of members. A process
 // that has all earlier changes arrives at the same list, which the digest verifies.
-type News struct {
+type Update struct {
 	// Revision is the store's revision of the list; 0 in an empty update.
 	Revision hookhall.Revision
 	Digest   uint64          // of the whole list of the sender
@@ -56,15 +56,15 @@
 	return sum
 }
 
-// News returns the update that this process sends as of now. It is empty if this
+// OutgoingUpdate returns the update that this process sends as of now. It is empty if this
 // process is no leader.
-func (m *Members) News(now time.Time) News {
-	if !m.Leads() {
-		return News{}
+func (m *Members) OutgoingUpdate(now time.Time) Update {
+	if !m.IsLeader() {
+		return Update{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	update := News{Revision: m.revision, Digest: m.digest()}
+	update := Update{Revision: m.revision, Digest: m.digest()}
 	for _, l := range m.listingByKey {
 		if now.Sub(l.learnedAt) <= updateRetention {
 			update.Changed = append(update.Changed, l.item)
@@ -82,9 +82,9 @@
 	return update
 }
 
-// LearnNews applies an update that a leader sent. If this process lacks earlier changes,
+// ApplyUpdate applies an update that a leader sent. If this process lacks earlier changes,
 // its digest differs and it reads the list from the store.
-func (m *Members) LearnNews(update News, now time.Time) {
+func (m *Members) ApplyUpdate(update Update, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if update.Revision < m.revision || update.Revision == 0 {
@@ -120,7 +120,7 @@
 // it need not follow the store. It returns false once after a missed update, and the caller
 // then reads the list.
 func (m *Members) isKeptCurrent(now time.Time) bool {
-	if m.Leads() {
+	if m.IsLeader() {
 		return false
 	}
 	m.mu.Lock()
--- a/internal/coordination/members/update_test.go
+++ b/internal/coordination/members/update_test.go
@@ -42,7 +42,7 @@
 	s.revision++
 	i := memberItem(o, s.revision)
 	if gone {
-		i.Gone, i.Value = true, nil
+		i.Deleted, i.Value = true, nil
 		delete(s.items, i.Key)
 	} else {
 		s.items[i.Key] = i
@@ -86,7 +86,7 @@
 			break
 		}
 		itemByKey[i.Key] = i
-		if i.Gone {
+		if i.Deleted {
 			delete(itemByKey, i.Key)
 		}
 	}
@@ -143,7 +143,7 @@
 		var done sync.WaitGroup
 		run := func(n int, leads bool) *Members {
 			m := New(member(n), s, log.New(io.Discard))
-			m.Leads = func() bool { return leads }
+			m.IsLeader = func() bool { return leads }
 			done.Add(1)
 			go func() { defer done.Done(); m.follow(ctx) }()
 			return m
@@ -153,7 +153,7 @@
 		s.write(member(2), false)
 		sendUpdates := func(d time.Duration) {
 			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(400 * time.Millisecond) {
-				other.LearnNews(leader.News(time.Now()), time.Now())
+				other.ApplyUpdate(leader.OutgoingUpdate(time.Now()), time.Now())
 			}
 		}
 		sendUpdates(2 * time.Second)
@@ -188,15 +188,15 @@
 		for at := hookhall.Revision(2); at < 40; at++ {
 			o := member(rapid.IntRange(2, 6).Draw(t, "member"))
 			i := memberItem(o, at)
-			i.Gone = rapid.Bool().Draw(t, "gone")
+			i.Deleted = rapid.Bool().Draw(t, "gone")
 			leader.applyEvents([]hookhall.Item{i}, at)
 			now = now.Add(time.Second)
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			update := leader.News(now)
+			update := leader.OutgoingUpdate(now)
 			other.hasGap = false
-			other.LearnNews(update, now)
+			other.ApplyUpdate(update, now)
 			same := fmt.Sprint(leader.All()) == fmt.Sprint(other.All())
 			if !other.hasGap && !same {
 				t.Fatalf("different lists with the same digest: %v and %v", leader.All(), other.All())
@@ -219,11 +219,11 @@
 	if _, err := m.read(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	if update := m.News(time.Now()); len(update.Changed) != 0 || update.Revision == 0 {
+	if update := m.OutgoingUpdate(time.Now()); len(update.Changed) != 0 || update.Revision == 0 {
 		t.Errorf("after the first read the update has %d changes as of %d", len(update.Changed), update.Revision)
 	}
-	m.Leads = func() bool { return false }
-	if update := m.News(time.Now()); update.Revision != 0 {
+	m.IsLeader = func() bool { return false }
+	if update := m.OutgoingUpdate(time.Now()); update.Revision != 0 {
 		t.Errorf("a process that is no leader sends an update as of %d", update.Revision)
 	}
 }
@@ -242,7 +242,7 @@
 		var done sync.WaitGroup
 		run := func(n int, leads bool) *Members {
 			m := New(member(n), s, log.New(io.Discard))
-			m.Leads = func() bool { return leads }
+			m.IsLeader = func() bool { return leads }
 			done.Go(func() { m.follow(ctx) })
 			return m
 		}
@@ -251,14 +251,14 @@
 		if leader.Count() != 3 {
 			t.Errorf("the leader lists %d members, want 3", leader.Count())
 		}
-		other.LearnNews(leader.News(time.Now()), time.Now())
+		other.ApplyUpdate(leader.OutgoingUpdate(time.Now()), time.Now())
 		if other.Count() != 3 {
 			t.Errorf("the other process lists %d members, want 3", other.Count())
 		}
 		s.write(member(5), false)
 		time.Sleep(2 * batchDelay)
-		other.LearnNews(leader.News(time.Now()), time.Now())
-		other.LearnNews(News{Revision: 99, Digest: 1}, time.Now()) // a gap: it reads the list again, from an older copy
+		other.ApplyUpdate(leader.OutgoingUpdate(time.Now()), time.Now())
+		other.ApplyUpdate(Update{Revision: 99, Digest: 1}, time.Now()) // a gap: it reads the list again, from an older copy
 		time.Sleep(time.Second)
 		if other.Count() != 4 {
 			t.Errorf("the other process lists %d members, want 4: an older copy undid changes", other.Count())
--- a/internal/coordination/outage/gate.go
+++ b/internal/coordination/outage/gate.go
@@ -28,15 +28,15 @@
 
 // Pace sets how often a process probes a store that does not answer.
 type Pace struct {
-	// PauseMost is the upper limit of the pause after a failed probe. Jitter adds
+	// MaxPause is the upper limit of the pause after a failed probe. Jitter adds
 	// up to a quarter to it.
-	PauseMost time.Duration
-	// Again is the interval at which a probe that is not answered yet is sent again
+	MaxPause time.Duration
+	// HedgeInterval is the interval at which a probe that is not answered yet is sent again
 	// beside the earlier attempts; 0 sends it once. The store does not answer calls
 	// that were sent during its outage even after it is back: with one call at a
 	// time of up to 900 ms, gateways that had started in an outage were ready 1.1 s
 	// after its end.
-	Again time.Duration
+	HedgeInterval time.Duration
 }
 
 // Gate is a hookhall.Store that passes calls on to another one and makes one call at a
@@ -61,13 +61,13 @@
 // NewGate returns a Gate for s. Its first call is a probe, since it is not known
 // whether s answers.
 func NewGate(s hookhall.Store) *Gate {
-	return &Gate{store: s, Pace: func() Pace { return Pace{PauseMost: initialPause} }, failing: true, nextPause: initialPause}
+	return &Gate{store: s, Pace: func() Pace { return Pace{MaxPause: initialPause} }, failing: true, nextPause: initialPause}
 }
 
-// Heard reports that the store answered a peer's call that began at the given time.
+// ReportAnswered reports that the store answered a peer's call that began at the given time.
 // If this process's outage began earlier, the current pause ends or the next one is
 // skipped, once per outage: the store may still be unavailable to this process alone.
-func (g *Gate) Heard(began time.Time) {
+func (g *Gate) ReportAnswered(began time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if began.After(g.answeredAt) {
@@ -249,7 +249,7 @@
 	err    error
 }
 
-// hedge makes a call and sends it again every Pace.Again while no attempt has ended. It
+// hedge makes a call and sends it again every Pace.HedgeInterval while no attempt has ended. It
 // returns the outcome of the attempt that ends first and cancels the others.
 func (g *Gate) hedge(ctx context.Context, do storeCall) (result, error) {
 	ctx, cancel := context.WithCancel(ctx)
@@ -263,7 +263,7 @@
 		}
 	}
 	var hedgeDue <-chan time.Time // nil never fires
-	if interval := g.Pace().Again; interval > 0 {
+	if interval := g.Pace().HedgeInterval; interval > 0 {
 		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		hedgeDue = ticker.C
@@ -278,7 +278,7 @@
 	}
 }
 
-// awaitPause waits until the next probe is due, or until Gate.Heard ends the pause.
+// awaitPause waits until the next probe is due, or until Gate.ReportAnswered ends the pause.
 func (g *Gate) awaitPause(ctx context.Context) error {
 	g.mu.Lock()
 	wake := make(chan struct{})
@@ -321,5 +321,5 @@
 		g.failing, g.failedAt = true, now
 	}
 	g.nextProbeAt = now.Add(retry.Jitter(g.nextPause))
-	g.nextPause = min(2*g.nextPause, g.Pace().PauseMost)
+	g.nextPause = min(2*g.nextPause, g.Pace().MaxPause)
 }
--- a/internal/coordination/outage/gate_test.go
+++ b/internal/coordination/outage/gate_test.go
@@ -140,14 +140,14 @@
 // calling it, and against a Gate that notices the store's return late or never.
 func TestGate(t *testing.T) {
 	t.Run("calls pass while the store answers", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Second}, func(t *testing.T, h *harness) {
 			if succeeded, failed := h.advance(time.Second); succeeded < 57 || failed > 0 {
 				t.Errorf("%d calls succeeded, %d failed", succeeded, failed)
 			}
 		})
 	})
 	t.Run("one call at a time is made while the store is unavailable", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Second}, func(t *testing.T, h *harness) {
 			h.advance(time.Second)
 			h.store.setUnavailable(true)
 			_, failed := h.advance(20 * time.Second)
@@ -161,7 +161,7 @@
 		})
 	})
 	t.Run("calls succeed within one pause of the store's return", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Second}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Second}, func(t *testing.T, h *harness) {
 			h.store.setUnavailable(true)
 			h.advance(20 * time.Second)
 			h.store.setUnavailable(false)
@@ -172,7 +172,7 @@
 		})
 	})
 	t.Run("calls succeed sooner when the probe is sent again", func(t *testing.T) {
-		pace := Pace{PauseMost: 150 * time.Millisecond, Again: 250 * time.Millisecond}
+		pace := Pace{MaxPause: 150 * time.Millisecond, HedgeInterval: 250 * time.Millisecond}
 		runHarness(t, pace, func(t *testing.T, h *harness) {
 			h.store.setUnavailable(true)
 			h.advance(20 * time.Second)
@@ -187,15 +187,15 @@
 		})
 	})
 	t.Run("a peer's answer ends the pause at once, but only once per outage", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Minute}, func(t *testing.T, h *harness) {
 			h.store.setUnavailable(true)
 			h.awaitLongPause()
-			h.gate.Heard(time.Now())
+			h.gate.ReportAnswered(time.Now())
 			h.advance(2 * time.Second)
 			if calls := h.store.setUnavailable(true); calls != 1 {
 				t.Errorf("%d calls followed", calls)
 			}
-			h.gate.Heard(time.Now())
+			h.gate.ReportAnswered(time.Now())
 			h.advance(2 * time.Second)
 			if calls := h.store.setUnavailable(true); calls != 0 {
 				t.Errorf("%d calls followed the second report", calls)
@@ -203,11 +203,11 @@
 		})
 	})
 	t.Run("a peer's answer from before the outage ends no pause", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Minute}, func(t *testing.T, h *harness) {
 			earlier := time.Now().Add(-time.Millisecond)
 			h.store.setUnavailable(true)
 			h.awaitLongPause()
-			h.gate.Heard(earlier)
+			h.gate.ReportAnswered(earlier)
 			h.advance(2 * time.Second)
 			if calls := h.store.setUnavailable(true); calls != 0 {
 				t.Errorf("%d calls followed", calls)
@@ -215,7 +215,7 @@
 		})
 	})
 	t.Run("Revoke does not wait for the pause", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Minute}, func(t *testing.T, h *harness) {
 			h.store.setUnavailable(true)
 			h.advance(time.Minute)
 			h.store.setUnavailable(false)
@@ -226,7 +226,7 @@
 		})
 	})
 	t.Run("a call ends with its context", func(t *testing.T) {
-		runHarness(t, Pace{PauseMost: time.Minute}, func(t *testing.T, h *harness) {
+		runHarness(t, Pace{MaxPause: time.Minute}, func(t *testing.T, h *harness) {
 			h.store.setUnavailable(true)
 			h.advance(time.Minute)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/coordination/pipeline/run.go
+++ b/internal/coordination/pipeline/run.go
@@ -159,7 +159,7 @@
 		}
 		return nil, &failure
 	}
-	return &hookhall.Answer{Output: output, Cost: x.costs, FirstToken: x.firstToken}, nil
+	return &hookhall.Answer{Output: output, Cost: x.costs, TimeToFirstToken: x.firstToken}, nil
 }
 
 // runStages runs the stages in order, each with the output of the one before, and
@@ -226,7 +226,7 @@
 		if pool == nil {
 			continue
 		}
-		wait := pool.Gate.Wait(x.account.Name, x.weight, x.priority, now)
+		wait := pool.Gate.EstimateWait(x.account.Name, x.weight, x.priority, now)
 		need += time.Duration(float64(wait) * waitSafetyFactor)
 		if wait > longestWait {
 			longestWait, retryAfter = wait, pool.Gate.RetryAfter(x.account.Name, x.weight, x.priority, now)
@@ -240,7 +240,7 @@
 			"the pipeline takes %v now and %v is left", need.Round(time.Millisecond), remaining.Round(time.Millisecond))
 	}
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload,
-		"queue and pipeline take %v now and %v is left", need.Round(time.Millisecond), remaining.Round(time.Millisecond)).After(retryAfter)
+		"queue and pipeline take %v now and %v is left", need.Round(time.Millisecond), remaining.Round(time.Millisecond)).WithRetryAfter(retryAfter)
 }
 
 // estimateRest returns the expected duration of the stages from an index on, without
@@ -252,7 +252,7 @@
 	for i := first; i < len(x.pipeline.Stages); i++ {
 		expected := x.estimates.Get(x.estimateKey(i, size))
 		if i == first {
-			sum += expected.High
+			sum += expected.P90
 		} else {
 			sum += expected.Median
 		}
--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -65,7 +65,7 @@
 
 // Runner runs the requests of an entry. It is safe for concurrent use.
 type Runner struct {
-	tables    *tables.Keeper
+	tables    *tables.Follower
 	targets   *targets.Directory
 	claims    *claims.Claims
 	limits    *limits.Limits
@@ -78,15 +78,15 @@
 
 // Meter receives measurements. Its methods must be fast and safe for concurrent use.
 type Meter interface {
-	// Stage records the cost of one stage of a request that has ended.
-	Stage(pipeline string, c hookhall.StageCost)
-	// Done records the end of a request and its duration; err is nil for an answer.
-	Done(r *hookhall.Request, took time.Duration, err *hookhall.Error)
+	// RecordStage records the cost of one stage of a request that has ended.
+	RecordStage(pipeline string, c hookhall.StageCost)
+	// RecordRequest records the end of a request and its duration; err is nil for an answer.
+	RecordRequest(r *hookhall.Request, took time.Duration, err *hookhall.Error)
 }
 
-// Parts is what a Runner needs to run requests.
-type Parts struct {
-	Tables  *tables.Keeper
+// Dependencies is what a Runner needs to run requests.
+type Dependencies struct {
+	Tables  *tables.Follower
 	Targets *targets.Directory
 	Claims  *claims.Claims
 	Limits  *limits.Limits
@@ -96,15 +96,15 @@
 }
 
 // New returns a Runner without estimates.
-func New(parts Parts) *Runner {
+func New(parts Dependencies) *Runner {
 	return &Runner{
 		tables: parts.Tables, targets: parts.Targets, claims: parts.Claims, limits: parts.Limits,
 		backend: parts.Backend, meter: parts.Meter, policy: parts.Policy, estimates: &estimate.Set{},
 	}
 }
 
-// Active returns the number of requests in progress.
-func (r *Runner) Active() int64 { return r.active.Load() }
+// ActiveRequests returns the number of requests in progress.
+func (r *Runner) ActiveRequests() int64 { return r.active.Load() }
 
 // Estimates returns the measured durations of the stages.
 func (r *Runner) Estimates() *estimate.Set { return r.estimates }
@@ -125,10 +125,10 @@
 	for _, cost := range current.costs {
 		if cost.Calls > 0 {
 			spent = append(spent, cost)
-			r.meter.Stage(request.Pipeline, cost)
+			r.meter.RecordStage(request.Pipeline, cost)
 		}
 	}
-	r.meter.Done(request, clock.Since(began), failure)
+	r.meter.RecordRequest(request, clock.Since(began), failure)
 	if failure != nil {
 		failure.Cost = spent
 		return nil, failure
--- a/internal/coordination/pipeline/stage.go
+++ b/internal/coordination/pipeline/stage.go
@@ -58,7 +58,7 @@
 // noTargetError returns the refusal for a pool that is unknown or has no usable
 // target.
 func noTargetError(pool string) error {
-	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "pool %q has no target that takes work", pool).After(time.Second)
+	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "pool %q has no target that takes work", pool).WithRetryAfter(time.Second)
 }
 
 // isOnce reports whether the stage must not run twice.
@@ -79,7 +79,7 @@
 // wait for.
 func (s *stageRun) poolsHaveCapacity() bool {
 	for _, gate := range s.gates {
-		if gate != nil && !gate.Idle() {
+		if gate != nil && !gate.HasCapacity() {
 			return false
 		}
 	}
@@ -101,10 +101,10 @@
 		return nil, noTargetError(pool.Name)
 	}
 	if s.ticket != nil && !s.ticket.Usable(admitted) {
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoClaim, "the claim is too old to be used").After(time.Second)
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoClaim, "the claim is too old to be used").WithRetryAfter(time.Second)
 	}
 	s.triedTargets = append(s.triedTargets, target.ID)
-	pool.Earn()
+	pool.EarnRetryShare()
 	return s.call(ctx, pool, target, attempt)
 }
 
@@ -114,12 +114,12 @@
 	now := clock.Now()
 	item := &admission.Item{
 		Account: s.account.Name, Weight: s.weight, Priority: s.priority,
-		Start: s.request.Deadline,
-		Cost:  s.estimates.Get(s.estimateKey(s.index, len(s.input))).Median.Seconds(),
+		LatestStart: s.request.Deadline,
+		Cost:        s.estimates.Get(s.estimateKey(s.index, len(s.input))).Median.Seconds(),
 	}
 	if !s.policy.NoEarlyRefusal {
-		item.Start = item.Start.Add(-s.estimateRest(s.index, len(s.input)))
-		if now.After(item.Start) {
+		item.LatestStart = item.LatestStart.Add(-s.estimateRest(s.index, len(s.input)))
+		if now.After(item.LatestStart) {
 			return s.deadlineError(pool, now)
 		}
 	}
@@ -136,7 +136,7 @@
 // deadlineError returns the refusal of a stage that can't end in time.
 func (s *stageRun) deadlineError(pool *targets.Pool, now time.Time) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseDeadline,
-		"the rest of the pipeline can't end in time").After(pool.Gate.RetryAfter(s.account.Name, s.weight, s.priority, now))
+		"the rest of the pipeline can't end in time").WithRetryAfter(pool.Gate.RetryAfter(s.account.Name, s.weight, s.priority, now))
 }
 
 // prefixHash returns the hash of the prompt prefix, by which a target is preferred.
@@ -149,7 +149,7 @@
 	stageCall := hookhall.StageCall{
 		Request: s.request.ID, Stage: s.stage.Name, Attempt: attempt,
 		Digest: xxhash.Sum64(s.input), Input: s.input, MaxTokens: s.maxTokens(s.index),
-		Priority: s.priority, Deadline: s.request.Deadline, Once: s.isOnce(),
+		Priority: s.priority, Deadline: s.request.Deadline, AtMostOnce: s.isOnce(),
 	}
 	if s.ticket != nil {
 		stageCall.Key, stageCall.Epoch, stageCall.Token = s.claimKey(), s.ticket.Epoch, s.ticket.Token
@@ -161,8 +161,8 @@
 	cost := &s.costs[s.index]
 	cost.Calls++
 	cost.Tokens += result.Tokens
-	cost.BusyMS += milliseconds(now.Sub(began) - result.Queue)
-	cost.WaitMS += milliseconds(result.Queue)
+	cost.BusyMS += milliseconds(now.Sub(began) - result.QueueTime)
+	cost.WaitMS += milliseconds(result.QueueTime)
 	if err != nil {
 		return nil, s.recordFailure(ctx, target, err, now.Sub(began))
 	}
@@ -170,8 +170,8 @@
 		s.mayHaveEffects = true
 	}
 	target.End(now.Sub(began), false, now)
-	target.Report(result.Load, now)
-	pool.Gate.Feedback(result.Queue, now.Sub(began)-result.Queue, now)
+	target.RecordReport(result.Load, now)
+	pool.Gate.Feedback(result.QueueTime, now.Sub(began)-result.QueueTime, now)
 	s.estimates.Observe(s.estimateKey(s.index, len(s.input)), now.Sub(began), now)
 	return result.Output, nil
 }
@@ -194,7 +194,7 @@
 		// estimated by its fast calls alone.
 		s.estimates.Observe(s.estimateKey(s.index, len(s.input)), took, now)
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			target.Late(took)
+			target.EndAtDeadline(took)
 			return hookhall.Errorf(failure.Verdict, hookhall.CauseDeadline, "the deadline passed at target %s", target.ID)
 		}
 		target.Cancel()
--- a/internal/coordination/placement/client.go
+++ b/internal/coordination/placement/client.go
@@ -32,7 +32,7 @@
 // Remote is a client of the placement owner in another process.
 type Remote interface {
 	// Place calls Owner.Place. limits are the rate limits that the caller knows of.
-	Place(ctx context.Context, ticket, service string, w balance.Wish, limits []advisory.Report) (Choice, error)
+	Place(ctx context.Context, ticket, service string, w balance.Criteria, limits []advisory.Report) (Choice, error)
 	// Note calls Owner.Take.
 	Note(ctx context.Context, notes []Note) error
 }
@@ -50,7 +50,7 @@
 // Client asks the placement owner of each service. Its exported fields must be set before
 // use; it is safe for concurrent use.
 type Client struct {
-	Local *Placer // that of this process
+	Local *Owner // that of this process
 	Fleet Fleet
 	// Remote returns the client of the placement owner at address.
 	Remote func(address string) Remote
@@ -68,14 +68,14 @@
 	ticket  string // identifies the request at the placement owner
 }
 
-// Key returns the key by which the placement owner of a service is found.
-func Key(service string) string { return ownerKeyPrefix + service }
+// OwnerKey returns the key by which the placement owner of a service is found.
+func OwnerKey(service string) string { return ownerKeyPrefix + service }
 
 // Place asks the placement owner of a service for a target. If the Target of the result is
 // empty, the caller chooses one without a rate limit itself. limits are the rate limits that
 // the caller knows of, for an owner that has not learned them yet.
-func (c *Client) Place(ctx context.Context, service string, w balance.Wish, limits []advisory.Report) Placement {
-	owner := c.Fleet.Owner(Key(service), nil, clock.Now())
+func (c *Client) Place(ctx context.Context, service string, w balance.Criteria, limits []advisory.Report) Placement {
+	owner := c.Fleet.Owner(OwnerKey(service), nil, clock.Now())
 	placement := Placement{client: c, address: owner.Address}
 	placement.ticket = c.Fleet.Self().Address + "/" + strconv.FormatUint(c.ticketCount.Add(1), 36)
 	if owner.Address == c.Fleet.Self().Address {
@@ -95,15 +95,15 @@
 	return placement
 }
 
-// Tell sends a note on the request to the placement owner. It does not wait for the
+// Report sends a note on the request to the placement owner. It does not wait for the
 // delivery, and does nothing if no target was chosen.
-func (p Placement) Tell(k Kind) {
+func (p Placement) Report(k NoteKind) {
 	if p.Target == "" {
 		return
 	}
 	note := Note{p.ticket, k}
 	if p.address == p.client.Fleet.Self().Address {
-		p.client.Local.Take([]Note{note})
+		p.client.Local.ProcessNotes([]Note{note})
 		return
 	}
 	p.client.queueNote(p.address, note)
--- a/internal/coordination/placement/limited_test.go
+++ b/internal/coordination/placement/limited_test.go
@@ -38,11 +38,11 @@
 		"nothing is granted":                      {0, time.Minute, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			book := &advisory.Book{}
-			book.Record(hookhall.Life{ID: "target"}, hookhall.Advisory{Limited: true, Limit: 1}, clock.Now(), clock.Now())
-			p := NewPlacer(oneTarget{}, balance.ColdLimits{})
-			p.Grants = func(string) advisory.Grants { return advisory.Grants{Book: book, Share: c.share} }
-			got := p.Place("ticket", "service", balance.Wish{Slack: c.slack})
+			book := &advisory.Registry{}
+			book.Record(hookhall.Incarnation{ID: "target"}, hookhall.Advisory{Limited: true, Limit: 1}, clock.Now(), clock.Now())
+			p := NewOwner(oneTarget{}, balance.ColdLimits{})
+			p.Grants = func(string) advisory.Grants { return advisory.Grants{Registry: book, Share: c.share} }
+			got := p.Place("ticket", "service", balance.Criteria{LatencyBudget: c.slack})
 			if placed := got.Target != ""; placed != c.placed || (got.Wait > 0) != c.placed {
 				t.Errorf("placed at %q after %v", got.Target, got.Wait)
 			}
--- a/internal/coordination/placement/owner.go
+++ b/internal/coordination/placement/owner.go
@@ -23,25 +23,25 @@
 	maxRunTime = 20 * time.Second
 )
 
-// Kind is the kind of an event of a placed request.
-type Kind int
+// NoteKind is the kind of an event of a placed request.
+type NoteKind int
 
 // The kinds of notes.
 const (
-	// Read reports that the answer began, hence that the target has read the prompt.
-	Read Kind = iota
+	// PromptRead reports that the answer began, hence that the target has read the prompt.
+	PromptRead NoteKind = iota
 	// Ended reports that the request ended or will not be sent.
 	Ended
 	// Failed reports that the target could not be reached or did not answer.
 	Failed
-	// Full reports that the target refused the request for lack of capacity.
-	Full
+	// AtCapacity reports that the target refused the request for lack of capacity.
+	AtCapacity
 )
 
 // Note reports an event of the request with a ticket.
 type Note struct {
 	Ticket string
-	Kind   Kind
+	Kind   NoteKind
 }
 
 // Directory provides the part of the catalog that the placement owner reads.
@@ -52,9 +52,9 @@
 	Targets(pool string) []hookhall.Target
 }
 
-// Placer chooses targets for the whole fleet while this process is the placement owner. It
+// Owner chooses targets for the whole fleet while this process is the placement owner. It
 // is safe for concurrent use.
-type Placer struct {
+type Owner struct {
 	directory Directory
 	tracker   *balance.Tracker
 	limits    balance.ColdLimits
@@ -68,15 +68,15 @@
 
 // placedRequest is a request whose end was not reported yet.
 type placedRequest struct {
-	use      *balance.Use
+	use      *balance.ActiveCall
 	placedAt time.Time
 }
 
-// NewPlacer returns an Owner without recorded load and without rate limits. Cold targets get
+// NewOwner returns an Owner without recorded load and without rate limits. Cold targets get
 // no more requests than l allows.
-func NewPlacer(d Directory, l balance.ColdLimits) *Placer {
-	none := advisory.Grants{Book: &advisory.Book{}}
-	return &Placer{
+func NewOwner(d Directory, l balance.ColdLimits) *Owner {
+	none := advisory.Grants{Registry: &advisory.Registry{}}
+	return &Owner{
 		directory: d, tracker: balance.NewTracker(), limits: l, requestsByTicket: map[string]*placedRequest{},
 		Grants: func(string) advisory.Grants { return none },
 	}
@@ -100,14 +100,14 @@
 
 // Place chooses a target and counts the request there. ticket identifies the request in
 // later notes; it must be unique in the fleet.
-func (o *Placer) Place(ticket, service string, w balance.Wish) Choice {
+func (o *Owner) Place(ticket, service string, w balance.Criteria) Choice {
 	now := clock.Now()
 	w.Limiter = o.Grants(service)
 	if table := o.directory.Table(); table != nil {
 		if s := table.Service(service); s != nil {
-			w.Spec = s.Engine
-			maxRequests := o.limits.Placer(s)
-			w.Cold = func(string) int { return maxRequests }
+			w.EngineSpec = s.Engine
+			maxRequests := o.limits.MaxFromPlacementOwner(s)
+			w.MaxColdRequests = func(string) int { return maxRequests }
 		}
 	}
 	o.mu.Lock()
@@ -116,10 +116,10 @@
 	t, ok := o.tracker.Choose(targets, w, now)
 	choice := Choice{}
 	if !ok {
-		if t, choice.Wait, ok = o.tracker.Next(targets, w, now); !ok {
+		if t, choice.Wait, ok = o.tracker.NextLimited(targets, w, now); !ok {
 			return choice
 		}
-		if choice.Wait, ok = w.Limiter.Reserve(t.Life(), time.Duration(maxWaitShare*float64(w.Slack)), now); !ok {
+		if choice.Wait, ok = w.Limiter.Reserve(t.Incarnation(), time.Duration(maxWaitShare*float64(w.LatencyBudget)), now); !ok {
 			return Choice{RetryAfter: knownWait(choice.Wait)}
 		}
 	}
@@ -137,8 +137,8 @@
 	return d
 }
 
-// Take records the events that notes report. Notes of unknown tickets are ignored.
-func (o *Placer) Take(notes []Note) {
+// ProcessNotes records the events that notes report. Notes of unknown tickets are ignored.
+func (o *Owner) ProcessNotes(notes []Note) {
 	now := clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -148,13 +148,13 @@
 			continue
 		}
 		switch note.Kind {
-		case Read:
+		case PromptRead:
 			request.use.Read()
 			request.use.Succeeded(now.Sub(request.placedAt))
 			continue
 		case Failed:
 			request.use.Failed(true, now)
-		case Full:
+		case AtCapacity:
 			request.use.Refused(now)
 		}
 		request.use.End()
@@ -162,9 +162,9 @@
 	}
 }
 
-// Tidy drops placements whose notes must have been lost, and the records of targets that
+// Prune drops placements whose notes must have been lost, and the records of targets that
 // current does not report as current incarnations. The process calls it periodically.
-func (o *Placer) Tidy(current func(l hookhall.Life) bool, now time.Time) {
+func (o *Owner) Prune(current func(l hookhall.Incarnation) bool, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for ticket, request := range o.requestsByTicket {
@@ -177,5 +177,5 @@
 			delete(o.requestsByTicket, ticket)
 		}
 	}
-	o.tracker.Keep(current, now)
+	o.tracker.Prune(current, now)
 }
--- a/internal/coordination/quarantine/crashcheck.go
+++ b/internal/coordination/quarantine/crashcheck.go
@@ -37,36 +37,36 @@
 	startedAt time.Time
 }
 
-// Broke records that t's answer to a request content broke off, and starts a check of
+// Suspect records that t's answer to a request content broke off, and starts a check of
 // whether t has crashed; it does not wait for that. The zero digest is ignored: a gateway of
 // an earlier version sends no content.
-func (q *Quarantine) Broke(content crashes.Digest, account string, t hookhall.Target) {
+func (q *Quarantine) Suspect(content crashes.Digest, account string, t hookhall.Target) {
 	if content == (crashes.Digest{}) {
 		return
 	}
-	e := crashes.End{Content: content, Account: account, Life: t.Life(), Software: t.Software(), Served: q.recentlyServed.Has(content, clock.Now())}
-	check := q.startCheck(e.Life, t)
+	e := crashes.Crash{Content: content, Account: account, Incarnation: t.Incarnation(), Software: t.Software(), RecentlyServed: q.recentlyServed.Has(content, clock.Now())}
+	check := q.startCheck(e.Incarnation, t)
 	go func() {
 		<-check.done
 		if check.crashed {
-			e.At = check.startedAt
+			e.ReportedAt = check.startedAt
 			q.recordCrash(e)
 		}
 	}()
 }
 
-// Ended reports whether a target whose answer broke off refuses connections, that is,
+// HasCrashed reports whether a target whose answer broke off refuses connections, that is,
 // has crashed. It waits for one probe, at most probeTimeout; a crashed target that has
 // restarted by then goes unnoticed here.
-func (q *Quarantine) Ended(t hookhall.Target) bool {
-	check := q.startCheck(t.Life(), t)
+func (q *Quarantine) HasCrashed(t hookhall.Target) bool {
+	check := q.startCheck(t.Incarnation(), t)
 	<-check.probed
 	return check.refused
 }
 
 // startCheck starts a check of an incarnation, or returns the one that is running or has
 // found a crash. All answers that break off at one target share one probe.
-func (q *Quarantine) startCheck(l hookhall.Life, t hookhall.Target) *crashCheck {
+func (q *Quarantine) startCheck(l hookhall.Incarnation, t hookhall.Target) *crashCheck {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if check := q.checksByLife[l]; check != nil && (!check.isDone() || check.crashed) {
@@ -100,7 +100,7 @@
 func (q *Quarantine) isReplaced(t hookhall.Target) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
-	for !q.catalog.Over(t) {
+	for !q.catalog.HasEnded(t) {
 		if !retry.Sleep(ctx, restartPollInterval) {
 			return false
 		}
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -36,20 +36,20 @@
 
 // Limits returns the limits of a gateway's ledger.
 func Limits() crashes.Limits {
-	return crashes.Limits{Ends: maxCrashes, Keep: crashTTL, Contents: maxContents, PerAccount: maxContentsPerAccount}
+	return crashes.Limits{MinCrashes: maxCrashes, Retention: crashTTL, MaxContents: maxContents, MaxContentsPerAccount: maxContentsPerAccount}
 }
 
 // Catalog lists the incarnations of targets.
 type Catalog interface {
-	// Over reports whether the list shows that t's incarnation is over.
-	Over(t hookhall.Target) bool
+	// HasEnded reports whether the list shows that t's incarnation is over.
+	HasEnded(t hookhall.Target) bool
 }
 
 // Meter counts crashes and refused contents.
 type Meter interface {
-	// TargetEnded counts a crash that this process found. software is the service and the
+	// TargetCrashed counts a crash that this process found. software is the service and the
 	// version of the target.
-	TargetEnded(software string)
+	TargetCrashed(software string)
 	// ContentsRefused sets the number of contents that are refused.
 	ContentsRefused(n int)
 }
@@ -58,13 +58,13 @@
 // them. Its exported fields are set before Run. Its methods are safe for concurrent use.
 type Quarantine struct {
 	Ledger *crashes.Ledger
-	// Leads reports whether this process is the one that writes to the store for all.
-	Leads func() bool
+	// IsStoreWriter reports whether this process is the one that writes to the store for all.
+	IsStoreWriter func() bool
 	// Era returns how often the store was restored from an older copy.
 	Era func() uint64
-	// Tell sends crashes to all other gateways. It must not block.
-	Tell  func(list []crashes.End)
-	Meter Meter // nil counts nothing
+	// Broadcast sends crashes to all other gateways. It must not block.
+	Broadcast func(list []crashes.Crash)
+	Meter     Meter // nil counts nothing
 
 	prober  hookhall.Prober
 	catalog Catalog
@@ -72,9 +72,9 @@
 	log     *log.Logger
 
 	mu             sync.Mutex // guards checksByLife, pending and loggedRefusals
-	checksByLife   map[hookhall.Life]*crashCheck
-	recentlyServed *crashes.Recent
-	pending        []crashes.End           // not broadcast yet
+	checksByLife   map[hookhall.Incarnation]*crashCheck
+	recentlyServed *crashes.RecentContents
+	pending        []crashes.Crash         // not broadcast yet
 	loggedRefusals map[crashes.Digest]bool // contents whose refusal was logged
 	writeSignal    chan struct{}           // filled when the store may have to be written
 }
@@ -84,8 +84,8 @@
 func New(p hookhall.Prober, c Catalog, s hookhall.Store, l *log.Logger) *Quarantine {
 	return &Quarantine{
 		Ledger: crashes.NewLedger(Limits()), prober: p, catalog: c, store: s, log: l,
-		Leads: func() bool { return false }, Era: func() uint64 { return 0 }, Tell: func([]crashes.End) {},
-		checksByLife: map[hookhall.Life]*crashCheck{}, recentlyServed: crashes.NewRecent(clock.Now()), loggedRefusals: map[crashes.Digest]bool{}, writeSignal: make(chan struct{}, 1),
+		IsStoreWriter: func() bool { return false }, Era: func() uint64 { return 0 }, Broadcast: func([]crashes.Crash) {},
+		checksByLife: map[hookhall.Incarnation]*crashCheck{}, recentlyServed: crashes.NewRecentContents(clock.Now()), loggedRefusals: map[crashes.Digest]bool{}, writeSignal: make(chan struct{}, 1),
 	}
 }
 
@@ -104,11 +104,11 @@
 
 // Standing returns the crashes that count against a request's content. content computes the
 // digest and is called only if there are crashes under any content.
-func (q *Quarantine) Standing(content func() crashes.Digest) crashes.Standing {
+func (q *Quarantine) Standing(content func() crashes.Digest) crashes.Status {
 	if q.Ledger.Empty() {
-		return crashes.Standing{}
+		return crashes.Status{}
 	}
-	return q.Ledger.Standing(content())
+	return q.Ledger.Status(content())
 }
 
 // Served records that a target gave a complete answer to a request's content. The content
@@ -116,7 +116,7 @@
 // cleared.
 func (q *Quarantine) Served(content func() crashes.Digest) {
 	q.recentlyServed.Add(content(), clock.Now())
-	if q.Standing(content).Ends == 0 {
+	if q.Standing(content).Crashes == 0 {
 		return
 	}
 	if cleared := q.clear(content()); len(cleared) > 0 {
@@ -124,9 +124,9 @@
 	}
 }
 
-// Lift releases a content from quarantine at an operator's request. It reports whether any
+// Release releases a content from quarantine at an operator's request. It reports whether any
 // crashes counted against it.
-func (q *Quarantine) Lift(content crashes.Digest) bool {
+func (q *Quarantine) Release(content crashes.Digest) bool {
 	cleared := q.clear(content)
 	q.log.Info("content released by operator", "content", content, "ends", len(cleared))
 	return len(cleared) > 0
@@ -134,7 +134,7 @@
 
 // clear clears all crashes under a content, here and at the other gateways, and returns
 // them.
-func (q *Quarantine) clear(content crashes.Digest) []crashes.End {
+func (q *Quarantine) clear(content crashes.Digest) []crashes.Crash {
 	cleared := q.Ledger.Clear(content)
 	if len(cleared) > 0 {
 		q.updateRefusals()
@@ -143,41 +143,41 @@
 	return cleared
 }
 
-// Learn merges crashes of a peer or of the store into the ledger, and returns those that are
+// Merge merges crashes of a peer or of the store into the ledger, and returns those that are
 // new here or newly cleared.
-func (q *Quarantine) Learn(list []crashes.End, from string) []crashes.End {
-	fresh := q.Ledger.Learn(list, clock.Now())
+func (q *Quarantine) Merge(list []crashes.Crash, from string) []crashes.Crash {
+	fresh := q.Ledger.Merge(list, clock.Now())
 	if len(fresh) == 0 {
 		return nil
 	}
-	q.log.Info("crashes received", "count", len(fresh), "from", from, "content", fresh[0].Content, "target", fresh[0].Life.ID, "cleared", fresh[0].Cleared)
+	q.log.Info("crashes received", "count", len(fresh), "from", from, "content", fresh[0].Content, "target", fresh[0].Incarnation.ID, "cleared", fresh[0].Cleared)
 	q.updateRefusals()
 	return fresh
 }
 
 // All returns all crashes in the ledger, also cleared ones.
-func (q *Quarantine) All() []crashes.End { return q.Ledger.All() }
+func (q *Quarantine) All() []crashes.Crash { return q.Ledger.All() }
 
 // Sum returns the checksum of the ledger at now; equal ledgers have equal ones.
-func (q *Quarantine) Sum(now time.Time) uint64 { return q.Ledger.Sum(now) }
+func (q *Quarantine) Sum(now time.Time) uint64 { return q.Ledger.Checksum(now) }
 
 // recordCrash enters a crash that this process found, and broadcasts it.
-func (q *Quarantine) recordCrash(e crashes.End) {
-	fresh := q.Ledger.Learn([]crashes.End{e}, clock.Now())
+func (q *Quarantine) recordCrash(e crashes.Crash) {
+	fresh := q.Ledger.Merge([]crashes.Crash{e}, clock.Now())
 	if len(fresh) == 0 {
 		return
 	}
-	q.log.Warn("target crashed while running a request", "content", e.Content, "account", e.Account, "target", e.Life.ID,
-		"born", e.Life.Born, "software", e.Software, "ends", q.Ledger.Standing(e.Content).Ends)
+	q.log.Warn("target crashed while running a request", "content", e.Content, "account", e.Account, "target", e.Incarnation.ID,
+		"born", e.Incarnation.Start, "software", e.Software, "ends", q.Ledger.Status(e.Content).Crashes)
 	if q.Meter != nil {
-		q.Meter.TargetEnded(e.Software)
+		q.Meter.TargetCrashed(e.Software)
 	}
 	q.updateRefusals()
 	q.enqueue(fresh)
 }
 
 // enqueue adds crashes to the next broadcast, which follows within broadcastDelay.
-func (q *Quarantine) enqueue(list []crashes.End) {
+func (q *Quarantine) enqueue(list []crashes.Crash) {
 	q.mu.Lock()
 	isFirst := len(q.pending) == 0
 	q.pending = append(q.pending, list...)
@@ -193,7 +193,7 @@
 	list := q.pending
 	q.pending = nil
 	q.mu.Unlock()
-	q.Tell(list)
+	q.Broadcast(list)
 }
 
 // updateRefusals logs which contents are newly refused or no longer refused, sets the
@@ -205,8 +205,8 @@
 	for d, s := range refused {
 		if !q.loggedRefusals[d] {
 			q.loggedRefusals[d] = true
-			q.log.Warn("content refused: targets crash when they run it", "content", d, "ends", s.Ends,
-				"software", s.Software, "first_ago_ms", clock.Since(s.Since).Milliseconds(), "targets", q.crashedTargets(d))
+			q.log.Warn("content refused: targets crash when they run it", "content", d, "ends", s.Crashes,
+				"software", s.Software, "first_ago_ms", clock.Since(s.FirstReported).Milliseconds(), "targets", q.crashedTargets(d))
 		}
 	}
 	for d := range q.loggedRefusals {
@@ -228,9 +228,9 @@
 // sorted.
 func (q *Quarantine) crashedTargets(d crashes.Digest) []string {
 	var ids []string
-	for _, e := range q.Ledger.Of(d) {
+	for _, e := range q.Ledger.ByContent(d) {
 		if !e.Cleared {
-			ids = append(ids, e.Life.ID)
+			ids = append(ids, e.Incarnation.ID)
 		}
 	}
 	slices.Sort(ids)
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -41,20 +41,20 @@
 	startedAt time.Time
 }
 
-func (l fakeCatalog) Over(hookhall.Target) bool {
+func (l fakeCatalog) HasEnded(hookhall.Target) bool {
 	return l.ended && time.Since(l.startedAt) >= l.endsAfter
 }
 
 func target(id string) hookhall.Target {
-	return hookhall.Target{ID: id, Address: "127.0.0.1:1", Version: "v1", Born: 1}
+	return hookhall.Target{ID: id, Address: "127.0.0.1:1", Version: "v1", Start: 1}
 }
 
 // newQuarantine returns a Quarantine, and the crashes that it broadcasts.
-func newQuarantine(p *fakeProber, c fakeCatalog) (q *Quarantine, broadcast *[]crashes.End) {
+func newQuarantine(p *fakeProber, c fakeCatalog) (q *Quarantine, broadcast *[]crashes.Crash) {
 	c.startedAt = time.Now()
 	q = New(p, c, nil, log.New(io.Discard))
-	broadcast = &[]crashes.End{}
-	q.Tell = func(list []crashes.End) { *broadcast = append(*broadcast, list...) }
+	broadcast = &[]crashes.Crash{}
+	q.Broadcast = func(list []crashes.Crash) { *broadcast = append(*broadcast, list...) }
 	return q, broadcast
 }
 
@@ -80,9 +80,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				p := &fakeProber{refuses: c.refuses}
 				q, broadcast := newQuarantine(p, c.catalog)
-				q.Broke(crashes.Digest{}, "", target("t")) // a gateway of an earlier version sends no digest
+				q.Suspect(crashes.Digest{}, "", target("t")) // a gateway of an earlier version sends no digest
 				for n := range 5 {
-					q.Broke(crashes.Digest{byte(n + 1)}, "a", target("t"))
+					q.Suspect(crashes.Digest{byte(n + 1)}, "a", target("t"))
 				}
 				time.Sleep(settleTime)
 				synctest.Wait()
@@ -103,11 +103,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := &fakeProber{}
 		q, _ := newQuarantine(p, fakeCatalog{})
-		q.Broke(crashes.Digest{1}, "a", target("t"))
+		q.Suspect(crashes.Digest{1}, "a", target("t"))
 		time.Sleep(settleTime)
 		synctest.Wait()
 		p.refuses = true
-		q.Broke(crashes.Digest{1}, "a", target("t"))
+		q.Suspect(crashes.Digest{1}, "a", target("t"))
 		time.Sleep(settleTime)
 		synctest.Wait()
 		if n := len(q.All()); n != 1 {
@@ -127,7 +127,7 @@
 		first, broadcast := newQuarantine(&fakeProber{refuses: true}, fakeCatalog{})
 		content := func() crashes.Digest { return crashes.Digest{1} }
 		for _, id := range []string{"t1", "t2", "t3"} {
-			first.Broke(content(), "a", target(id))
+			first.Suspect(content(), "a", target(id))
 		}
 		time.Sleep(settleTime)
 		synctest.Wait()
@@ -135,14 +135,14 @@
 			t.Fatal("not refused")
 		}
 		second, _ := newQuarantine(&fakeProber{}, fakeCatalog{})
-		second.Learn(*broadcast, "one")
+		second.Merge(*broadcast, "one")
 		if !second.Standing(content).Refused() || second.Sum(time.Now()) != first.Sum(time.Now()) {
 			t.Fatal("the peer does not refuse the content, or has another checksum")
 		}
 		first.Served(content)
 		time.Sleep(settleTime)
 		synctest.Wait()
-		second.Learn(*broadcast, "one")
+		second.Merge(*broadcast, "one")
 		if first.Standing(content).Refused() || second.Standing(content).Refused() {
 			t.Error("still refused")
 		}
@@ -166,11 +166,11 @@
 // its crashes.
 func TestRecordRoundTrip(t *testing.T) {
 	now := time.Now()
-	var list []crashes.End
+	var list []crashes.Crash
 	for n := range 3 {
-		list = append(list, crashes.End{
-			Content: crashes.Digest{1}, Account: "a", Life: hookhall.Life{ID: "t", Born: int64(n)}, Software: "s v1",
-			Served: n == 0, Cleared: n == 1, At: now.Add(time.Duration(n) * time.Second),
+		list = append(list, crashes.Crash{
+			Content: crashes.Digest{1}, Account: "a", Incarnation: hookhall.Incarnation{ID: "t", Start: int64(n)}, Software: "s v1",
+			RecentlyServed: n == 0, Cleared: n == 1, ReportedAt: now.Add(time.Duration(n) * time.Second),
 		})
 	}
 	value, err := json.Marshal(newRecord(list))
@@ -183,7 +183,7 @@
 		t.Fatalf("%v, %v", got, err)
 	}
 	for n, e := range list {
-		e.At = later.Add(time.Duration(n-2) * time.Second)
+		e.ReportedAt = later.Add(time.Duration(n-2) * time.Second)
 		if got[n] != e {
 			t.Errorf("%+v became %+v", e, got[n])
 		}
@@ -193,7 +193,7 @@
 // TestParseRecord checks that an invalid record is an error and not a crash without a content.
 func TestParseRecord(t *testing.T) {
 	now := time.Now()
-	list := []crashes.End{{Content: crashes.Digest{1, 2}, Account: "a", Life: hookhall.Life{ID: "t", Born: 5}, Software: "s v1", Cleared: true, At: now}}
+	list := []crashes.Crash{{Content: crashes.Digest{1, 2}, Account: "a", Incarnation: hookhall.Incarnation{ID: "t", Start: 5}, Software: "s v1", Cleared: true, ReportedAt: now}}
 	for name, c := range map[string]struct {
 		value string
 		want  bool
--- a/internal/coordination/quarantine/stored.go
+++ b/internal/coordination/quarantine/stored.go
@@ -68,7 +68,7 @@
 // the one that writes for all, until ctx ends.
 func (q *Quarantine) syncStore(ctx context.Context) {
 	w := &recordWriter{q, map[crashes.Digest]storedRecord{}}
-	pause := retry.Between(minStoreRetryDelay, maxStoreRetryDelay)
+	pause := retry.NewWithDelays(minStoreRetryDelay, maxStoreRetryDelay)
 	for ctx.Err() == nil && w.read(ctx) != nil {
 		pause.Wait(ctx)
 	}
@@ -105,7 +105,7 @@
 			w.log.Error("could not decode record of refused content", "key", i.Key, "error", err.Error())
 			continue
 		}
-		w.Learn(list, "store")
+		w.Merge(list, "store")
 		w.noteStored(list[0].Content, hookhall.Lease{})
 	}
 	return nil
@@ -114,7 +114,7 @@
 // write writes the changed records if this process is the one that writes, and reports
 // whether none is left to write.
 func (w *recordWriter) write(ctx context.Context) bool {
-	if !w.Leads() {
+	if !w.IsStoreWriter() {
 		return true
 	}
 	allWritten := true
@@ -132,12 +132,12 @@
 func (w *recordWriter) changed() map[crashes.Digest]bool {
 	differing := map[crashes.Digest]bool{}
 	for d, s := range w.Ledger.Refused() {
-		if was, isStored := w.storedByDigest[d]; !isStored || was.crashes != s.Ends || was.era < w.Era() {
+		if was, isStored := w.storedByDigest[d]; !isStored || was.crashes != s.Crashes || was.era < w.Era() {
 			differing[d] = true
 		}
 	}
 	for d, was := range w.storedByDigest {
-		if (w.Ledger.Standing(d).Ends != was.crashes || was.era < w.Era()) && len(w.Ledger.Of(d)) > 0 {
+		if (w.Ledger.Status(d).Crashes != was.crashes || was.era < w.Era()) && len(w.Ledger.ByContent(d)) > 0 {
 			differing[d] = true
 		}
 	}
@@ -147,7 +147,7 @@
 // writeOne writes the record of one content under a lease of its own. A lease that this
 // process holds for the content is used again.
 func (w *recordWriter) writeOne(ctx context.Context, d crashes.Digest) error {
-	list := w.Ledger.Of(d)
+	list := w.Ledger.ByContent(d)
 	value, err := json.Marshal(newRecord(list))
 	if err != nil {
 		return errors.Wrap(err, "record")
@@ -175,22 +175,22 @@
 // noteStored records that the store has the present state of a content. The zero lease means
 // that another process wrote it.
 func (w *recordWriter) noteStored(d crashes.Digest, lease hookhall.Lease) {
-	w.storedByDigest[d] = storedRecord{lease, w.Ledger.Standing(d).Ends, w.Era()}
+	w.storedByDigest[d] = storedRecord{lease, w.Ledger.Status(d).Crashes, w.Era()}
 }
 
 // newRecord returns the record of the crashes of one content, of which there is at least
 // one.
-func newRecord(list []crashes.End) record {
+func newRecord(list []crashes.Crash) record {
 	r := record{Content: list[0].Content.String(), Account: list[0].Account}
-	first := list[0].At
+	first := list[0].ReportedAt
 	for _, e := range list {
-		if e.At.Before(first) {
-			first = e.At
+		if e.ReportedAt.Before(first) {
+			first = e.ReportedAt
 		}
 	}
 	for _, e := range list {
 		r.Crashes = append(r.Crashes, recordedCrash{
-			Target: e.Life.ID, Born: e.Life.Born, Software: e.Software, AfterMS: e.At.Sub(first).Milliseconds(), Served: e.Served, Cleared: e.Cleared,
+			Target: e.Incarnation.ID, Born: e.Incarnation.Start, Software: e.Software, AfterMS: e.ReportedAt.Sub(first).Milliseconds(), Served: e.RecentlyServed, Cleared: e.Cleared,
 		})
 	}
 	return r
@@ -199,7 +199,7 @@
 // parseRecord returns the crashes of a stored record, at least one. The record does not tell
 // their age: the last one is dated now, so that it counts for crashTTL after the record was
 // read, which is at most the record's lease and crashTTL after the last write.
-func parseRecord(i hookhall.Item, now time.Time) ([]crashes.End, error) {
+func parseRecord(i hookhall.Item, now time.Time) ([]crashes.Crash, error) {
 	var r record
 	if err := json.Unmarshal(i.Value, &r); err != nil {
 		return nil, errors.Wrap(err, i.Key)
@@ -214,12 +214,12 @@
 	for _, e := range r.Crashes {
 		last = max(last, e.AfterMS)
 	}
-	var list []crashes.End
+	var list []crashes.Crash
 	for _, e := range r.Crashes {
-		list = append(list, crashes.End{
-			Content: content, Account: r.Account, Life: hookhall.Life{ID: e.Target, Born: e.Born},
-			Software: e.Software, Served: e.Served, Cleared: e.Cleared,
-			At: now.Add(-time.Duration(min(last-e.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
+		list = append(list, crashes.Crash{
+			Content: content, Account: r.Account, Incarnation: hookhall.Incarnation{ID: e.Target, Start: e.Born},
+			Software: e.Software, RecentlyServed: e.Served, Cleared: e.Cleared,
+			ReportedAt: now.Add(-time.Duration(min(last-e.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
 		})
 	}
 	return list, nil
--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -18,32 +18,32 @@
 
 // Minimum and maximum delay of a backoff that New returns.
 const (
-	First = 100 * time.Millisecond
-	Most  = 3 * time.Second
+	DefaultMinDelay = 100 * time.Millisecond
+	DefaultMaxDelay = 3 * time.Second
 )
 
-// Pause computes the delays between attempts and waits for them. It is not safe for concurrent use.
-type Pause struct {
+// Backoff computes the delays between attempts and waits for them. It is not safe for concurrent use.
+type Backoff struct {
 	nextDelay, minDelay, maxDelay time.Duration
 }
 
 // New returns a backoff with the default minimum and maximum delay.
-func New() *Pause { return Between(First, Most) }
+func New() *Backoff { return NewWithDelays(DefaultMinDelay, DefaultMaxDelay) }
 
-// Between returns a backoff whose delay starts at minDelay and doubles up to maxDelay.
-func Between(minDelay, maxDelay time.Duration) *Pause {
-	return &Pause{nextDelay: minDelay, minDelay: minDelay, maxDelay: maxDelay}
+// NewWithDelays returns a backoff whose delay starts at minDelay and doubles up to maxDelay.
+func NewWithDelays(minDelay, maxDelay time.Duration) *Backoff {
+	return &Backoff{nextDelay: minDelay, minDelay: minDelay, maxDelay: maxDelay}
 }
 
 // Wait sleeps for the next delay, or until ctx ends, and doubles the delay.
-func (b *Pause) Wait(ctx context.Context) {
+func (b *Backoff) Wait(ctx context.Context) {
 	d := b.nextDelay/2 + rand.N(b.nextDelay/2+1)
 	b.nextDelay = min(b.nextDelay*2, b.maxDelay)
 	Sleep(ctx, d)
 }
 
 // Reset sets the next delay to the minimum. Callers use it after a success.
-func (b *Pause) Reset() { b.nextDelay = b.minDelay }
+func (b *Backoff) Reset() { b.nextDelay = b.minDelay }
 
 // Sleep waits for d or until ctx ends, and reports whether the wait ended before ctx. The end
 // of a suspension of the instance also ends the wait with true: the timer does not advance
@@ -54,7 +54,7 @@
 	select {
 	case <-timer.C:
 		return true
-	case <-clock.Woken():
+	case <-clock.Resumed():
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/coordination/rollouts/owner.go
+++ b/internal/coordination/rollouts/owner.go
@@ -90,26 +90,26 @@
 	}
 }
 
-// Take stores the totals that another process reports to this one as the owner, and
+// MergeReport stores the totals that another process reports to this one as the owner, and
 // returns the progress of the reported rollouts. It leaves out those of which this process
 // knows a later revision.
-func (r *Rollouts) Take(report Report) []Standing {
+func (r *Rollouts) MergeReport(report Report) []Progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	var list []Standing
+	var list []Progress
 	for _, t := range report.Tallies {
 		known := r.rolloutsByService[t.Service]
 		if known == nil || known.Revision < t.Revision {
 			// The reporter learned of the rollout before this process did.
-			r.merge(t.Standing, report.Reporter)
+			r.merge(t.Progress, report.Reporter)
 			r.hasRollouts.Store(true)
 			known = r.rolloutsByService[t.Service]
 		}
 		if known.Revision != t.Revision {
 			continue
 		}
-		r.merge(t.Standing, report.Reporter)
+		r.merge(t.Progress, report.Reporter)
 		known.tallyByReporter[report.Reporter] = receivedTally{t, now}
 		list = append(list, known.progress(now))
 	}
@@ -141,7 +141,7 @@
 	s := tracked.situation(now)
 	next, why := s.Next()
 	if next != tracked.phase {
-		r.Log.Info("rollout phase decided", "service", tracked.Service, "version", tracked.Version, "phase", next, "why", why, "age", s.Age, "at_old", s.AtOld, "evidence", s.Evidence)
+		r.Log.Info("rollout phase decided", "service", tracked.Service, "version", tracked.Version, "phase", next, "why", why, "age", s.Age, "at_old", s.ActiveAtOld, "evidence", s.Evidence)
 	}
 	if next != rollout.Completed {
 		r.advance(tracked, next, "this process", now)
@@ -154,16 +154,16 @@
 
 // situation returns what the owner's decision is based on: the totals of this process and
 // the latest report of each other one. Rollouts.mu must be held.
-func (t *trackedRollout) situation(now time.Time) rollout.Situation {
-	s := rollout.Situation{Phase: t.phase, Age: now.Sub(t.learnedAt), Time: t.Time, AtOld: t.ownAtOld, Evidence: rollout.Evidence{}}
+func (t *trackedRollout) situation(now time.Time) rollout.Progress {
+	s := rollout.Progress{Phase: t.phase, Age: now.Sub(t.learnedAt), TimeLimit: t.Time, ActiveAtOld: t.ownAtOld, Evidence: rollout.Evidence{}}
 	if !t.movedAt.IsZero() {
-		s.Moved = now.Sub(t.movedAt)
+		s.DrainingTime = now.Sub(t.movedAt)
 	}
 	s.Evidence.Add(t.ownEvidence)
 	for _, received := range t.tallyByReporter {
 		s.Evidence.Add(received.Evidence)
 		if now.Sub(received.receivedAt) < inFlightMaxAge {
-			s.AtOld += received.AtOld
+			s.ActiveAtOld += received.InFlightAtOld
 		}
 	}
 	return s
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -33,7 +33,7 @@
 // Remote sends reports to another process.
 type Remote interface {
 	// Tally sends a report to an owner and returns the progress of the reported rollouts.
-	Tally(ctx context.Context, r Report) ([]Standing, error)
+	Tally(ctx context.Context, r Report) ([]Progress, error)
 }
 
 // Directory lists targets.
@@ -42,8 +42,8 @@
 	Targets(pool string) []hookhall.Target
 }
 
-// Standing is a rollout with its phase and age, as one process knows them.
-type Standing struct {
+// Progress is a rollout with its phase and age, as one process knows them.
+type Progress struct {
 	hookhall.Rollout
 	Phase rollout.Phase
 	// Age is the time since the rollout was first received, by this process or by a peer
@@ -51,17 +51,17 @@
 	Age time.Duration
 }
 
-// Orders holds the rollouts in force at a revision of the store.
-type Orders struct {
+// Snapshot holds the rollouts in force at a revision of the store.
+type Snapshot struct {
 	Revision hookhall.Revision
-	List     []Standing
+	List     []Progress
 }
 
 // Tally is the totals that one process has counted for a rollout.
 type Tally struct {
-	Standing
-	Evidence rollout.Evidence
-	AtOld    int // requests in progress at targets of the old version
+	Progress
+	Evidence      rollout.Evidence
+	InFlightAtOld int // requests in progress at targets of the old version
 }
 
 // Report carries the totals of one process to an owner.
@@ -73,15 +73,15 @@
 // Rollouts holds the rollouts that this process knows, and the totals that it has counted
 // for them. It is safe for concurrent use; its exported fields are set before the first use.
 type Rollouts struct {
-	Keys      hookhall.RolloutKeys
+	Keys      hookhall.RolloutSchema
 	Store     hookhall.Store
 	Fleet     Fleet
 	Remote    func(address string) Remote // returns the client of a process
 	Directory Directory
-	// Share bounds the share of a service's requests, from 0 to 1, that a version
+	// MaxCanaryShare bounds the share of a service's requests, from 0 to 1, that a version
 	// may get before it is known to be good.
-	Share float64
-	Log   *log.Logger
+	MaxCanaryShare float64
+	Log            *log.Logger
 
 	// hasRollouts is set while there are rollouts, so that without any a request takes no
 	// lock.
@@ -137,7 +137,7 @@
 		if !ok {
 			continue
 		}
-		if i.Gone {
+		if i.Deleted {
 			delete(listed, service)
 			continue
 		}
@@ -152,17 +152,17 @@
 		o.Revision = i.Revision
 		listed[service] = o
 	}
-	var list []Standing
+	var list []Progress
 	for _, o := range listed {
-		list = append(list, Standing{Rollout: o})
+		list = append(list, Progress{Rollout: o})
 	}
-	return r.replaceAll(Orders{at, list}, "store")
+	return r.replaceAll(Snapshot{at, list}, "store")
 }
 
-// Learn applies the rollouts that a peer knows, unless they are of an earlier
+// ApplySnapshot applies the rollouts that a peer knows, unless they are of an earlier
 // revision than those known here. Rollouts that the peer does not list are withdrawn.
 // Revision 0, that of a peer that has not read the store, is ignored.
-func (r *Rollouts) Learn(latest Orders, from string) {
+func (r *Rollouts) ApplySnapshot(latest Snapshot, from string) {
 	if latest.Revision == 0 {
 		return
 	}
@@ -176,7 +176,7 @@
 
 // replaceAll puts the latest rollouts in force, and reports whether any was added, replaced or
 // withdrawn. r.mu must be held.
-func (r *Rollouts) replaceAll(latest Orders, from string) (changed bool) {
+func (r *Rollouts) replaceAll(latest Snapshot, from string) (changed bool) {
 	r.revision = latest.Revision
 	if r.rolloutsByService == nil {
 		r.rolloutsByService = map[string]*trackedRollout{}
@@ -200,7 +200,7 @@
 // merge merges a rollout and its progress into those known, and reports whether the rollout
 // is a new one. A later revision replaces the rollout together with its totals. r.mu must be
 // held.
-func (r *Rollouts) merge(s Standing, from string) bool {
+func (r *Rollouts) merge(s Progress, from string) bool {
 	now := clock.Now()
 	known := r.rolloutsByService[s.Service]
 	if known == nil || known.Revision < s.Revision {
@@ -228,28 +228,28 @@
 		return
 	}
 	tracked.phase = p
-	if tracked.movedAt.IsZero() && p >= rollout.Moving {
+	if tracked.movedAt.IsZero() && p >= rollout.Draining {
 		tracked.movedAt = now
 	}
 	r.Log.Info("rollout phase changed", "service", tracked.Service, "version", tracked.Version, "phase", p, "age", now.Sub(tracked.learnedAt), "from", from)
 }
 
-// Orders returns the rollouts that this process knows, sorted by service.
-func (r *Rollouts) Orders() Orders {
+// Snapshot returns the rollouts that this process knows, sorted by service.
+func (r *Rollouts) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
-	out := Orders{Revision: r.revision}
+	out := Snapshot{Revision: r.revision}
 	for _, tracked := range r.rolloutsByService {
 		out.List = append(out.List, tracked.progress(now))
 	}
-	slices.SortFunc(out.List, func(a, b Standing) int { return strings.Compare(a.Service, b.Service) })
+	slices.SortFunc(out.List, func(a, b Progress) int { return strings.Compare(a.Service, b.Service) })
 	return out
 }
 
 // progress returns the rollout and its progress. Rollouts.mu must be held.
-func (t *trackedRollout) progress(now time.Time) Standing {
-	return Standing{t.Rollout, t.phase, now.Sub(t.learnedAt)}
+func (t *trackedRollout) progress(now time.Time) Progress {
+	return Progress{t.Rollout, t.phase, now.Sub(t.learnedAt)}
 }
 
 // Versions returns which versions of a service may run a request now; first is set for the
@@ -278,9 +278,9 @@
 	switch {
 	case oldCount == 0 || newCount == 0:
 		return balance.Versions{} // all targets run one version
-	case phase == rollout.Trial && first && rand.Float64() < rollout.Share(r.Share):
-		return balance.Versions{Only: version, Among: rollout.TrialTargets(r.Share, oldCount)}
-	case phase == rollout.Moving || phase == rollout.Completed:
+	case phase == rollout.Canary && first && rand.Float64() < rollout.CanaryShare(r.MaxCanaryShare):
+		return balance.Versions{Only: version, MaxTargets: rollout.CanaryTargets(r.MaxCanaryShare, oldCount)}
+	case phase == rollout.Draining || phase == rollout.Completed:
 		return balance.Versions{Only: version}
 	}
 	return balance.Versions{Not: version}
@@ -301,10 +301,10 @@
 	}
 	version, phase := tracked.Version, tracked.phase
 	r.mu.Unlock()
-	if phase == rollout.Trial {
-		return targets, version, rollout.Share(r.Share)
+	if phase == rollout.Canary {
+		return targets, version, rollout.CanaryShare(r.MaxCanaryShare)
 	}
-	wantsNew := phase == rollout.Moving || phase == rollout.Completed
+	wantsNew := phase == rollout.Draining || phase == rollout.Completed
 	isUnwanted := func(t hookhall.Target) bool { return (t.Version == version) != wantsNew }
 	if !slices.ContainsFunc(targets, isUnwanted) {
 		return targets, "", 0
@@ -315,8 +315,8 @@
 	return list, "", 0
 }
 
-// Use counts one request at a target for a rollout. On nil its methods do nothing.
-type Use struct {
+// Attempt counts one request at a target for a rollout. On nil its methods do nothing.
+type Attempt struct {
 	rollouts     *Rollouts
 	rollout      *trackedRollout
 	route        string
@@ -327,7 +327,7 @@
 
 // Begin counts the start of an attempt at a target. It returns nil if the target's service
 // has no rollout in progress; otherwise End must be called.
-func (r *Rollouts) Begin(route string, t hookhall.Target) *Use {
+func (r *Rollouts) Begin(route string, t hookhall.Target) *Attempt {
 	if !r.hasRollouts.Load() {
 		return nil
 	}
@@ -337,7 +337,7 @@
 	if tracked == nil || tracked.phase.Final() {
 		return nil
 	}
-	u := &Use{rollouts: r, rollout: tracked, route: route, isNewVersion: t.Version == tracked.Version, startedAt: clock.Now()}
+	u := &Attempt{rollouts: r, rollout: tracked, route: route, isNewVersion: t.Version == tracked.Version, startedAt: clock.Now()}
 	if !u.isNewVersion {
 		tracked.ownAtOld++
 	}
@@ -346,7 +346,7 @@
 
 // Answered counts an answer. took is the time to the head of the answer, and failed is set
 // for a failure.
-func (u *Use) Answered(took time.Duration, failed bool) {
+func (u *Attempt) Answered(took time.Duration, failed bool) {
 	if u == nil {
 		return
 	}
@@ -354,9 +354,9 @@
 	if failed {
 		t.Bad = 1
 	}
-	v := rollout.Versions{Old: t}
+	v := rollout.Comparison{Old: t}
 	if u.isNewVersion {
-		v = rollout.Versions{New: t}
+		v = rollout.Comparison{New: t}
 	}
 	u.rollouts.mu.Lock()
 	defer u.rollouts.mu.Unlock()
@@ -365,14 +365,14 @@
 
 // Unanswered counts an attempt that was abandoned before the target answered. It counts as
 // an answer that took the time so far, not as a failure.
-func (u *Use) Unanswered() {
+func (u *Attempt) Unanswered() {
 	if u != nil {
 		u.Answered(clock.Since(u.startedAt), false)
 	}
 }
 
 // End counts the end of the attempt. Further calls have no effect.
-func (u *Use) End() {
+func (u *Attempt) End() {
 	if u == nil || u.isNewVersion {
 		return
 	}
--- a/internal/coordination/rollouts/rollouts_test.go
+++ b/internal/coordination/rollouts/rollouts_test.go
@@ -163,17 +163,17 @@
 
 // start starts a process. It learns the rollout from known, or, if that is empty, from the
 // store.
-func (f *fleet) start(address string, known Orders) {
+func (f *fleet) start(address string, known Snapshot) {
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &process{address: address, fleet: f, cancel: cancel}
 	p.Rollouts = &Rollouts{
-		Keys: fakeKeys{}, Store: f.store, Fleet: p, Directory: f, Share: maxShare, Log: log.New(io.Discard),
+		Keys: fakeKeys{}, Store: f.store, Fleet: p, Directory: f, MaxCanaryShare: maxShare, Log: log.New(io.Discard),
 		Remote: func(to string) Remote { return remote{f, to} },
 	}
 	if known.Revision == 0 {
 		p.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte(newVersion + " 16"), Revision: 5}}, 10, true)
 	} else {
-		p.Learn(known, "peer")
+		p.ApplySnapshot(known, "peer")
 	}
 	f.mu.Lock()
 	f.processes[address] = p
@@ -204,12 +204,12 @@
 	to    string
 }
 
-func (r remote) Tally(_ context.Context, report Report) ([]Standing, error) {
+func (r remote) Tally(_ context.Context, report Report) ([]Progress, error) {
 	p := r.fleet.process(r.to)
 	if p == nil {
 		return nil, errors.New("the process is not running")
 	}
-	return p.Take(report), nil
+	return p.MergeReport(report), nil
 }
 
 // traffic sends ten requests a second through a process until ctx ends.
@@ -258,7 +258,7 @@
 }
 
 // startedAtOr returns when an attempt began, or otherwise for nil.
-func (u *Use) startedAtOr(otherwise time.Time) time.Time {
+func (u *Attempt) startedAtOr(otherwise time.Time) time.Time {
 	if u == nil {
 		return otherwise
 	}
@@ -314,7 +314,7 @@
 				f := newFleet(c.answer)
 				f.store.unavailable = c.unavailable
 				for i := range 40 {
-					f.start(fmt.Sprintf("10.0.0.%02d:1", i), Orders{})
+					f.start(fmt.Sprintf("10.0.0.%02d:1", i), Snapshot{})
 				}
 				for second := range 17 {
 					if second == 5 {
@@ -325,7 +325,7 @@
 					time.Sleep(time.Second)
 					if c.kills {
 						owner := f.ownerAddress()
-						known := f.process(owner).Orders()
+						known := f.process(owner).Snapshot()
 						f.kill(owner)
 						f.start(fmt.Sprintf("10.0.1.%02d:1", second), known)
 					}
@@ -363,9 +363,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(healthy)
 		f.store.item = hookhall.Item{Value: []byte(newVersion + " " + string(hookhall.RolloutRolledBack)), Revision: 20}
-		f.start("10.0.0.1:1", Orders{})
+		f.start("10.0.0.1:1", Snapshot{})
 		time.Sleep(time.Second)
-		got := f.process("10.0.0.1:1").Orders().List[0]
+		got := f.process("10.0.0.1:1").Snapshot().List[0]
 		if got.Phase != rollout.RolledBack {
 			t.Errorf("phase %d, want RolledBack", got.Phase)
 		}
@@ -382,7 +382,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(healthy)
 		f.store.item = hookhall.Item{Value: []byte("v0 " + string(hookhall.RolloutRolledBack)), Revision: 20}
-		f.start("10.0.0.1:1", Orders{})
+		f.start("10.0.0.1:1", Snapshot{})
 		time.Sleep(time.Second)
 		if got := f.store.state(); got != newVersion+" "+string(hookhall.RolloutRunning) {
 			t.Errorf("status in the store is %q", got)
@@ -401,7 +401,7 @@
 	check := func(when, want string) {
 		t.Helper()
 		got := ""
-		for _, s := range r.Orders().List {
+		for _, s := range r.Snapshot().List {
 			got += s.Version
 		}
 		if got != want {
@@ -414,10 +414,10 @@
 	check("a watch without events", "a")
 	r.Read([]hookhall.Item{item("b", 9)}, 9, false)
 	check("a later revision", "b")
-	r.Learn(Orders{Revision: 7}, "peer")
+	r.ApplySnapshot(Snapshot{Revision: 7}, "peer")
 	check("an older update of a peer", "b")
 	r.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte("nonsense"), Revision: 10}}, 10, false)
 	check("an undecodable item", "b")
-	r.Read([]hookhall.Item{{Key: "order/" + service, Gone: true, Revision: 11}}, 11, false)
+	r.Read([]hookhall.Item{{Key: "order/" + service, Deleted: true, Revision: 11}}, 11, false)
 	check("a withdrawn rollout", "")
 }
--- a/internal/coordination/stages/admission.go
+++ b/internal/coordination/stages/admission.go
@@ -15,12 +15,12 @@
 // must be held.
 func (q *serviceQueue) updateAdmission(now time.Time) {
 	grants := q.broker.Grants(q.service)
-	restricted := grants.Book.Rationed(q.targets)
+	restricted := grants.Registry.Restricted(q.targets)
 	if len(restricted) == 0 {
-		q.queue.Admit(nil)
+		q.queue.SetAdmission(nil)
 		return
 	}
-	q.queue.Admit(func(t hookhall.Target) bool { return delayUntilCall(grants, t, now) <= 0 })
+	q.queue.SetAdmission(func(t hookhall.Target) bool { return delayUntilCall(grants, t, now) <= 0 })
 	if len(restricted) < len(q.targets) {
 		return
 	}
@@ -36,5 +36,5 @@
 // delayUntilCall returns how long it takes until t accepts a call; 0 or less means that it
 // accepts one now.
 func delayUntilCall(grants advisory.Grants, t hookhall.Target, now time.Time) time.Duration {
-	return max(grants.Due(t.Life(), now), grants.Book.Status(t.Life()).PausedUntil.Sub(now))
+	return max(grants.Due(t.Incarnation(), now), grants.Registry.Status(t.Incarnation()).PausedUntil.Sub(now))
 }
--- a/internal/coordination/stages/broker.go
+++ b/internal/coordination/stages/broker.go
@@ -46,11 +46,11 @@
 // Quarantine tracks request contents that crash the targets running them.
 type Quarantine interface {
 	// Standing returns the crashes recorded for a request's content.
-	Standing(content func() crashes.Digest) crashes.Standing
-	// Broke records that the answer of t to a request with this content broke off.
-	Broke(content crashes.Digest, account string, t hookhall.Target)
-	// Ended reports whether t, whose answer broke off, has crashed.
-	Ended(t hookhall.Target) bool
+	Standing(content func() crashes.Digest) crashes.Status
+	// Suspect records that the answer of t to a request with this content broke off.
+	Suspect(content crashes.Digest, account string, t hookhall.Target)
+	// HasCrashed reports whether t, whose answer broke off, has crashed.
+	HasCrashed(t hookhall.Target) bool
 }
 
 // Rollouts selects the targets that may be used during a rollout of a service and counts
@@ -60,7 +60,7 @@
 	// with its share of the calls, 0 to 1. canary is "" if there is none.
 	Usable(service string, targets []hookhall.Target) (list []hookhall.Target, canary string, share float64)
 	// Begin counts a call to t; it returns nil if no rollout concerns t.
-	Begin(route string, t hookhall.Target) *rollouts.Use
+	Begin(route string, t hookhall.Target) *rollouts.Attempt
 }
 
 // stageCallRoute is the route under which answers of stage pools are counted: a call
@@ -85,7 +85,7 @@
 
 // NewBroker returns a Broker with empty queues and without rate limits.
 func NewBroker(d Directory, p hookhall.StagePool, q Quarantine, r Rollouts, l *log.Logger) *Broker {
-	none := advisory.Grants{Book: &advisory.Book{}}
+	none := advisory.Grants{Registry: &advisory.Registry{}}
 	return &Broker{
 		directory: d, pool: p, quarantine: q, rollouts: r, log: l, queues: map[string]*serviceQueue{},
 		Grants: func(string) advisory.Grants { return none },
@@ -119,28 +119,28 @@
 
 // Work is one stage of one request, as a broker runs it.
 type Work struct {
-	Service string   // service of the stage
-	Call    string   // id of the request
-	Stage   int      // index in the route's stages
-	Pieces  int      // number of pieces to make
-	Key     string   // piece key of the request; "" for stages that read results
-	Inputs  []string // handles that each piece reads
+	Service    string   // service of the stage
+	RequestID  string   // id of the request
+	Stage      int      // index in the route's stages
+	PieceCount int      // number of pieces to make
+	PieceKey   string   // piece key of the request; "" for stages that read results
+	Inputs     []string // handles that each piece reads
 	// Content is the digest of the request, and Account its client account.
-	Content crashes.Digest
-	Account string
-	Bytes   float64 // approximate size of one result
-	// Due is the latest start with which the answer begins in time.
-	Due time.Time
-	// End is when the results must exist for the request to be served at all.
-	End     time.Time
-	Urgency int // rank of the request, lower first
+	Content     crashes.Digest
+	Account     string
+	ResultBytes float64 // approximate size of one result
+	// LatestStart is the latest start with which the answer begins in time.
+	LatestStart time.Time
+	// Deadline is when the results must exist for the request to be served at all.
+	Deadline time.Time
+	Urgency  int // rank of the request, lower first
 	// Hall is where the inputs are stored or the results will be read, "" for any;
 	// Cross is how many bytes pass between halls if the stage runs in another one.
-	Hall  string
-	Cross float64
-	// InputsRead is called once when all inputs were read; from then on they are needed
+	Hall           string
+	CrossHallBytes float64
+	// OnInputsRead is called once when all inputs were read; from then on they are needed
 	// only if a piece fails. It may be nil.
-	InputsRead func()
+	OnInputsRead func()
 }
 
 // Run makes the pieces of w and returns their handles in order. When ctx ends, pieces
@@ -150,14 +150,14 @@
 	q := b.queue(w.Service)
 	done := make(chan batch.Outcome, 1)
 	job := &batch.Job{
-		Call: w.Call, Stage: w.Stage, Count: w.Pieces, Key: w.Key, Inputs: w.Inputs, Bytes: w.Bytes,
-		Due: w.Due, End: w.End, Urgency: w.Urgency, Hall: w.Hall, Cross: w.Cross,
+		RequestID: w.RequestID, Stage: w.Stage, PieceCount: w.PieceCount, Key: w.PieceKey, Inputs: w.Inputs, ResultBytes: w.ResultBytes,
+		LatestStart: w.LatestStart, Deadline: w.Deadline, Urgency: w.Urgency, Hall: w.Hall, CrossHallBytes: w.CrossHallBytes,
 		Finish:  func(o batch.Outcome) { done <- o },
 		Refused: func(t hookhall.Target) bool { return b.standing(w.Content).RefusedBy(t.Software()) },
 		Request: batch.Request{Content: w.Content, Account: w.Account},
 	}
-	if w.InputsRead != nil && len(w.Inputs) > 0 {
-		job.InputsRead = func() { go w.InputsRead() }
+	if w.OnInputsRead != nil && len(w.Inputs) > 0 {
+		job.InputsRead = func() { go w.OnInputsRead() }
 	}
 	q.add(job)
 	select {
@@ -174,14 +174,14 @@
 }
 
 // standing returns the crashes recorded for a request's content.
-func (b *Broker) standing(content crashes.Digest) crashes.Standing {
+func (b *Broker) standing(content crashes.Digest) crashes.Status {
 	return b.quarantine.Standing(func() crashes.Digest { return content })
 }
 
 // outcomeCause returns the error cause for the failure of a job.
 func outcomeCause(o batch.Outcome) hookhall.Cause {
 	switch o.Reason {
-	case hookhall.PieceLate:
+	case hookhall.PieceExpired:
 		return hookhall.CauseDeadline
 	case hookhall.PieceNoTarget:
 		return hookhall.CauseNoTarget
@@ -191,12 +191,12 @@
 	return hookhall.CauseStage
 }
 
-// FreeIfCrowded frees results that are probably not needed any more, but only while
+// FreeIfMemoryConstrained frees results that are probably not needed any more, but only while
 // other work waits for the memory that they occupy.
-func (b *Broker) FreeIfCrowded(service string, handles []string) {
+func (b *Broker) FreeIfMemoryConstrained(service string, handles []string) {
 	q := b.queue(service)
 	q.mu.Lock()
-	isConstrained := q.queue.Crowded(clock.Now())
+	isConstrained := q.queue.MemoryConstrained(clock.Now())
 	q.mu.Unlock()
 	if isConstrained {
 		b.Free(service, handles)
@@ -211,7 +211,7 @@
 	}
 	handlesByMaker := map[string][]string{}
 	for _, h := range handles {
-		maker := b.pool.Maker(h)
+		maker := b.pool.Holder(h)
 		handlesByMaker[maker] = append(handlesByMaker[maker], h)
 	}
 	for maker, list := range handlesByMaker {
@@ -255,7 +255,7 @@
 	if table == nil {
 		return
 	}
-	spec := hookhall.PoolSpec{Batch: 1, Slots: 1}
+	spec := hookhall.PoolSpec{MaxBatch: 1, Slots: 1}
 	if s := table.Service(q.service); s != nil && s.Pool != nil {
 		spec = *s.Pool
 	}
@@ -263,7 +263,7 @@
 	defer q.mu.Unlock()
 	targets, canary, share := q.broker.rollouts.Usable(q.service, q.broker.directory.Targets(q.service))
 	q.configure(spec, targets)
-	q.queue.Try(canary, share)
+	q.queue.SetCanary(canary, share)
 	q.updateAdmission(clock.Now())
 	if q.broker.directory.Evacuated(q.service) {
 		q.queue.Abandon()
@@ -310,14 +310,14 @@
 		q.withdraw(b)
 		return
 	}
-	if _, ok := grants.Reserve(b.Target.Life(), 0, now); !ok {
+	if _, ok := grants.Reserve(b.Target.Incarnation(), 0, now); !ok {
 		q.withdraw(b)
 		return
 	}
 	startedAt := clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeoutFactor*b.Expected+callTimeoutMargin)
-	stallTimer := time.AfterFunc(b.Patience, func() { q.retryOverdue(b) })
-	readTimer := time.AfterFunc(b.ReadBy, func() { q.recordInputsRead(b) })
+	stallTimer := time.AfterFunc(b.StallTimeout, func() { q.retryOverdue(b) })
+	readTimer := time.AfterFunc(b.InputsReadAfter, func() { q.recordInputsRead(b) })
 	rolloutUse := q.broker.rollouts.Begin(stageCallRoute, b.Target)
 	results, err := q.broker.pool.Make(ctx, b.Target, b.Pieces)
 	rolloutUse.End()
@@ -335,11 +335,11 @@
 	hasCrashed := q.recordAbort(b, err)
 	q.mu.Lock()
 	if hasCrashed {
-		q.queue.Ended(b)
+		q.queue.TargetCrashed(b)
 	}
 	unwanted := q.queue.Done(b, results, clock.Now())
 	waiting := q.queue.Waiting()
-	bytes, held := q.queue.Held()
+	bytes, held := q.queue.HeldResults()
 	q.mu.Unlock()
 	q.broker.log.Debug("stage pool call ended", "service", q.service, "target", b.Target.ID, "pieces", len(b.Pieces),
 		"made", countMade(results), "took", clock.Since(startedAt), "expected", b.Expected, "waiting", waiting, "held", held, "held_mb", int(bytes/1e6))
@@ -350,7 +350,7 @@
 // isUsable reports whether the current incarnation of t may get calls.
 func (q *serviceQueue) isUsable(t hookhall.Target) bool {
 	list, _, _ := q.broker.rollouts.Usable(q.service, q.broker.directory.Targets(q.service))
-	return slices.ContainsFunc(list, func(other hookhall.Target) bool { return other.ID == t.ID && other.Born == t.Born })
+	return slices.ContainsFunc(list, func(other hookhall.Target) bool { return other.ID == t.ID && other.Start == t.Start })
 }
 
 // withdraw returns the pieces of a call that is not made to the queue.
@@ -370,9 +370,9 @@
 		return false
 	}
 	for _, r := range b.Requests() {
-		q.broker.quarantine.Broke(r.Content, r.Account, b.Target)
+		q.broker.quarantine.Suspect(r.Content, r.Account, b.Target)
 	}
-	return q.broker.quarantine.Ended(b.Target)
+	return q.broker.quarantine.HasCrashed(b.Target)
 }
 
 // recordInputsRead records that the target of a call has read all its inputs.
@@ -386,11 +386,11 @@
 // targets, too. The first result counts.
 func (q *serviceQueue) retryOverdue(b *batch.Batch) {
 	q.mu.Lock()
-	isRetried := q.queue.Overdue(b)
+	isRetried := q.queue.MarkOverdue(b)
 	q.mu.Unlock()
 	if isRetried {
 		q.broker.log.Warn("stage pool call overdue; its pieces are retried at other targets as well",
-			"service", q.service, "target", b.Target.ID, "pieces", len(b.Pieces), "expected", b.Expected, "patience", b.Patience)
+			"service", q.service, "target", b.Target.ID, "pieces", len(b.Pieces), "expected", b.Expected, "patience", b.StallTimeout)
 		q.dispatch()
 	}
 }
--- a/internal/coordination/stages/execution.go
+++ b/internal/coordination/stages/execution.go
@@ -46,7 +46,7 @@
 	}
 	for i, s := range g.Route.Stages {
 		e.done[i] = make(chan struct{})
-		for _, j := range s.After {
+		for _, j := range s.InputStages {
 			if j < 0 || j >= i {
 				return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseStage, "stage %d of route %s reads stage %d", i, g.Route.Name, j)
 			}
@@ -62,10 +62,10 @@
 // pieceCount returns how many pieces a stage has in this request; a stage without pieces
 // is left out.
 func (e *execution) pieceCount(stage int) int {
-	if stage >= len(e.graph.Call.Pieces) {
+	if stage >= len(e.graph.Call.PieceCounts) {
 		return 0
 	}
-	return e.graph.Call.Pieces[stage]
+	return e.graph.Call.PieceCounts[stage]
 }
 
 // computeTimes computes timeToAnswer, minTimeAfterStage and startAfter of all stages. A stage
@@ -75,9 +75,9 @@
 	stages := e.graph.Route.Stages
 	depth := make([]int, len(stages)) // number of stages from each one to the answer
 	for i := len(stages) - 1; i >= 0; i-- {
-		after, deepest := e.graph.Answer, 0
+		after, deepest := e.graph.TimeToFirstByte, 0
 		for j := i + 1; j < len(stages); j++ {
-			if e.pieceCount(j) > 0 && slices.Contains(stages[j].After, i) {
+			if e.pieceCount(j) > 0 && slices.Contains(stages[j].InputStages, i) {
 				after, deepest = max(after, e.timeToAnswer[j]), max(deepest, depth[j])
 				e.minTimeAfterStage[i] = max(e.minTimeAfterStage[i], e.minTimeAfterStage[j]+e.callTime(j))
 			}
@@ -87,7 +87,7 @@
 	}
 	e.startAfter = make([][]int, len(stages))
 	for i := range stages {
-		if len(stages[i].After) > 0 || e.pieceCount(i) == 0 {
+		if len(stages[i].InputStages) > 0 || e.pieceCount(i) == 0 {
 			continue
 		}
 		for j := range stages {
@@ -103,7 +103,7 @@
 	if j == i {
 		return false
 	}
-	for _, k := range e.graph.Route.Stages[j].After {
+	for _, k := range e.graph.Route.Stages[j].InputStages {
 		if k == i || !e.isIndependent(k, i) {
 			return false
 		}
@@ -122,7 +122,7 @@
 	if service == nil || service.Pool == nil {
 		return 0
 	}
-	call := service.Pool.CallTime + time.Duration(max(min(pieces, service.Pool.Batch), service.Pool.Batch/2))*service.Pool.ItemTime
+	call := service.Pool.CallTime + time.Duration(max(min(pieces, service.Pool.MaxBatch), service.Pool.MaxBatch/2))*service.Pool.PieceTime
 	return call + time.Duration(expectedWaitShare*float64(call))
 }
 
@@ -133,20 +133,20 @@
 	pieces := float64(e.pieceCount(stage))
 	spec := e.graph.Route.Stages[stage]
 	bytesRead := map[string]float64{}
-	for _, j := range spec.After {
+	for _, j := range spec.InputStages {
 		for _, h := range e.handlesByStage[j] {
-			bytesRead[e.runner.HallOf(h)] += pieces * e.graph.Route.Stages[j].Bytes
+			bytesRead[e.runner.HallOf(h)] += pieces * e.graph.Route.Stages[j].ResultBytes
 		}
 	}
 	bytesOut, isLast := 0.0, true
 	for k, s := range e.graph.Route.Stages {
-		if slices.Contains(s.After, stage) && e.pieceCount(k) > 0 {
-			bytesOut += pieces * spec.Bytes * float64(e.pieceCount(k))
+		if slices.Contains(s.InputStages, stage) && e.pieceCount(k) > 0 {
+			bytesOut += pieces * spec.ResultBytes * float64(e.pieceCount(k))
 			isLast = false
 		}
 	}
 	if isLast {
-		return e.chooseFinalHall(pieces*spec.Bytes, bytesRead)
+		return e.chooseFinalHall(pieces*spec.ResultBytes, bytesRead)
 	}
 	hall, crossBytes = largestHall(bytesRead)
 	if crossBytes >= bytesOut {
@@ -162,15 +162,15 @@
 	if hall, crossBytes := largestHall(bytesRead); crossBytes > bytes {
 		return hall, crossBytes
 	}
-	if e.graph.Hall != "" {
-		return e.graph.Hall, bytes
+	if e.graph.TargetHall != "" {
+		return e.graph.TargetHall, bytes
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	bytesByHall := map[string]float64{}
 	for i, list := range e.handlesByStage {
 		for _, h := range list {
-			bytesByHall[e.runner.HallOf(h)] += e.graph.Route.Stages[i].Bytes
+			bytesByHall[e.runner.HallOf(h)] += e.graph.Route.Stages[i].ResultBytes
 		}
 	}
 	hall, _ := largestHall(bytesByHall)
@@ -203,7 +203,7 @@
 	}
 	spec := e.graph.Route.Stages[i]
 	var inputs []string
-	for _, j := range spec.After {
+	for _, j := range spec.InputStages {
 		<-e.done[j]
 	}
 	pieces := e.pieceCount(i)
@@ -215,18 +215,18 @@
 		e.fail(hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "stage %d was not begun", i))
 		return
 	}
-	for _, j := range spec.After {
+	for _, j := range spec.InputStages {
 		inputs = append(inputs, e.handlesByStage[j]...)
 	}
 	work := Work{
-		Service: spec.Service, Call: e.graph.Call.ID, Stage: i, Pieces: pieces, Inputs: inputs, Bytes: spec.Bytes,
-		Due: e.graph.Aim.Add(-e.timeToAnswer[i]), End: e.graph.End.Add(-e.minTimeAfterStage[i]), Urgency: e.graph.Urgency,
+		Service: spec.Service, RequestID: e.graph.Call.ID, Stage: i, PieceCount: pieces, Inputs: inputs, ResultBytes: spec.ResultBytes,
+		LatestStart: e.graph.FirstByteDue.Add(-e.timeToAnswer[i]), Deadline: e.graph.FirstByteDeadline.Add(-e.minTimeAfterStage[i]), Urgency: e.graph.Urgency,
 		Content: e.graph.Content, Account: e.graph.Account,
 	}
-	work.Hall, work.Cross = e.chooseHall(i, inputs)
-	work.InputsRead = func() { e.freeReadInputs(i) }
-	if len(spec.After) == 0 {
-		work.Key = e.graph.Call.PieceKey
+	work.Hall, work.CrossHallBytes = e.chooseHall(i, inputs)
+	work.OnInputsRead = func() { e.freeReadInputs(i) }
+	if len(spec.InputStages) == 0 {
+		work.PieceKey = e.graph.Call.PieceKey
 	}
 	startedAt := clock.Now()
 	handles, err := e.runner.runAtBroker(ctx, work)
@@ -261,7 +261,7 @@
 	defer e.mu.Unlock()
 	e.runner.Log.Debug("stage done", "request", e.graph.Call.ID, "stage", i, "pieces", len(handles), "took", took)
 	e.handlesByStage[i] = handles
-	for _, j := range e.graph.Route.Stages[i].After {
+	for _, j := range e.graph.Route.Stages[i].InputStages {
 		e.pendingReaders[j]--
 		if e.pendingReaders[j] == 0 {
 			e.releaseStage(j)
@@ -275,7 +275,7 @@
 func (e *execution) freeReadInputs(i int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, j := range e.graph.Route.Stages[i].After {
+	for _, j := range e.graph.Route.Stages[i].InputStages {
 		if e.pendingReaders[j] == 1 && len(e.handlesByStage[j]) > 0 {
 			e.runner.freeIfMemoryConstrained(e.graph.Route.Stages[j].Service, e.handlesByStage[j])
 		}
@@ -305,7 +305,7 @@
 	for i, list := range e.handlesByStage {
 		for _, h := range list {
 			results.handles = append(results.handles, h)
-			results.bytesByHall[e.runner.HallOf(h)] += e.graph.Route.Stages[i].Bytes
+			results.bytesByHall[e.runner.HallOf(h)] += e.graph.Route.Stages[i].ResultBytes
 			results.serviceByHandle[h] = e.graph.Route.Stages[i].Service
 		}
 	}
--- a/internal/coordination/stages/execution_test.go
+++ b/internal/coordination/stages/execution_test.go
@@ -17,14 +17,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.graph.Answer = 600 * time.Millisecond
+		f.graph.TimeToFirstByte = 600 * time.Millisecond
 		long, err := newExecution(f.runner, f.graph)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range chain {
-			if d := long.timeToAnswer[i] - short.timeToAnswer[i]; d != f.graph.Answer {
-				t.Errorf("stage %d begins %v earlier, not %v", i, d, f.graph.Answer)
+			if d := long.timeToAnswer[i] - short.timeToAnswer[i]; d != f.graph.TimeToFirstByte {
+				t.Errorf("stage %d begins %v earlier, not %v", i, d, f.graph.TimeToFirstByte)
 			}
 		}
 	})
--- a/internal/coordination/stages/runner.go
+++ b/internal/coordination/stages/runner.go
@@ -31,11 +31,11 @@
 )
 
 // Remote is a client of the broker in another process. Errors of Run that concern the
-// connection are wrapped by ErrSilent.
+// connection are wrapped by WrapUnreachable.
 type Remote interface {
 	// Run calls Broker.Run.
 	Run(ctx context.Context, w Work) ([]string, error)
-	// Free calls Broker.FreeIfCrowded if ifMemoryConstrained is set, else Broker.Free.
+	// Free calls Broker.FreeIfMemoryConstrained if ifMemoryConstrained is set, else Broker.Free.
 	Free(ctx context.Context, service string, handles []string, ifMemoryConstrained bool) error
 	// Ping returns nil if the process answers.
 	Ping(ctx context.Context) error
@@ -65,20 +65,20 @@
 
 // Graph describes the stages of one request.
 type Graph struct {
-	Call    *hookhall.Call
-	Route   *hookhall.Route
-	Table   *routetable.Table
-	Aim     time.Time // latency target: when the answer should begin
-	End     time.Time // when the answer has to begin at the latest
-	Urgency int       // rank of the request, lower first
+	Call              *hookhall.Call
+	Route             *hookhall.Route
+	Table             *routetable.Table
+	FirstByteDue      time.Time // latency target: when the answer should begin
+	FirstByteDeadline time.Time // when the answer has to begin at the latest
+	Urgency           int       // rank of the request, lower first
 	// Content is the digest of the request, and Account its client account.
 	Content crashes.Digest
 	Account string
-	// Answer is how long the answer is expected to take to begin once all stages
+	// TimeToFirstByte is how long the answer is expected to take to begin once all stages
 	// are done.
-	Answer time.Duration
-	// Hall is the hall of the target that should run the request, "" for any.
-	Hall string
+	TimeToFirstByte time.Duration
+	// TargetHall is the hall of the target that should run the request, "" for any.
+	TargetHall string
 }
 
 // Results holds the handles that the request's target reads. A nil Results is empty. It is
@@ -95,9 +95,9 @@
 // Released reports whether Release was called.
 func (r *Results) Released() bool { return r != nil && r.isReleased.Load() }
 
-// Bytes returns how many bytes the target reads from each hall. The map must not be
+// BytesByHall returns how many bytes the target reads from each hall. The map must not be
 // changed.
-func (r *Results) Bytes() map[string]float64 {
+func (r *Results) BytesByHall() map[string]float64 {
 	if r == nil {
 		return nil
 	}
@@ -173,7 +173,7 @@
 			return handles, err
 		}
 		r.Fleet.Suspect(address, clock.Now())
-		r.Log.Warn("broker unreachable; trying the next one", "request", w.Call, "stage", w.Stage, "service", w.Service, "broker", address, "error", err.Error())
+		r.Log.Warn("broker unreachable; trying the next one", "request", w.RequestID, "stage", w.Stage, "service", w.Service, "broker", address, "error", err.Error())
 		skip[address] = true
 	}
 	return r.Local.Run(ctx, w)
@@ -183,9 +183,9 @@
 // work.
 var errUnreachable = errors.New("the broker does not answer")
 
-// ErrSilent wraps an error of the connection to a broker, so that the next one is
+// WrapUnreachable wraps an error of the connection to a broker, so that the next one is
 // tried.
-func ErrSilent(err error) error { return errors.Wrap(errUnreachable, err.Error()) }
+func WrapUnreachable(err error) error { return errors.Wrap(errUnreachable, err.Error()) }
 
 // runRemote runs w at another process and pings that one meanwhile, so that a broker that
 // stops is noticed before the end of the stage.
@@ -220,7 +220,7 @@
 		err := remote.Ping(pingCtx)
 		cancelPing()
 		if err != nil && ctx.Err() == nil {
-			cancel(ErrSilent(err))
+			cancel(WrapUnreachable(err))
 			return
 		}
 	}
@@ -245,7 +245,7 @@
 func (r *Runner) freeIfMemoryConstrained(service string, handles []string) {
 	address, isLocal := r.brokerOf(service, nil)
 	if isLocal {
-		r.Local.FreeIfCrowded(service, handles)
+		r.Local.FreeIfMemoryConstrained(service, handles)
 		return
 	}
 	go func() {
--- a/internal/coordination/stages/runner_test.go
+++ b/internal/coordination/stages/runner_test.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func (p *fakePool) Maker(handle string) string {
+func (p *fakePool) Holder(handle string) string {
 	address, _, _ := strings.Cut(handle, "/")
 	return address
 }
@@ -139,10 +139,10 @@
 // chain is a graph of three stages in sequence and an independent one with large results,
 // which the request reads together with those of the last stage of the sequence.
 var chain = []hookhall.StageSpec{
-	{Service: "large", Bytes: 3e6},
-	{Service: "encode", Bytes: 8e3},
-	{Service: "retrieve", After: []int{1}, Bytes: 6e4},
-	{Service: "rank", After: []int{2}, Bytes: 6e3},
+	{Service: "large", ResultBytes: 3e6},
+	{Service: "encode", ResultBytes: 8e3},
+	{Service: "retrieve", InputStages: []int{1}, ResultBytes: 6e4},
+	{Service: "rank", InputStages: []int{2}, ResultBytes: 6e3},
 }
 
 // fixture is a Runner with its Broker, pool and fleet, and the graph of one request.
@@ -158,7 +158,7 @@
 	r := &hookhall.Routing{Routes: []hookhall.Route{{Name: "r", Host: "h", Prefix: "/", Stages: chain}}}
 	for _, s := range chain {
 		r.Services = append(r.Services, hookhall.Service{Name: s.Service, Pool: &hookhall.PoolSpec{
-			Slots: 1, Batch: 8, CallTime: 20 * time.Millisecond, ItemTime: time.Millisecond, Room: 100e6, Keep: 4 * time.Second,
+			Slots: 1, MaxBatch: 8, CallTime: 20 * time.Millisecond, PieceTime: time.Millisecond, ResultMemory: 100e6, ResultRetention: 4 * time.Second,
 		}})
 	}
 	table := routetable.Compile(r)
@@ -168,12 +168,12 @@
 	f.runner = &Runner{
 		Local: broker, Fleet: f.fleet, Log: quiet,
 		Remote: func(string) Remote { return hungRemote{} },
-		HallOf: func(h string) string { return strings.TrimPrefix(f.pool.Maker(h)[len(f.pool.Maker(h))-2:], "-") },
+		HallOf: func(h string) string { return strings.TrimPrefix(f.pool.Holder(h)[len(f.pool.Holder(h))-2:], "-") },
 	}
 	now := time.Now()
 	f.graph = Graph{
-		Call:  &hookhall.Call{CallInfo: hookhall.CallInfo{ID: "call", Pieces: pieces, PieceKey: "key"}},
-		Route: table.Route("h", "/"), Table: table, Aim: now.Add(5 * time.Second), End: now.Add(10 * time.Second),
+		Call:  &hookhall.Call{CallInfo: hookhall.CallInfo{ID: "call", PieceCounts: pieces, PieceKey: "key"}},
+		Route: table.Route("h", "/"), Table: table, FirstByteDue: now.Add(5 * time.Second), FirstByteDeadline: now.Add(10 * time.Second),
 	}
 	return f
 }
@@ -217,7 +217,7 @@
 			t.Errorf("the request reads %d results, not 6", n)
 		}
 		for _, p := range f.pool.made {
-			if (p.Key == "key") != (len(chain[p.Stage].After) == 0) || (p.Stage == 3 && len(p.Inputs) != 3) {
+			if (p.Key == "key") != (len(chain[p.Stage].InputStages) == 0) || (p.Stage == 3 && len(p.Inputs) != 3) {
 				t.Errorf("wrong key or inputs: %+v", p)
 			}
 		}
@@ -236,7 +236,7 @@
 	t.Run("a stage that reads itself is refused", func(t *testing.T) {
 		f := newFixture(1, 1)
 		route := *f.graph.Route
-		route.Stages = []hookhall.StageSpec{{Service: "encode", After: []int{0}}}
+		route.Stages = []hookhall.StageSpec{{Service: "encode", InputStages: []int{0}}}
 		f.graph.Route = &route
 		if _, err := f.runner.Run(t.Context(), f.graph); err == nil {
 			t.Fatal("the graph was accepted")
@@ -254,10 +254,10 @@
 		cause  hookhall.Cause
 	}{
 		"a piece error is retried":            {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceError] = 2 }, true, ""},
-		"a lack of memory is waited for":      {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceNoRoom] = 2 }, true, ""},
-		"a lost input is an error":            {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceGone] = 1 }, false, hookhall.CauseStage},
-		"a late piece is an error":            {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceLate] = 1 }, false, hookhall.CauseDeadline},
-		"the deadline is too early":           {func(f *fixture) { f.graph.End = time.Now().Add(30 * time.Millisecond) }, false, hookhall.CauseDeadline},
+		"a lack of memory is waited for":      {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceNoMemory] = 2 }, true, ""},
+		"a lost input is an error":            {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceInputGone] = 1 }, false, hookhall.CauseStage},
+		"a late piece is an error":            {func(f *fixture) { f.pool.failuresLeft[hookhall.PieceExpired] = 1 }, false, hookhall.CauseDeadline},
+		"the deadline is too early":           {func(f *fixture) { f.graph.FirstByteDeadline = time.Now().Add(30 * time.Millisecond) }, false, hookhall.CauseDeadline},
 		"unreachable brokers are skipped":     {func(f *fixture) { f.fleet.others = []string{"x", "y"} }, true, ""},
 		"all targets fail until the deadline": {func(f *fixture) { f.pool.callError = errors.New("reset") }, false, hookhall.CauseDeadline},
 	}
@@ -267,7 +267,7 @@
 			f := newFixture(2, 1, 3, 4)
 			c.inject(f)
 			if !c.served {
-				f.graph.End = earlier(f.graph.End, time.Now().Add(time.Second))
+				f.graph.FirstByteDeadline = earlier(f.graph.FirstByteDeadline, time.Now().Add(time.Second))
 			}
 			results, err := f.runner.Run(t.Context(), f.graph)
 			if (err == nil) != c.served {
@@ -304,7 +304,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			handles, err := f.runner.Local.Run(t.Context(), Work{Service: "encode", Call: "call", Stage: 1, Pieces: 1, Key: "key", Due: f.graph.Aim, End: f.graph.End})
+			handles, err := f.runner.Local.Run(t.Context(), Work{Service: "encode", RequestID: "call", Stage: 1, PieceCount: 1, PieceKey: "key", LatestStart: f.graph.FirstByteDue, Deadline: f.graph.FirstByteDeadline})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -334,8 +334,8 @@
 	q.queue.Configure(spec, f.runner.Local.directory.Targets(service))
 	for i := range 2 * len(f.runner.Local.directory.Targets(service)) {
 		q.queue.Add(&batch.Job{
-			Call: fmt.Sprint("other-", i), Count: spec.Batch, Bytes: spec.Room / float64(spec.Batch+1),
-			Due: f.graph.Aim, End: f.graph.End, Finish: func(batch.Outcome) {},
+			RequestID: fmt.Sprint("other-", i), PieceCount: spec.MaxBatch, ResultBytes: spec.ResultMemory / float64(spec.MaxBatch+1),
+			LatestStart: f.graph.FirstByteDue, Deadline: f.graph.FirstByteDeadline, Finish: func(batch.Outcome) {},
 		})
 	}
 	for _, call := range q.queue.Next(time.Now()) {
@@ -346,7 +346,7 @@
 		q.queue.Done(call, made, time.Now())
 	}
 	q.queue.Next(time.Now())
-	if !q.queue.Crowded(time.Now()) {
+	if !q.queue.MemoryConstrained(time.Now()) {
 		t.Fatal("the service is not memory-constrained")
 	}
 }
@@ -355,7 +355,7 @@
 // on, after the client has canceled the request.
 func TestCanceledRequest(t *testing.T) {
 	f := newFixture(2, 1, 3, 4)
-	f.pool.failuresLeft[hookhall.PieceNoRoom] = 1 << 20
+	f.pool.failuresLeft[hookhall.PieceNoMemory] = 1 << 20
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := f.runner.Run(ctx, f.graph); err == nil {
@@ -397,9 +397,9 @@
 // noQuarantine has no crashes recorded for any request.
 type noQuarantine struct{}
 
-func (noQuarantine) Standing(func() crashes.Digest) crashes.Standing { return crashes.Standing{} }
-func (noQuarantine) Broke(crashes.Digest, string, hookhall.Target)   {}
-func (noQuarantine) Ended(hookhall.Target) bool                      { return false }
+func (noQuarantine) Standing(func() crashes.Digest) crashes.Status   { return crashes.Status{} }
+func (noQuarantine) Suspect(crashes.Digest, string, hookhall.Target) {}
+func (noQuarantine) HasCrashed(hookhall.Target) bool                 { return false }
 
 // leavingDirectory has targets when a call is planned, and none when it would begin.
 type leavingDirectory struct {
@@ -421,7 +421,7 @@
 		f := newFixture(1)
 		d := &leavingDirectory{fakeDirectory: fakeDirectory{f.graph.Table}}
 		broker := NewBroker(d, f.pool, noQuarantine{}, &rollouts.Rollouts{}, log.New(io.Discard))
-		_, err := broker.Run(t.Context(), Work{Service: "large", Call: "call", Pieces: 1, Key: "key", Due: time.Now().Add(time.Second), End: time.Now().Add(2 * time.Second)})
+		_, err := broker.Run(t.Context(), Work{Service: "large", RequestID: "call", PieceCount: 1, PieceKey: "key", LatestStart: time.Now().Add(time.Second), Deadline: time.Now().Add(2 * time.Second)})
 		if err == nil || len(f.pool.made) > 0 {
 			t.Errorf("%d pieces were made, error %v", len(f.pool.made), err)
 		}
--- a/internal/coordination/tables/editor.go
+++ b/internal/coordination/tables/editor.go
@@ -37,15 +37,15 @@
 	Version uint64 `json:"version"`
 	// EntryByHall maps a hall to the ID of an entry there that has the version in
 	// force.
-	InForce map[string]string `json:"in_force"`
-	// OutOfReach lists the halls in which no entry answered. Their entries adopt
+	EntryByHall map[string]string `json:"in_force"`
+	// Unreachable lists the halls in which no entry answered. Their entries adopt
 	// the version as soon as they reach the service or a peer.
-	OutOfReach []string `json:"out_of_reach,omitempty"`
+	Unreachable []string `json:"out_of_reach,omitempty"`
 }
 
-// ErrUnsettled is returned when it is unknown whether an edit is in force.
+// ErrOutcomeUnknown is returned when it is unknown whether an edit is in force.
 // Calling Apply again with the same id is safe and settles the question.
-var ErrUnsettled = errors.New("the edit may or may not be in force; send it again with the same id")
+var ErrOutcomeUnknown = errors.New("the edit may or may not be in force; send it again with the same id")
 
 // Editor changes the table in the key-value service. Its only state is a cache,
 // so any number of editors may work at once.
@@ -85,7 +85,7 @@
 
 // Apply puts all of the edits in force, or none. Edits whose id the root still
 // records as applied are not applied again, only confirmed. Apply retries until ctx
-// ends and then returns ErrUnsettled, or hookhall.ErrUnavailable if the
+// ends and then returns ErrOutcomeUnknown, or hookhall.ErrUnavailable if the
 // table was certainly not changed.
 func (e *Editor) Apply(ctx context.Context, id string, edits []hookhall.Edit) (Outcome, error) {
 	version, err := e.writeEdits(ctx, id, edits)
@@ -97,7 +97,7 @@
 
 // writeEdits stores the edits, retrying until ctx ends, and returns the version
 // that contains them. Once the result of a swap is unknown it ends with
-// ErrUnsettled instead of hookhall.ErrUnavailable.
+// ErrOutcomeUnknown instead of hookhall.ErrUnavailable.
 func (e *Editor) writeEdits(ctx context.Context, id string, edits []hookhall.Edit) (uint64, error) {
 	backoff := retry.New()
 	sent := false
@@ -118,7 +118,7 @@
 			continue
 		}
 		if sent {
-			return 0, ErrUnsettled
+			return 0, ErrOutcomeUnknown
 		}
 		return 0, errors.Wrap(hookhall.ErrUnavailable, "nothing was changed")
 	}
@@ -131,7 +131,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	if applied := doc.Root.Applied(id); applied > 0 {
+	if applied := doc.Root.AppliedVersion(id); applied > 0 {
 		return applied, false, nil
 	}
 	next, err := doc.Apply(id, edits)
@@ -145,7 +145,7 @@
 	if err != nil || !swapped {
 		return 0, err != nil, err
 	}
-	for _, name := range doc.Obsolete(next) {
+	for _, name := range doc.ObsoleteChunks(next) {
 		if err := e.kv.Delete(ctx, chunkPrefix+name); err != nil {
 			e.log.Warn("obsolete chunk not deleted", "chunk", name, "error", err.Error())
 		}
@@ -169,13 +169,13 @@
 }
 
 // confirm waits until one entry in each hall has the version in force, and lists
-// the halls where no entry answers as unreachable. It returns ErrUnsettled if the
+// the halls where no entry answers as unreachable. It returns ErrOutcomeUnknown if the
 // view can't be read or no hall confirmed.
 func (e *Editor) confirm(ctx context.Context, version uint64) (Outcome, error) {
-	outcome := Outcome{Version: version, InForce: map[string]string{}}
+	outcome := Outcome{Version: version, EntryByHall: map[string]string{}}
 	entry, err := e.kv.Get(ctx, ViewKey)
 	if err != nil {
-		return outcome, ErrUnsettled
+		return outcome, ErrOutcomeUnknown
 	}
 	fleetView, err := view.Decode(entry.Value)
 	if err != nil {
@@ -193,13 +193,13 @@
 	for range halls {
 		result := <-results
 		if result.member == "" {
-			outcome.OutOfReach = append(outcome.OutOfReach, result.hall)
+			outcome.Unreachable = append(outcome.Unreachable, result.hall)
 		} else {
-			outcome.InForce[result.hall] = result.member
+			outcome.EntryByHall[result.hall] = result.member
 		}
 	}
-	if len(halls) > 0 && len(outcome.InForce) == 0 {
-		return outcome, ErrUnsettled
+	if len(halls) > 0 && len(outcome.EntryByHall) == 0 {
+		return outcome, ErrOutcomeUnknown
 	}
 	return outcome, nil
 }
--- a/internal/coordination/tables/follower.go
+++ b/internal/coordination/tables/follower.go
@@ -28,8 +28,8 @@
 // service or from a peer.
 const readTimeout = 3 * time.Second
 
-// InForce is the version of the table that requests are served with.
-type InForce struct {
+// ActiveTable is the version of the table that requests are served with.
+type ActiveTable struct {
 	Document *table.Document
 	Snapshot *table.Snapshot
 	// Since is when this process adopted the version; zero for the empty table
@@ -37,13 +37,13 @@
 	Since time.Time
 }
 
-// Keeper keeps an entry's copy of the table up to date. Its methods are safe for
+// Follower keeps an entry's copy of the table up to date. Its methods are safe for
 // concurrent use.
-type Keeper struct {
+type Follower struct {
 	kv  hookhall.KeyValue
 	log *log.Logger
 
-	current atomic.Pointer[InForce]
+	current atomic.Pointer[ActiveTable]
 	ready   atomic.Bool
 	// adoptMu serializes adopt; readers never take it.
 	adoptMu sync.Mutex
@@ -51,32 +51,32 @@
 	pulling atomic.Bool
 }
 
-// NewKeeper returns a Follower that has the empty table and is not ready.
-func NewKeeper(kv hookhall.KeyValue, logger *log.Logger) *Keeper {
-	f := &Keeper{kv: kv, log: logger}
+// NewFollower returns a Follower that has the empty table and is not ready.
+func NewFollower(kv hookhall.KeyValue, logger *log.Logger) *Follower {
+	f := &Follower{kv: kv, log: logger}
 	empty := table.Empty()
 	snapshot, err := table.Compile(empty)
 	if err != nil {
 		panic(err) // the empty table compiles
 	}
-	f.current.Store(&InForce{Document: empty, Snapshot: snapshot})
+	f.current.Store(&ActiveTable{Document: empty, Snapshot: snapshot})
 	return f
 }
 
 // Current returns the table in force.
-func (f *Keeper) Current() *InForce { return f.current.Load() }
+func (f *Follower) Current() *ActiveTable { return f.current.Load() }
 
 // Version returns the version in force.
-func (f *Keeper) Version() uint64 { return f.Current().Snapshot.Version }
+func (f *Follower) Version() uint64 { return f.Current().Snapshot.Version }
 
 // Ready reports whether the version in force was confirmed since the start, by
 // the key-value service or by more than half of the asked peers.
-func (f *Keeper) Ready() bool { return f.ready.Load() }
+func (f *Follower) Ready() bool { return f.ready.Load() }
 
 // Run watches the root in the key-value service and adopts newer versions until
 // ctx ends.
-func (f *Keeper) Run(ctx context.Context) {
-	use := func(e hookhall.Entry) error { return f.adoptRoot(ctx, e) }
+func (f *Follower) Run(ctx context.Context) {
+	use := func(e hookhall.KeyValueEntry) error { return f.adoptRoot(ctx, e) }
 	follow.Key(ctx, f.kv, RootKey, use, func(err error) {
 		f.log.Warn("table read failed", "error", err.Error())
 	})
@@ -84,7 +84,7 @@
 
 // adoptRoot adopts the table whose root the service returned as e, if it is newer,
 // and marks the Follower ready.
-func (f *Keeper) adoptRoot(ctx context.Context, e hookhall.Entry) error {
+func (f *Follower) adoptRoot(ctx context.Context, e hookhall.KeyValueEntry) error {
 	root, err := table.DecodeRoot(e.Value)
 	if err != nil {
 		return err
@@ -104,7 +104,7 @@
 
 // readDocument reads the document of a root. Chunks that the document in force has
 // are not read again.
-func (f *Keeper) readDocument(ctx context.Context, root table.Root) (*table.Document, error) {
+func (f *Follower) readDocument(ctx context.Context, root table.Root) (*table.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	old := f.Current().Document
@@ -131,7 +131,7 @@
 
 // adopt puts a document in force. One that is not newer is ignored; one that
 // doesn't compile is an error. From names its source in the log.
-func (f *Keeper) adopt(doc *table.Document, from string) error {
+func (f *Follower) adopt(doc *table.Document, from string) error {
 	snapshot, err := table.Compile(doc)
 	if err != nil {
 		return errors.Wrap(err, "compile table")
@@ -141,14 +141,14 @@
 	if snapshot.Version <= f.Version() {
 		return nil
 	}
-	f.current.Store(&InForce{doc, snapshot, clock.Now()})
+	f.current.Store(&ActiveTable{doc, snapshot, clock.Now()})
 	f.log.Info("table in force", "version", snapshot.Version, "from", from)
 	return nil
 }
 
-// Offer adopts a table sent by a peer if it is newer. Its chunks may
+// AdoptFromPeer adopts a table sent by a peer if it is newer. Its chunks may
 // leave out those that the document in force has.
-func (f *Keeper) Offer(received hookhall.TableDocument) error {
+func (f *Follower) AdoptFromPeer(received hookhall.TableDocument) error {
 	root, err := table.DecodeRoot(received.Root)
 	if err != nil {
 		return err
@@ -158,11 +158,11 @@
 	}
 	chunksByHash := map[string][]byte{}
 	for _, chunk := range received.Chunks {
-		chunksByHash[table.HashOf(chunk)] = chunk
+		chunksByHash[table.ContentHash(chunk)] = chunk
 	}
 	old := f.Current().Document
 	doc, err := table.Assemble(root, func(name string) []byte {
-		if chunk := chunksByHash[table.HashIn(name)]; chunk != nil {
+		if chunk := chunksByHash[table.HashFromName(name)]; chunk != nil {
 			return chunk
 		}
 		return old.ChunkNamed(name)
@@ -173,9 +173,9 @@
 	return f.adopt(doc, "peer")
 }
 
-// Hint starts to read the table from a peer that reported a newer
+// PullIfNewer starts to read the table from a peer that reported a newer
 // version. It returns at once, and does nothing while an earlier read runs.
-func (f *Keeper) Hint(ctx context.Context, version uint64, peer hookhall.Peer) {
+func (f *Follower) PullIfNewer(ctx context.Context, version uint64, peer hookhall.Peer) {
 	if version <= f.Version() || !f.pulling.CompareAndSwap(false, true) {
 		return
 	}
@@ -188,20 +188,20 @@
 }
 
 // Pull reads the table of a peer and adopts it if it is newer.
-func (f *Keeper) Pull(ctx context.Context, peer hookhall.Peer) error {
+func (f *Follower) Pull(ctx context.Context, peer hookhall.Peer) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
 	received, err := peer.Table(ctx, f.Version())
 	if err != nil {
 		return err
 	}
-	return f.Offer(received)
+	return f.AdoptFromPeer(received)
 }
 
 // ConfirmByPeers reads the tables of the peers and adopts the newest. It marks the
 // Follower ready, without the key-value service, and returns true if more than half
 // of the peers answered and there is a table that is not empty.
-func (f *Keeper) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
+func (f *Follower) ConfirmByPeers(ctx context.Context, peers []hookhall.Peer) bool {
 	answers := 0
 	for _, peer := range peers {
 		if f.Pull(ctx, peer) == nil {
@@ -215,10 +215,10 @@
 	return true
 }
 
-// Serve returns the table in force for a peer that has version have: the
+// DocumentSince returns the table in force for a peer that has version have: the
 // root and the chunks written after have. It returns the version alone if the peer's
 // is not older. With have 0 it returns all chunks.
-func (f *Keeper) Serve(have uint64) hookhall.TableDocument {
+func (f *Follower) DocumentSince(have uint64) hookhall.TableDocument {
 	current := f.Current()
 	reply := hookhall.TableDocument{Version: current.Snapshot.Version}
 	if have >= reply.Version {
@@ -226,7 +226,7 @@
 	}
 	reply.Root = current.Document.EncodeRoot()
 	for i, name := range current.Document.Root.Chunks {
-		if name != "" && table.VersionIn(name) > have {
+		if name != "" && table.VersionFromName(name) > have {
 			reply.Chunks = append(reply.Chunks, current.Document.Chunk(i))
 		}
 	}
--- a/internal/coordination/tables/follower_test.go
+++ b/internal/coordination/tables/follower_test.go
@@ -19,14 +19,14 @@
 // memoryKeyValue is a key-value service with a single entry, whose first reads can
 // be made to fail.
 type memoryKeyValue struct {
-	entry    hookhall.Entry
+	entry    hookhall.KeyValueEntry
 	failures int // number of calls of Get that still fail
 }
 
-func (m *memoryKeyValue) Get(context.Context, string) (hookhall.Entry, error) {
+func (m *memoryKeyValue) Get(context.Context, string) (hookhall.KeyValueEntry, error) {
 	if m.failures > 0 {
 		m.failures--
-		return hookhall.Entry{}, errors.Wrap(hookhall.ErrUnavailable, "injected")
+		return hookhall.KeyValueEntry{}, errors.Wrap(hookhall.ErrUnavailable, "injected")
 	}
 	return m.entry, nil
 }
@@ -37,22 +37,22 @@
 
 func (m *memoryKeyValue) Delete(context.Context, string) error { return hookhall.ErrUnavailable }
 
-func (m *memoryKeyValue) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) (hookhall.Entry, error) {
+func (m *memoryKeyValue) Watch(ctx context.Context, _ string, _ uint64, wait time.Duration) (hookhall.KeyValueEntry, error) {
 	select {
 	case <-ctx.Done():
-		return hookhall.Entry{}, ctx.Err()
+		return hookhall.KeyValueEntry{}, ctx.Err()
 	case <-time.After(wait):
 		return m.entry, nil
 	}
 }
 
-// TestKeeperEmptyTable checks that an entry of a fleet without any table becomes
+// TestFollowerReadyWithEmptyTable checks that an entry of a fleet without any table becomes
 // ready within seconds. It once watched the missing root without reading it first,
 // and so was not ready before the first edit.
-func TestKeeperEmptyTable(t *testing.T) {
+func TestFollowerReadyWithEmptyTable(t *testing.T) {
 	for _, fail := range []int{0, 3} {
 		synctest.Test(t, func(t *testing.T) {
-			follower := NewKeeper(&memoryKeyValue{failures: fail}, log.New(io.Discard))
+			follower := NewFollower(&memoryKeyValue{failures: fail}, log.New(io.Discard))
 			go follower.Run(t.Context())
 			began := time.Now()
 			for !follower.Ready() {
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestKeeperForward checks that neither a stale read of the service nor a lagging
+// TestFollowerIgnoresOlderTables checks that neither a stale read of the service nor a lagging
 // peer replaces the table in force by an older one.
-func TestKeeperForward(t *testing.T) {
+func TestFollowerIgnoresOlderTables(t *testing.T) {
 	edit := func(d *table.Document, value string) *table.Document {
 		n, err := d.Apply(value, []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "a", Column: "rate", Value: value, Force: true}})
 		if err != nil {
@@ -78,25 +78,25 @@
 	one := edit(table.Empty(), "1")
 	two := edit(one, "2")
 	document := func(d *table.Document) hookhall.TableDocument {
-		follower := NewKeeper(nil, log.New(io.Discard))
+		follower := NewFollower(nil, log.New(io.Discard))
 		if err := follower.adopt(d, "test"); err != nil {
 			t.Fatal(err)
 		}
-		return follower.Serve(0)
+		return follower.DocumentSince(0)
 	}
-	follower := NewKeeper(&memoryKeyValue{}, log.New(io.Discard))
+	follower := NewFollower(&memoryKeyValue{}, log.New(io.Discard))
 	for _, offer := range []hookhall.TableDocument{document(one), document(two), document(one)} {
-		if err := follower.Offer(offer); err != nil {
+		if err := follower.AdoptFromPeer(offer); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := follower.adoptRoot(t.Context(), hookhall.Entry{Value: one.EncodeRoot(), Index: 1}); err != nil {
+	if err := follower.adoptRoot(t.Context(), hookhall.KeyValueEntry{Value: one.EncodeRoot(), Index: 1}); err != nil {
 		t.Fatal(err)
 	}
 	if follower.Version() != 2 {
 		t.Fatalf("version %d in force after an older one was offered and read, want 2", follower.Version())
 	}
-	if len(follower.Serve(1).Chunks) != 1 || len(follower.Serve(2).Chunks) != 0 {
+	if len(follower.DocumentSince(1).Chunks) != 1 || len(follower.DocumentSince(2).Chunks) != 0 {
 		t.Fatal("a peer must get the chunks that it lacks and no others")
 	}
 }
--- a/internal/coordination/targets/directory.go
+++ b/internal/coordination/targets/directory.go
@@ -90,7 +90,7 @@
 // Directory holds all pools of an entry. Its methods are safe for concurrent use.
 type Directory struct {
 	fleet       *fleet.Fleet
-	tables      *tables.Keeper
+	tables      *tables.Follower
 	backend     hookhall.Backend
 	policy      Policy
 	log         *log.Logger
@@ -98,7 +98,7 @@
 }
 
 // New returns a Directory without pools; Refresh and Run add them.
-func New(members *fleet.Fleet, table *tables.Keeper, backend hookhall.Backend, policy Policy, logger *log.Logger) *Directory {
+func New(members *fleet.Fleet, table *tables.Follower, backend hookhall.Backend, policy Policy, logger *log.Logger) *Directory {
 	d := &Directory{fleet: members, tables: table, backend: backend, policy: policy, log: logger}
 	d.poolsByName.Store(&map[string]*Pool{})
 	return d
@@ -150,13 +150,13 @@
 // expire and the capacity of a pool changes without any other input.
 type poolInputs struct {
 	listing *fleet.Listing
-	table   *tables.InForce
+	table   *tables.ActiveTable
 	view    *hookhall.View
 	second  int64
 }
 
 func (d *Directory) currentInputs() poolInputs {
-	return poolInputs{d.fleet.Listed(), d.tables.Current(), d.fleet.View(), clock.Stamp(clock.Now()) / int64(time.Second)}
+	return poolInputs{d.fleet.LatestListing(), d.tables.Current(), d.fleet.View(), clock.Stamp(clock.Now()) / int64(time.Second)}
 }
 
 // shedQueues refuses queued calls that can't start in time, until ctx ends. It
@@ -178,7 +178,7 @@
 // nothing as long as no list has been read. If two calls overlap, the pools of the
 // one that ends last stay.
 func (d *Directory) Refresh(now time.Time) {
-	listing := d.fleet.Listed()
+	listing := d.fleet.LatestListing()
 	if listing == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 		}
 		targetsByPool[instance.Pool] = append(targetsByPool[instance.Pool], hookhall.Target{
 			ID: instance.ID, Pool: instance.Pool, Hall: instance.Hall, Address: instance.Address, Streams: instance.Streams,
-			Leaving: instance.State == hookhall.InstanceLeaving || leaving[instance.ID] || d.fleet.HeardLeaving(instance.ID, now),
+			Leaving: instance.State == hookhall.InstanceLeaving || leaving[instance.ID] || d.fleet.IsReportedLeaving(instance.ID, now),
 		})
 	}
 	old := *d.poolsByName.Load()
@@ -257,7 +257,7 @@
 	slots := make(chan struct{}, maxConcurrentPolls)
 	for _, pool := range d.Pools() {
 		for _, target := range pool.Targets() {
-			if target.HeardWithin(d.pollInterval()*3/4, clock.Now()) {
+			if target.ReportedWithin(d.pollInterval()*3/4, clock.Now()) {
 				continue
 			}
 			wg.Add(1)
@@ -266,7 +266,7 @@
 				defer wg.Done()
 				defer func() { <-slots }()
 				if report, err := d.backend.Load(ctx, target.Target); err == nil {
-					target.Report(report, clock.Now())
+					target.RecordReport(report, clock.Now())
 				}
 			}()
 		}
@@ -280,5 +280,5 @@
 	if !target.IsLeaving(clock.Now()) {
 		d.log.Info("target leaving", "target", target.ID)
 	}
-	target.Refused(clock.Now())
+	target.MarkLeaving(clock.Now())
 }
--- a/internal/lab/edits.go
+++ b/internal/lab/edits.go
@@ -14,44 +14,44 @@
 	"github.com/hookhall/hookhall/internal/load"
 )
 
-// Cell is one edit of the table during a load, with its expected effect.
-type Cell struct {
-	Says string
-	Edit hookhall.Edit
+// EditStep is one edit of the table during a load, with its expected effect.
+type EditStep struct {
+	Effect string
+	Edit   hookhall.Edit
 }
 
 // accountEdit returns the edit of one cell of the accounts sheet.
-func accountEdit(account, column, value, says string) Cell {
-	return Cell{says, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: account, Column: column, Value: value, Force: true}}
+func accountEdit(account, column, value, says string) EditStep {
+	return EditStep{says, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: account, Column: column, Value: value, Force: true}}
 }
 
-// Cells are the edits of the experiment, one at the beginning of each phase but the first.
-var Cells = []Cell{
+// EditSteps are the edits of the experiment, one at the beginning of each phase but the first.
+var EditSteps = []EditStep{
 	accountEdit("sponsors", "priority", "8", "sponsors go before all but the gateway"),
 	accountEdit("fleet-portal", "weight", "8", "fleet-portal gets four times member-bank's share"),
 	accountEdit("partners", "rate", "5", "partners may send 5 requests a second"),
 	accountEdit("venues", "priority", "0", "venues go last"),
 }
 
-// Edits makes the edits during a load of loadFactor times the capacity, one per phase, and
+// RunEdits makes the edits during a load of loadFactor times the capacity, one per phase, and
 // prints the attainment of each account before the first edit and after each edit.
-func Edits(ctx context.Context, out io.Writer, p load.Profile, loadFactor float64, phase time.Duration, seed uint64) error {
-	lab, err := Start(Settings{Entries: 3, Pools: experimentPools(defaultReportLag), Profile: p})
+func RunEdits(ctx context.Context, out io.Writer, p load.Profile, loadFactor float64, phase time.Duration, seed uint64) error {
+	lab, err := Start(Settings{EntryCount: 3, Pools: experimentPools(defaultReportLag), Profile: p})
 	if err != nil {
 		return err
 	}
 	defer lab.Stop()
-	phases := len(Cells) + 1
+	phases := len(EditSteps) + 1
 	capacity := Capacity(p)
-	plan := load.Plan{Profile: p, Rate: capacity * loadFactor, Duration: warmupTime + time.Duration(phases)*phase + cooldownTime, Seed: seed, Entries: 3}
+	plan := load.Plan{Profile: p, Rate: capacity * loadFactor, Duration: warmupTime + time.Duration(phases)*phase + cooldownTime, Seed: seed, EntryCount: 3}
 	arrivals := plan.Draw()
 	go lab.applyEdits(ctx, phase)
 	client := load.NewClient()
 	defer client.Close()
-	outcomes := load.Run(ctx, client, lab.Addresses(), p, arrivals, nil)
+	outcomes := load.Run(ctx, client, lab.CallerAddresses(), p, arrivals, nil)
 	fmt.Fprintf(out, "profile %s, 3 entries, %.1f times the capacity of %.0f requests/s, seed %d, %v a phase\n", p.Name, loadFactor, capacity, seed, phase)
-	for _, c := range Cells {
-		fmt.Fprintf(out, "  then %s:%s = %s: %s\n", c.Edit.Row, c.Edit.Column, c.Edit.Value, c.Says)
+	for _, c := range EditSteps {
+		fmt.Fprintf(out, "  then %s:%s = %s: %s\n", c.Edit.Row, c.Edit.Column, c.Edit.Value, c.Effect)
 	}
 	return printPhases(out, p, arrivals, outcomes, phase, phases)
 }
@@ -59,7 +59,7 @@
 // applyEdits makes the edits, each at the beginning of its phase, until ctx ends.
 func (l *Lab) applyEdits(ctx context.Context, phase time.Duration) {
 	began := time.Now()
-	for i, cell := range Cells {
+	for i, cell := range EditSteps {
 		select {
 		case <-time.After(time.Until(began.Add(warmupTime + time.Duration(i+1)*phase))):
 		case <-ctx.Done():
@@ -77,7 +77,7 @@
 	type tally struct{ all, inTime int }
 	talliesByAccount := map[string][]tally{}
 	for i, outcome := range outcomes {
-		offset := arrivals[i].At - warmupTime
+		offset := arrivals[i].Offset - warmupTime
 		index := int(offset / phase)
 		if outcome == nil || offset < 0 || index >= phases || offset%phase < phase/4 {
 			continue
@@ -92,7 +92,7 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "  ACCOUNT\tBEFORE")
-	for _, c := range Cells {
+	for _, c := range EditSteps {
 		fmt.Fprintf(table, "\t%s:%s=%s", c.Edit.Row, c.Edit.Column, c.Edit.Value)
 	}
 	fmt.Fprintln(table)
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -43,12 +43,12 @@
 // experimentPools returns the pools of an experiment. The engines are the bottleneck.
 func experimentPools(lag time.Duration) []PoolSettings {
 	plain := func(name string, callTime time.Duration) PoolSettings {
-		return PoolSettings{name, 3, standin.TargetSettings{Capacity: 8, Time: callTime, Lag: lag}}
+		return PoolSettings{name, 3, standin.TargetSettings{Capacity: 8, CallTime: callTime, ReportLag: lag}}
 	}
 	return []PoolSettings{
 		plain("encoders", 4*time.Millisecond), plain("retrievers", 6*time.Millisecond), plain("rerankers", 8*time.Millisecond),
 		plain("authorisation", 10*time.Millisecond), plain("replays", 10*time.Millisecond),
-		{"engines", engineCount, standin.TargetSettings{Capacity: engineSlots, Time: enginePrefillTime, Token: engineTokenTime, Cache: engineCachedPrefixes, Lag: lag}},
+		{"engines", engineCount, standin.TargetSettings{Capacity: engineSlots, CallTime: enginePrefillTime, TokenTime: engineTokenTime, CachedPrefixes: engineCachedPrefixes, ReportLag: lag}},
 	}
 }
 
@@ -68,16 +68,16 @@
 // Scenario is a load with the faults that occur in it.
 type Scenario struct {
 	Name string
-	// Times is the average load relative to the capacity.
-	Times float64
-	// Burst is the factor on the rate in bursts, as in load.Plan.
-	Burst float64
-	// Flood is the factor on the requests of fleet-portal; 0 for none.
-	Flood float64
-	// Lag is the age of the targets' load reports; 0 for defaultReportLag.
-	Lag time.Duration
-	// Fault, if set, switches on faults at the end of the warm-up.
-	Fault func(*Lab)
+	// LoadFactor is the average load relative to the capacity.
+	LoadFactor float64
+	// BurstFactor is the factor on the rate in bursts, as in load.Plan.
+	BurstFactor float64
+	// FloodFactor is the factor on the requests of fleet-portal; 0 for none.
+	FloodFactor float64
+	// ReportLag is the age of the targets' load reports; 0 for defaultReportLag.
+	ReportLag time.Duration
+	// InjectFaults, if set, switches on faults at the end of the warm-up.
+	InjectFaults func(*Lab)
 	// During, if set, runs concurrently with the load; it gets the length of the run.
 	During func(*Lab, time.Duration)
 }
@@ -85,27 +85,27 @@
 // defaultReportLag is the age of the targets' load reports unless a scenario sets it.
 const defaultReportLag = 200 * time.Millisecond
 
-// Scenarios holds the scenarios by group.
-var Scenarios = map[string][]Scenario{
+// ScenariosByGroup holds the scenarios by group.
+var ScenariosByGroup = map[string][]Scenario{
 	"load": {
-		{Name: "0.7x", Times: 0.7}, {Name: "1.0x", Times: 1}, {Name: "1.5x", Times: 1.5}, {Name: "3.0x", Times: 3},
+		{Name: "0.7x", LoadFactor: 0.7}, {Name: "1.0x", LoadFactor: 1}, {Name: "1.5x", LoadFactor: 1.5}, {Name: "3.0x", LoadFactor: 3},
 	},
 	"faults": {
-		{Name: "bursts 4x at 0.7x", Times: 0.7, Burst: 4},
-		{Name: "one engine 10 times slower", Times: 0.7, Fault: func(l *Lab) { l.Targets["engines-0"].SetFaults(standin.TargetFaults{Slow: 10}) }},
-		{Name: "rerankers fail half their calls", Times: 0.7, Fault: func(l *Lab) {
+		{Name: "bursts 4x at 0.7x", LoadFactor: 0.7, BurstFactor: 4},
+		{Name: "one engine 10 times slower", LoadFactor: 0.7, InjectFaults: func(l *Lab) { l.Targets["engines-0"].SetFaults(standin.TargetFaults{SlowFactor: 10}) }},
+		{Name: "rerankers fail half their calls", LoadFactor: 0.7, InjectFaults: func(l *Lab) {
 			for i := 0; i < 3; i++ {
 				l.Targets[fmt.Sprintf("rerankers-%d", i)].SetFaults(standin.TargetFaults{FailAfter: 0.5})
 			}
 		}},
-		{Name: "all pools fail 20 % at 3.0x", Times: 3, Fault: func(l *Lab) {
+		{Name: "all pools fail 20 % at 3.0x", LoadFactor: 3, InjectFaults: func(l *Lab) {
 			for _, t := range l.Targets {
 				t.SetFaults(standin.TargetFaults{FailBefore: 0.1, FailAfter: 0.1})
 			}
 		}},
-		{Name: "fleet-portal floods 10 times", Times: 0.7, Flood: 10},
-		{Name: "reports 2 s late at 1.0x", Times: 1, Lag: 2 * time.Second},
-		{Name: "an engine dies and returns", Times: 0.7, During: stopAndRestartEngine},
+		{Name: "fleet-portal floods 10 times", LoadFactor: 0.7, FloodFactor: 10},
+		{Name: "reports 2 s late at 1.0x", LoadFactor: 1, ReportLag: 2 * time.Second},
+		{Name: "an engine dies and returns", LoadFactor: 0.7, During: stopAndRestartEngine},
 	},
 }
 
@@ -123,32 +123,32 @@
 
 // Experiment compares policies in the same scenarios under the same load.
 type Experiment struct {
-	Profile   load.Profile
-	Policies  []Policy
-	Scenarios []Scenario
-	Entries   int           // number of entries
-	Length    time.Duration // of a run, without warm-up and cool-down
-	Seed      uint64        // of the arrivals
+	Profile     load.Profile
+	Policies    []Policy
+	Scenarios   []Scenario
+	EntryCount  int           // number of entries
+	RunDuration time.Duration // of a run, without warm-up and cool-down
+	Seed        uint64        // of the arrivals
 }
 
-// Row holds the outcome of one run: a scenario with a policy.
-type Row struct {
+// Result holds the outcome of one run: a scenario with a policy.
+type Result struct {
 	Scenario, Policy string
 	All              *load.Summary
 	Kinds            []*load.Summary
-	Outcomes         []*load.Outcome // of arrivals outside of warm-up and cool-down
-	Audit            *load.Audit     // of the whole run
-	Ledger           []standin.Run   // of the whole run
-	Length           time.Duration
+	Outcomes         []*load.Outcome     // of arrivals outside of warm-up and cool-down
+	Audit            *load.Audit         // of the whole run
+	Ledger           []standin.RunRecord // of the whole run
+	RunDuration      time.Duration
 }
 
 // Run runs every scenario with every policy on the same arrivals and prints a line for
 // each run as its scenario ends. On an error, it returns the rows so far.
-func (x Experiment) Run(ctx context.Context, out io.Writer) ([]Row, error) {
-	var rows []Row
+func (x Experiment) Run(ctx context.Context, out io.Writer) ([]Result, error) {
+	var rows []Result
 	capacity := Capacity(x.Profile)
 	fmt.Fprintf(out, "profile %s, %d entries, capacity %.0f requests/s, seed %d, %v a run after %v of warm-up\n\n",
-		x.Profile.Name, x.Entries, capacity, x.Seed, x.Length, warmupTime)
+		x.Profile.Name, x.EntryCount, capacity, x.Seed, x.RunDuration, warmupTime)
 	for _, scenario := range x.Scenarios {
 		fmt.Fprintf(out, "%s\n", scenario.Name)
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
@@ -170,56 +170,56 @@
 }
 
 // runOne runs one scenario with one policy.
-func (x Experiment) runOne(ctx context.Context, scenario Scenario, policy Policy, capacity float64) (Row, error) {
-	lag := scenario.Lag
+func (x Experiment) runOne(ctx context.Context, scenario Scenario, policy Policy, capacity float64) (Result, error) {
+	lag := scenario.ReportLag
 	if lag == 0 {
 		lag = defaultReportLag
 	}
 	lab, err := Start(Settings{
-		Entries: x.Entries, Pools: experimentPools(lag), Profile: x.Profile,
-		Adjust: func(_ int, e *settings.Entry) { policy.Adjust(&e.Policy) },
+		EntryCount: x.EntryCount, Pools: experimentPools(lag), Profile: x.Profile,
+		AdjustEntry: func(_ int, e *settings.Entry) { policy.Adjust(&e.Policy) },
 	})
 	if err != nil {
-		return Row{}, err
+		return Result{}, err
 	}
 	defer time.Sleep(settleDelay)
 	defer lab.Stop()
-	plan := load.Plan{Profile: x.Profile, Rate: capacity * scenario.Times, Duration: warmupTime + x.Length + cooldownTime, Seed: x.Seed, Entries: x.Entries, Burst: scenario.Burst}
-	if scenario.Flood > 0 {
-		plan.Flood, plan.FloodTimes = "fleet-portal", scenario.Flood
+	plan := load.Plan{Profile: x.Profile, Rate: capacity * scenario.LoadFactor, Duration: warmupTime + x.RunDuration + cooldownTime, Seed: x.Seed, EntryCount: x.EntryCount, BurstFactor: scenario.BurstFactor}
+	if scenario.FloodFactor > 0 {
+		plan.FloodAccount, plan.FloodFactor = "fleet-portal", scenario.FloodFactor
 	}
-	if scenario.Fault != nil {
-		time.AfterFunc(warmupTime, func() { scenario.Fault(lab) })
+	if scenario.InjectFaults != nil {
+		time.AfterFunc(warmupTime, func() { scenario.InjectFaults(lab) })
 	}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		if scenario.During != nil {
-			scenario.During(lab, x.Length)
+			scenario.During(lab, x.RunDuration)
 		}
 	}()
 	client := load.NewClient()
 	defer client.Close()
 	arrivals := plan.Draw()
-	outcomes := load.Run(ctx, client, lab.Addresses(), x.Profile, arrivals, nil)
+	outcomes := load.Run(ctx, client, lab.CallerAddresses(), x.Profile, arrivals, nil)
 	<-ended
 	ledger := lab.Ledger()
-	audit := load.Check(x.Profile, outcomes, ledger)
+	audit := load.AuditOutcomes(x.Profile, outcomes, ledger)
 	counted := outcomes[:0:0]
 	for i, outcome := range outcomes {
-		if arrivals[i].At >= warmupTime && arrivals[i].At < warmupTime+x.Length {
+		if arrivals[i].Offset >= warmupTime && arrivals[i].Offset < warmupTime+x.RunDuration {
 			counted = append(counted, outcome)
 		}
 	}
 	all, kinds := load.Summarize(counted)
-	return Row{Scenario: scenario.Name, Policy: policy.Name, All: all, Kinds: kinds, Outcomes: counted, Audit: audit, Ledger: ledger, Length: x.Length}, nil
+	return Result{Scenario: scenario.Name, Policy: policy.Name, All: all, Kinds: kinds, Outcomes: counted, Audit: audit, Ledger: ledger, RunDuration: x.RunDuration}, nil
 }
 
 // minHighPriority is the lowest priority of an account that counts as high.
 const minHighPriority = 7
 
 // highPriorityAttainment returns the attainment of the requests of high priority.
-func (r Row) highPriorityAttainment(p load.Profile) float64 {
+func (r Result) highPriorityAttainment(p load.Profile) float64 {
 	isHighPriority := map[string]bool{}
 	for _, account := range p.Accounts {
 		isHighPriority[account.Name] = account.Priority >= minHighPriority
@@ -238,7 +238,7 @@
 
 // fairness returns the attainment of the worse of two accounts with equal settings relative
 // to that of the better one, from 0 to 1.
-func (r Row) fairness() float64 {
+func (r Result) fairness() float64 {
 	attainment := map[string]float64{}
 	for _, kind := range r.Kinds {
 		attainment[kind.Name] = kind.Attainment()
@@ -252,7 +252,7 @@
 
 // missedShare returns the share of the targets' busy time, by their own ledgers, that was
 // spent on requests without a complete answer in time.
-func (r Row) missedShare() float64 {
+func (r Result) missedShare() float64 {
 	inTime := map[string]bool{}
 	for _, outcome := range r.Outcomes {
 		if outcome != nil {
@@ -274,18 +274,18 @@
 }
 
 // engineUtilization returns the share of the engines' slot time that was busy, from 0 to 1.
-func (r Row) engineUtilization() float64 {
+func (r Result) engineUtilization() float64 {
 	var busyMS float64
 	for _, run := range r.Ledger {
 		if strings.HasPrefix(run.Target, "engines-") {
 			busyMS += run.BusyMS
 		}
 	}
-	return busyMS / 1000 / (engineCount * engineSlots * (warmupTime + r.Length + cooldownTime).Seconds())
+	return busyMS / 1000 / (engineCount * engineSlots * (warmupTime + r.RunDuration + cooldownTime).Seconds())
 }
 
 // amplification returns the mean number of calls per stage of a request that was reached.
-func (r Row) amplification() float64 {
+func (r Result) amplification() float64 {
 	calls, stages := 0, 0
 	for _, outcome := range r.Outcomes {
 		if outcome == nil {
@@ -306,26 +306,26 @@
 }
 
 // tokensPerSecond returns the engine tokens per second of requests answered in time.
-func (r Row) tokensPerSecond() float64 {
+func (r Result) tokensPerSecond() float64 {
 	tokens := 0
 	for _, outcome := range r.Outcomes {
 		if outcome != nil && outcome.InTime() {
 			tokens += outcome.Kind.Tokens
 		}
 	}
-	return float64(tokens) / r.Length.Seconds()
+	return float64(tokens) / r.RunDuration.Seconds()
 }
 
 // print writes a row of the table; capacity is in requests per second.
-func (r Row) print(w io.Writer, capacity float64) {
-	goodput := float64(r.All.InTime) / r.Length.Seconds()
+func (r Result) print(w io.Writer, capacity float64) {
+	goodput := float64(r.All.InTime) / r.RunDuration.Seconds()
 	verdict := "clean"
 	if !r.Audit.Clean() {
 		verdict = fmt.Sprintf("lost %d swapped %d doubled %d false %d", r.Audit.Lost, r.Audit.Swapped, r.Audit.Doubled, r.Audit.FalseNotRun)
 	}
-	quantile := load.Quantile
+	quantile := load.FormatQuantile
 	fmt.Fprintf(w, "  %s\t%.3f\t%.3f\t%.0f\t%.2f\t%.0f\t%s\t%s\t%s\t%s\t%.3f\t%.2f\t%d\t%s\t%s\t%.2f\t%.3f\t%s\n",
 		r.Policy, r.All.Attainment(), r.highPriorityAttainment(load.Mixed()), goodput, goodput/capacity, r.tokensPerSecond(),
-		quantile(r.All.Took, 50), quantile(r.All.Took, 95), quantile(r.All.Took, 99), quantile(r.All.First, 95),
-		r.missedShare(), r.engineUtilization(), r.All.Refused, quantile(r.All.Refusal, 50), quantile(r.All.Refusal, 99), r.fairness(), r.amplification(), verdict)
+		quantile(r.All.Latency, 50), quantile(r.All.Latency, 95), quantile(r.All.Latency, 99), quantile(r.All.FirstTokenLatency, 95),
+		r.missedShare(), r.engineUtilization(), r.All.Refused, quantile(r.All.RefusalLatency, 50), quantile(r.All.RefusalLatency, 99), r.fairness(), r.amplification(), verdict)
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -26,9 +26,9 @@
 	"github.com/pkg/errors"
 )
 
-// Halls is the number of halls of a lab. Entries, and the targets of each pool, are spread
+// HallCount is the number of halls of a lab. Entries, and the targets of each pool, are spread
 // over them in turn.
-const Halls = 3
+const HallCount = 3
 
 const (
 	fleetSecret   = "the-fleet-secret"
@@ -51,13 +51,13 @@
 
 // Settings configures a lab.
 type Settings struct {
-	Entries int // number of entries
-	Pools   []PoolSettings
-	Profile load.Profile    // its edits make the first table
-	Extra   []hookhall.Edit // more edits of the first table
-	// Adjust, if set, changes the settings of entry i, from 0, before it starts.
-	Adjust func(i int, s *settings.Entry)
-	Log    io.Writer // of all entries; nil discards it
+	EntryCount int // number of entries
+	Pools      []PoolSettings
+	Profile    load.Profile    // its edits make the first table
+	ExtraEdits []hookhall.Edit // more edits of the first table
+	// AdjustEntry, if set, changes the settings of entry i, from 0, before it starts.
+	AdjustEntry func(i int, s *settings.Entry)
+	Log         io.Writer // of all entries; nil discards it
 }
 
 // Lab is a running fleet. Targets and Servers are by instance ID; Servers also holds those
@@ -117,7 +117,7 @@
 }
 
 func (l *Lab) startTargets() error {
-	streamsByPool := l.settings.Profile.Pools()
+	streamsByPool := l.settings.Profile.StreamsByPool()
 	for _, pool := range l.settings.Pools {
 		for i := 0; i < pool.Count; i++ {
 			target := pool.Target
@@ -138,11 +138,11 @@
 }
 
 // hallName returns the hall of entry or target i.
-func hallName(i int) string { return fmt.Sprintf("hall-%d", i%Halls+1) }
+func hallName(i int) string { return fmt.Sprintf("hall-%d", i%HallCount+1) }
 
 // writeTable writes the first table, if there are edits for it.
 func (l *Lab) writeTable() error {
-	edits := append(l.settings.Profile.Edits(), l.settings.Extra...)
+	edits := append(l.settings.Profile.TableEdits(), l.settings.ExtraEdits...)
 	if len(edits) == 0 {
 		return nil
 	}
@@ -159,7 +159,7 @@
 }
 
 func (l *Lab) startEntries() error {
-	for i := 0; i < l.settings.Entries; i++ {
+	for i := 0; i < l.settings.EntryCount; i++ {
 		if err := l.startEntry(i); err != nil {
 			return err
 		}
@@ -170,23 +170,23 @@
 // startEntry starts entry i and does not wait until it is ready.
 func (l *Lab) startEntry(i int) error {
 	entrySettings := settings.DefaultEntry()
-	entrySettings.Entry = settings.EntryPart{
+	entrySettings.Entry = settings.EntrySection{
 		Instance: fmt.Sprintf("entry-%d", i+1), Hall: hallName(i), Callers: loopbackAddress, Peers: loopbackAddress, OperatorToken: operatorToken,
 	}
-	entrySettings.Platform = settings.PlatformPart{KeyValue: l.keyValueAddress, Instances: l.listAddress}
+	entrySettings.Platform = settings.PlatformSection{KeyValue: l.keyValueAddress, Instances: l.listAddress}
 	entrySettings.Fleet.Secret = fleetSecret
 	entrySettings.Fleet.ListMS = 200
-	entrySettings.Stop = settings.StopPart{NoticeMS: 0, GraceMS: 5000}
+	entrySettings.Stop = settings.StopSection{NoticeMS: 0, GraceMS: 5000}
 	entrySettings.Log.Level = "warn"
-	if l.settings.Adjust != nil {
-		l.settings.Adjust(i, &entrySettings)
+	if l.settings.AdjustEntry != nil {
+		l.settings.AdjustEntry(i, &entrySettings)
 	}
 	started, err := entry.New(entrySettings, l.settings.Log)
 	if err != nil {
 		return err
 	}
 	l.Instances.Set(hookhall.Instance{
-		ID: entrySettings.Entry.Instance, Role: hookhall.RoleEntry, Hall: entrySettings.Entry.Hall, Address: started.Peers(), State: hookhall.InstanceLive,
+		ID: entrySettings.Entry.Instance, Role: hookhall.RoleEntry, Hall: entrySettings.Entry.Hall, Address: started.PeersAddress(), State: hookhall.InstanceLive,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	l.Entries = append(l.Entries, started)
@@ -214,18 +214,18 @@
 	return nil
 }
 
-// Addresses returns the IP:port of each entry for callers.
-func (l *Lab) Addresses() []string {
+// CallerAddresses returns the IP:port of each entry for callers.
+func (l *Lab) CallerAddresses() []string {
 	var addresses []string
 	for _, e := range l.Entries {
-		addresses = append(addresses, e.Callers())
+		addresses = append(addresses, e.CallersAddress())
 	}
 	return addresses
 }
 
 // Ledger returns the runs of all targets, in no particular order.
-func (l *Lab) Ledger() []standin.Run {
-	var runs []standin.Run
+func (l *Lab) Ledger() []standin.RunRecord {
+	var runs []standin.RunRecord
 	for _, t := range l.Targets {
 		runs = append(runs, t.Ledger()...)
 	}
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -12,30 +12,30 @@
 // Policy is a variant of the entries' settings. The policies are cumulative steps from a
 // baseline to the product: each one has the features of those before it.
 type Policy struct {
-	Name   string
-	Says   string // what the step adds
-	Adjust func(*settings.PolicyPart)
+	Name        string
+	Description string // what the step adds
+	Adjust      func(*settings.PolicySection)
 }
 
 // Policies are the steps in order; each one adds one feature.
 var Policies = []Policy{
-	{"baseline", "first come, first served; random target; no early refusal", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true}
+	{"baseline", "first come, first served; random target; no early refusal", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "arrival", Choice: "random", Claims: true}
 	}},
-	{"clock", "adds early refusal of requests that can't end before their deadline", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true}
+	{"clock", "adds early refusal of requests that can't end before their deadline", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true}
 	}},
-	{"window", "adds queueing at the entry instead of at the targets, with windows", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
+	{"window", "adds queueing at the entry instead of at the targets, with windows", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "arrival", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"order", "adds the order by priority, fair share and slack", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "fair", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
+	{"order", "adds the order by priority, fair share and slack", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "fair", Choice: "random", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"routing", "adds the choice of targets by load", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true}
+	{"routing", "adds the choice of targets by load", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true}
 	}},
-	{"product", "adds the choice of engines by prompt prefix", func(p *settings.PolicyPart) {
-		*p = settings.PolicyPart{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true, Prefix: true}
+	{"product", "adds the choice of engines by prompt prefix", func(p *settings.PolicySection) {
+		*p = settings.PolicySection{Order: "fair", Choice: "load", Claims: true, EarlyRefusal: true, Window: true, Prefix: true}
 	}},
 }
 
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -73,9 +73,9 @@
 	s.Fleet.ListMS = settings.DefaultEntry().Fleet.ListMS
 }
 
-// Slopes measures and prints how costs grow with the number of entries,
+// MeasureCostGrowth measures and prints how costs grow with the number of entries,
 // targets, accounts and requests.
-func Slopes(ctx context.Context, out io.Writer) error {
+func MeasureCostGrowth(ctx context.Context, out io.Writer) error {
 	for _, measure := range []func(context.Context, io.Writer) error{measureEntries, measureTargets, measureAccounts, measureRequests} {
 		if err := measure(ctx, out); err != nil {
 			return err
@@ -89,7 +89,7 @@
 func measureEntries(_ context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "entries, idle, 6 targets, no accounts; then one joins")
 	for _, n := range []int{3, 9, 20, 40} {
-		lab, err := Start(Settings{Entries: n, Adjust: useDefaultTiming, Pools: []PoolSettings{{"p", 6, standin.TargetSettings{Capacity: 8}}}})
+		lab, err := Start(Settings{EntryCount: n, AdjustEntry: useDefaultTiming, Pools: []PoolSettings{{"p", 6, standin.TargetSettings{Capacity: 8}}}})
 		if err != nil {
 			return err
 		}
@@ -115,7 +115,7 @@
 func measureTargets(_ context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "targets in one pool, 3 entries, idle")
 	for _, n := range []int{20, 100, 620} {
-		lab, err := Start(Settings{Entries: 3, Adjust: useDefaultTiming, Pools: []PoolSettings{{"p", n, standin.TargetSettings{Capacity: 8}}}})
+		lab, err := Start(Settings{EntryCount: 3, AdjustEntry: useDefaultTiming, Pools: []PoolSettings{{"p", n, standin.TargetSettings{Capacity: 8}}}})
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 func measureAccounts(_ context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "accounts in the table, 9 entries")
 	for _, n := range []int{100, 1000, 8200} {
-		lab, err := Start(Settings{Entries: 9, Adjust: useDefaultTiming})
+		lab, err := Start(Settings{EntryCount: 9, AdjustEntry: useDefaultTiming})
 		if err != nil {
 			return err
 		}
@@ -212,12 +212,12 @@
 	}{{"plain", true, ""}, {"claimed", false, ""}, {"limited, rate 100000/s", true, "100000"}, {"limited, rate 2000/s", true, "2000"}}
 	for _, variant := range variants {
 		profile := load.Venue()
-		fleet := Settings{Entries: 9, Profile: profile, Adjust: useDefaultTiming, Pools: []PoolSettings{
-			{"replays", 3, standin.TargetSettings{Capacity: 64, Time: time.Millisecond}},
+		fleet := Settings{EntryCount: 9, Profile: profile, AdjustEntry: useDefaultTiming, Pools: []PoolSettings{
+			{"replays", 3, standin.TargetSettings{Capacity: 64, CallTime: time.Millisecond}},
 			{"encoders", 1, standin.TargetSettings{Capacity: 8}}, {"retrievers", 1, standin.TargetSettings{Capacity: 8}},
 			{"rerankers", 1, standin.TargetSettings{Capacity: 8}}, {"engines", 1, standin.TargetSettings{Capacity: 8}}}}
 		if variant.limit != "" {
-			fleet.Extra = []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "venues", Column: "rate", Value: variant.limit, Force: true}}
+			fleet.ExtraEdits = []hookhall.Edit{{Sheet: hookhall.SheetAccounts, Row: "venues", Column: "rate", Value: variant.limit, Force: true}}
 		}
 		lab, err := Start(fleet)
 		if err != nil {
@@ -245,7 +245,7 @@
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	answered := 0
-	addresses := l.Addresses()
+	addresses := l.CallerAddresses()
 	for thread := range threads {
 		wg.Add(1)
 		go func() {
@@ -267,8 +267,8 @@
 	return answered
 }
 
-// Sizes prints the sizes of stored documents, which need no fleet.
-func Sizes(out io.Writer) error {
+// PrintDocumentSizes prints the sizes of stored documents, which need no fleet.
+func PrintDocumentSizes(out io.Writer) error {
 	doc := table.Empty()
 	var edits []hookhall.Edit
 	for i := range 8200 {
--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -14,29 +14,29 @@
 
 // Arrival is a request that is to be sent.
 type Arrival struct {
-	At   time.Duration // since the start of the load
-	Kind Kind
-	Tag  string // unique within a plan; the last word of the input
-	Key  string // idempotency key; empty for repeatable kinds
-	// Entry is the index of the entry that it goes to, from 0 to Plan.Entries - 1.
-	Entry int
+	Offset         time.Duration // since the start of the load
+	Kind           Kind
+	Tag            string // unique within a plan; the last word of the input
+	IdempotencyKey string // idempotency key; empty for repeatable kinds
+	// EntryIndex is the index of the entry that it goes to, from 0 to Plan.EntryCount - 1.
+	EntryIndex int
 }
 
 // Plan describes a load from which arrivals are drawn.
 type Plan struct {
-	Profile  Profile
-	Rate     float64 // requests per second, averaged over the load, without the flood
-	Duration time.Duration
-	Seed     uint64
-	Entries  int // number of entries; arrivals are spread over them at random
-	// Burst, if above 1, is the factor on the average rate in the first tenth
+	Profile    Profile
+	Rate       float64 // requests per second, averaged over the load, without the flood
+	Duration   time.Duration
+	Seed       uint64
+	EntryCount int // number of entries; arrivals are spread over them at random
+	// BurstFactor, if above 1, is the factor on the average rate in the first tenth
 	// of each second; the rate in the rest of the second is lower, which keeps the
 	// average.
-	Burst float64
-	// Flood names an account, if any, whose kinds have their weight multiplied
-	// by FloodTimes. The additional requests come on top of Rate.
-	Flood      string
-	FloodTimes float64
+	BurstFactor float64
+	// FloodAccount names an account, if any, whose kinds have their weight multiplied
+	// by FloodFactor. The additional requests come on top of Rate.
+	FloodAccount string
+	FloodFactor  float64
 }
 
 // Draw returns the arrivals in order of time, as a Poisson process. The result depends on
@@ -45,7 +45,7 @@
 	random := rand.New(rand.NewPCG(p.Seed, 0x68616c6c))
 	kinds, total := p.weightedKinds()
 	rate := p.Rate
-	if p.Flood != "" {
+	if p.FloodAccount != "" {
 		_, weightWithoutFlood := Plan{Profile: p.Profile}.weightedKinds()
 		rate *= total / weightWithoutFlood // the flood is additional load
 	}
@@ -57,9 +57,9 @@
 			return arrivals
 		}
 		kind := pickKind(kinds, random.Float64()*total)
-		arrival := Arrival{At: offset, Kind: kind, Tag: fmt.Sprintf("t%x-%d", p.Seed, len(arrivals)), Entry: random.IntN(max(p.Entries, 1))}
+		arrival := Arrival{Offset: offset, Kind: kind, Tag: fmt.Sprintf("t%x-%d", p.Seed, len(arrivals)), EntryIndex: random.IntN(max(p.EntryCount, 1))}
 		if !kind.Repeatable {
-			arrival.Key = "k-" + arrival.Tag
+			arrival.IdempotencyKey = "k-" + arrival.Tag
 		}
 		arrivals = append(arrivals, arrival)
 	}
@@ -69,14 +69,14 @@
 // average. Between bursts it is at least 0.05, so that a burst factor of 10 or more does
 // not stop the load.
 func (p Plan) rateFactor(seconds float64) float64 {
-	if p.Burst <= 1 {
+	if p.BurstFactor <= 1 {
 		return 1
 	}
 	const period, burstShare = 1.0, 0.1
 	if phase := seconds - float64(int(seconds/period))*period; phase < burstShare {
-		return p.Burst
+		return p.BurstFactor
 	}
-	return max((1-burstShare*p.Burst)/(1-burstShare), 0.05)
+	return max((1-burstShare*p.BurstFactor)/(1-burstShare), 0.05)
 }
 
 // weightedKinds returns the kinds with the flood in their weights, and the sum of these.
@@ -84,8 +84,8 @@
 	kinds := append([]Kind(nil), p.Profile.Kinds...)
 	total := 0.0
 	for i := range kinds {
-		if kinds[i].Account == p.Flood {
-			kinds[i].Weight *= p.FloodTimes
+		if kinds[i].Account == p.FloodAccount {
+			kinds[i].Weight *= p.FloodFactor
 		}
 		total += kinds[i].Weight
 	}
@@ -118,7 +118,7 @@
 	ended := 0
 	began, lastProgress := time.Now(), time.Now()
 	for i, arrival := range arrivals {
-		timer := time.NewTimer(arrival.At - time.Since(began))
+		timer := time.NewTimer(arrival.Offset - time.Since(began))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -129,7 +129,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			outcome := c.Send(context.WithoutCancel(ctx), entries[arrival.Entry%len(entries)], keys[arrival.Kind.Account], arrival.Kind, arrival.Tag, arrival.Key)
+			outcome := c.Send(context.WithoutCancel(ctx), entries[arrival.EntryIndex%len(entries)], keys[arrival.Kind.Account], arrival.Kind, arrival.Tag, arrival.IdempotencyKey)
 			mu.Lock()
 			outcomes[i] = outcome
 			ended++
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -53,12 +53,12 @@
 	}
 }
 
-// Check compares outcomes with the runs in the targets' ledgers. Outcomes with
+// AuditOutcomes compares outcomes with the runs in the targets' ledgers. Outcomes with
 // the same tag are submissions of one request, whose runs are counted once. Nil outcomes
 // are ignored.
-func Check(p Profile, outcomes []*Outcome, ledger []standin.Run) *Audit {
+func AuditOutcomes(p Profile, outcomes []*Outcome, ledger []standin.RunRecord) *Audit {
 	audit := &Audit{}
-	runsByTag := map[string][]standin.Run{}
+	runsByTag := map[string][]standin.RunRecord{}
 	for _, run := range ledger {
 		runsByTag[run.Tag] = append(runsByTag[run.Tag], run)
 	}
@@ -83,10 +83,10 @@
 }
 
 // checkAnswer checks one outcome against its runs of stages with side effects.
-func (a *Audit) checkAnswer(p Profile, o *Outcome, effects []standin.Run) {
+func (a *Audit) checkAnswer(p Profile, o *Outcome, effects []standin.RunRecord) {
 	switch {
 	case o.Answered:
-		if o.Output != p.Expected(o.Kind, Input(o.Kind, o.Tag)) {
+		if o.Output != p.ExpectedOutput(o.Kind, Input(o.Kind, o.Tag)) {
 			a.addFinding(&a.Swapped, "%s got another answer: %.60q", o.Tag, o.Output)
 		}
 		if len(p.sideEffectStages(o.Kind)) > 0 && !anyFinished(effects) {
@@ -94,16 +94,16 @@
 		}
 	case o.Problem == nil:
 		a.addFinding(&a.Lost, "%s at %s: no final answer: %v", o.Tag, o.Entry, o.Err)
-	case o.Problem.Verdict == hookhall.NotRun.String() && anyStartedBefore(effects, o.Began.Add(o.Took)):
+	case o.Problem.Verdict == hookhall.NotRun.String() && anyStartedBefore(effects, o.StartedAt.Add(o.Latency)):
 		a.addFinding(&a.FalseNotRun, "%s was called not run (%s: %s) and ran at %s", o.Tag, o.Problem.Cause, o.Problem.Detail, effects[0].Target)
 	}
 }
 
 // anyStartedBefore reports whether a run began before a moment. A run that began after a
 // refusal belongs to a later submission of the same request.
-func anyStartedBefore(runs []standin.Run, at time.Time) bool {
+func anyStartedBefore(runs []standin.RunRecord, at time.Time) bool {
 	for _, r := range runs {
-		if r.Began.Before(at) {
+		if r.StartedAt.Before(at) {
 			return true
 		}
 	}
@@ -111,9 +111,9 @@
 }
 
 // sideEffectRuns returns the runs of stages that are not pure in the pipeline of k.
-func sideEffectRuns(p Profile, k Kind, runs []standin.Run) []standin.Run {
+func sideEffectRuns(p Profile, k Kind, runs []standin.RunRecord) []standin.RunRecord {
 	stages := p.sideEffectStages(k)
-	var selected []standin.Run
+	var selected []standin.RunRecord
 	for _, r := range runs {
 		if stages[r.Stage] {
 			selected = append(selected, r)
@@ -123,7 +123,7 @@
 }
 
 // countRunsByStage returns the number of runs of each stage.
-func countRunsByStage(runs []standin.Run) map[string]int {
+func countRunsByStage(runs []standin.RunRecord) map[string]int {
 	counts := map[string]int{}
 	for _, r := range runs {
 		counts[r.Stage]++
@@ -131,7 +131,7 @@
 	return counts
 }
 
-func anyFinished(runs []standin.Run) bool {
+func anyFinished(runs []standin.RunRecord) bool {
 	for _, r := range runs {
 		if r.Finished {
 			return true
@@ -143,8 +143,8 @@
 // ledgerReadTimeout limits one read of a ledger or of the instance list.
 const ledgerReadTimeout = 10 * time.Second
 
-// Targets returns the targets on the instance list at the address list.
-func Targets(list string) ([]hookhall.Instance, error) {
+// ListTargets returns the targets on the instance list at the address list.
+func ListTargets(list string) ([]hookhall.Instance, error) {
 	var all []hookhall.Instance
 	if err := getJSON("http://"+list+instances.Path, &all); err != nil {
 		return nil, err
@@ -160,20 +160,20 @@
 
 // ReadLedgers returns the runs in the ledgers of all targets on the instance list at the
 // address list, in order of their start. It fails if any of them can't be read.
-func ReadLedgers(list string) ([]standin.Run, error) {
-	targets, err := Targets(list)
+func ReadLedgers(list string) ([]standin.RunRecord, error) {
+	targets, err := ListTargets(list)
 	if err != nil {
 		return nil, err
 	}
-	var all []standin.Run
+	var all []standin.RunRecord
 	for _, target := range targets {
-		var runs []standin.Run
+		var runs []standin.RunRecord
 		if err := getJSON("http://"+target.Address+"/standin/ledger", &runs); err != nil {
 			return nil, err
 		}
 		all = append(all, runs...)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].Began.Before(all[j].Began) })
+	sort.Slice(all, func(i, j int) bool { return all[i].StartedAt.Before(all[j].StartedAt) })
 	return all, nil
 }
 
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -31,14 +31,14 @@
 // Outcome is the result of one request. With neither Answered nor Problem, the request was
 // lost, and Err has the reason.
 type Outcome struct {
-	Kind      Kind
-	Tag       string
-	Key       string // idempotency key, if any
-	RequestID string
-	Entry     string // IP:port
-	Began     time.Time
-	Took      time.Duration // from sending until the last byte
-	First     time.Duration // from sending until the first text of a stream; 0 without one
+	Kind              Kind
+	Tag               string
+	IdempotencyKey    string // idempotency key, if any
+	RequestID         string
+	Entry             string // IP:port
+	StartedAt         time.Time
+	Latency           time.Duration // from sending until the last byte
+	FirstTokenLatency time.Duration // from sending until the first text of a stream; 0 without one
 	// Answered is set if a complete answer came: length and checksum of Output match.
 	Answered bool
 	Output   string
@@ -51,7 +51,7 @@
 
 // InTime reports whether the complete answer came within the deadline.
 func (o *Outcome) InTime() bool {
-	return o.Answered && o.Took <= time.Duration(o.Kind.DeadlineMS)*time.Millisecond
+	return o.Answered && o.Latency <= time.Duration(o.Kind.DeadlineMS)*time.Millisecond
 }
 
 // Client sends requests to entries. It is safe for concurrent use.
@@ -69,7 +69,7 @@
 // at most until answerGracePeriod after the deadline. key is the idempotency key; "" for
 // none. It never retries.
 func (c *Client) Send(ctx context.Context, entry, accountKey string, kind Kind, tag, key string) *Outcome {
-	outcome := &Outcome{Kind: kind, Tag: tag, Key: key, Entry: entry, Began: time.Now()}
+	outcome := &Outcome{Kind: kind, Tag: tag, IdempotencyKey: key, Entry: entry, StartedAt: time.Now()}
 	timeout := time.Duration(kind.DeadlineMS)*time.Millisecond + answerGracePeriod
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -91,10 +91,10 @@
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+accountKey)
 	if key != "" {
-		request.Header.Set(wire.HeaderKey, key)
+		request.Header.Set(wire.HeaderIdempotencyKey, key)
 	}
 	outcome.Err = c.exchange(request, outcome)
-	outcome.Took = time.Since(outcome.Began)
+	outcome.Latency = time.Since(outcome.StartedAt)
 	return outcome
 }
 
@@ -142,8 +142,8 @@
 		case line.End != nil:
 			return o.acceptAnswer(string(text), line.End)
 		default:
-			if o.First == 0 {
-				o.First = time.Since(o.Began)
+			if o.FirstTokenLatency == 0 {
+				o.FirstTokenLatency = time.Since(o.StartedAt)
 			}
 			text = append(text, line.Text...)
 		}
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -141,8 +141,8 @@
 	return mixed
 }
 
-// Named returns the profile fuel, venue or mixed, and an error for other names.
-func Named(name string) (Profile, error) {
+// ProfileNamed returns the profile fuel, venue or mixed, and an error for other names.
+func ProfileNamed(name string) (Profile, error) {
 	for _, p := range []Profile{Fuel(), Venue(), Mixed()} {
 		if p.Name == name {
 			return p, nil
@@ -151,9 +151,9 @@
 	return Profile{}, fmt.Errorf("unknown profile %q; there are fuel, venue and mixed", name)
 }
 
-// Edits returns the edits that write the profile's accounts and pipelines into the
+// TableEdits returns the edits that write the profile's accounts and pipelines into the
 // table. They are forced, so that they apply whatever the cells hold.
-func (p Profile) Edits() []hookhall.Edit {
+func (p Profile) TableEdits() []hookhall.Edit {
 	var edits []hookhall.Edit
 	set := func(s hookhall.Sheet, row, column, value string) {
 		edits = append(edits, hookhall.Edit{Sheet: s, Row: row, Column: column, Value: value, Force: true})
@@ -180,9 +180,9 @@
 	return edits
 }
 
-// Pools returns the profile's pools by name, and whether the targets of
+// StreamsByPool returns the profile's pools by name, and whether the targets of
 // each stream.
-func (p Profile) Pools() map[string]bool {
+func (p Profile) StreamsByPool() map[string]bool {
 	pools := map[string]bool{}
 	for _, steps := range p.Pipelines {
 		for _, s := range steps {
@@ -192,9 +192,9 @@
 	return pools
 }
 
-// Expected returns the only right output of a request whose targets are all
+// ExpectedOutput returns the only right output of a request whose targets are all
 // stand-ins.
-func (p Profile) Expected(k Kind, input string) string {
+func (p Profile) ExpectedOutput(k Kind, input string) string {
 	for _, s := range p.Pipelines[k.Pipeline] {
 		tokens := 0
 		if s.Streams {
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -26,13 +26,13 @@
 	Causes   map[string]int // requests refused or lost, by cause
 	// Latencies in microseconds: of complete answers, of first tokens and of refusals, each
 	// from sending the request.
-	Took    *hdrhistogram.Histogram
-	First   *hdrhistogram.Histogram
-	Refusal *hdrhistogram.Histogram
+	Latency           *hdrhistogram.Histogram
+	FirstTokenLatency *hdrhistogram.Histogram
+	RefusalLatency    *hdrhistogram.Histogram
 	// Cost is the cost of all requests by stage; Missed is the part of it spent on
 	// requests without an answer in time.
-	Cost   map[string]hookhall.StageCost
-	Missed map[string]hookhall.StageCost
+	Cost       map[string]hookhall.StageCost
+	MissedCost map[string]hookhall.StageCost
 }
 
 // Range of the histograms, in microseconds, and their precision in decimal digits.
@@ -48,8 +48,8 @@
 	newHistogram := func() *hdrhistogram.Histogram {
 		return hdrhistogram.New(minRecordedMicroseconds, maxRecordedMicroseconds, significantDigits)
 	}
-	return &Summary{Name: name, Causes: map[string]int{}, Took: newHistogram(), First: newHistogram(), Refusal: newHistogram(),
-		Cost: map[string]hookhall.StageCost{}, Missed: map[string]hookhall.StageCost{}}
+	return &Summary{Name: name, Causes: map[string]int{}, Latency: newHistogram(), FirstTokenLatency: newHistogram(), RefusalLatency: newHistogram(),
+		Cost: map[string]hookhall.StageCost{}, MissedCost: map[string]hookhall.StageCost{}}
 }
 
 // Attainment returns the share of requests answered completely and in time, from 0 to 1;
@@ -96,16 +96,16 @@
 	case o.Problem != nil:
 		s.Refused++
 		s.Causes[problemCause(o.Problem)]++
-		recordLatency(s.Refusal, o.Took)
+		recordLatency(s.RefusalLatency, o.Latency)
 	default:
 		s.Lost++
 		s.Causes[problemCause(nil)]++
 	}
 	if o.Answered {
-		recordLatency(s.Took, o.Took)
+		recordLatency(s.Latency, o.Latency)
 	}
-	if o.First > 0 {
-		recordLatency(s.First, o.First)
+	if o.FirstTokenLatency > 0 {
+		recordLatency(s.FirstTokenLatency, o.FirstTokenLatency)
 	}
 	cost := o.Cost
 	if o.Problem != nil {
@@ -114,7 +114,7 @@
 	for _, c := range cost {
 		addCost(s.Cost, c)
 		if !o.InTime() {
-			addCost(s.Missed, c)
+			addCost(s.MissedCost, c)
 		}
 	}
 }
@@ -135,23 +135,23 @@
 	_ = histogram.RecordValue(microseconds) // clamped to the range
 }
 
-// Quantile returns a percentile, from 0 to 100, formatted in milliseconds; "-"
+// FormatQuantile returns a percentile, from 0 to 100, formatted in milliseconds; "-"
 // without values.
-func Quantile(histogram *hdrhistogram.Histogram, percentile float64) string {
+func FormatQuantile(histogram *hdrhistogram.Histogram, percentile float64) string {
 	if histogram.TotalCount() == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.1f", float64(histogram.ValueAtQuantile(percentile))/1000)
 }
 
-// Print writes the tables of a run. A nil audit is left out.
-func Print(w io.Writer, all *Summary, kinds []*Summary, audit *Audit) {
+// PrintReport writes the tables of a run. A nil audit is left out.
+func PrintReport(w io.Writer, all *Summary, kinds []*Summary, audit *Audit) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "KIND\tREQUESTS\tATTAINMENT\tLATE\tREFUSED\tLOST\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tREFUSAL p99\tCAUSES")
 	for _, s := range append(kinds, all) {
 		fmt.Fprintf(table, "%s\t%d\t%.4f\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t%s\n", s.Name, s.Requests, s.Attainment(),
-			s.Late, s.Refused, s.Lost, Quantile(s.Took, 50), Quantile(s.Took, 95), Quantile(s.Took, 99),
-			Quantile(s.First, 95), Quantile(s.Refusal, 99), formatCauses(s.Causes))
+			s.Late, s.Refused, s.Lost, FormatQuantile(s.Latency, 50), FormatQuantile(s.Latency, 95), FormatQuantile(s.Latency, 99),
+			FormatQuantile(s.FirstTokenLatency, 95), FormatQuantile(s.RefusalLatency, 99), formatCauses(s.Causes))
 	}
 	_ = table.Flush()
 	fmt.Fprintln(w)
@@ -177,7 +177,7 @@
 		c := all.Cost[n]
 		missed := 0.0
 		if c.BusyMS > 0 {
-			missed = all.Missed[n].BusyMS / c.BusyMS
+			missed = all.MissedCost[n].BusyMS / c.BusyMS
 		}
 		fmt.Fprintf(table, "%s\t%d\t%d\t%.0f\t%.0f\t%.2f\t%.4f\n", n, c.Calls, c.Tokens, c.BusyMS, c.WaitMS,
 			c.BusyMS/float64(max(c.Calls, 1)), missed)
--- a/internal/protocol/convert/convert.go
+++ b/internal/protocol/convert/convert.go
@@ -54,7 +54,7 @@
 func FetchReply(r hookhall.FetchReply, now time.Time) *pb.FetchReply {
 	out := &pb.FetchReply{Epoch: r.Epoch}
 	for _, s := range r.Slots {
-		slot := &pb.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
+		slot := &pb.SlotRecords{Slot: s.Slot, Through: s.CompleteThrough, Layers: s.CompleteEpochs}
 		for _, n := range s.Records {
 			slot.Records = append(slot.Records, Record(n, now))
 		}
@@ -67,7 +67,7 @@
 func FromFetchReply(r *pb.FetchReply, now time.Time) hookhall.FetchReply {
 	out := hookhall.FetchReply{Epoch: r.Epoch}
 	for _, s := range r.Slots {
-		slot := hookhall.SlotRecords{Slot: s.Slot, Through: s.Through, Layers: s.Layers}
+		slot := hookhall.SlotRecords{Slot: s.Slot, CompleteThrough: s.Through, CompleteEpochs: s.Layers}
 		for _, n := range s.Records {
 			slot.Records = append(slot.Records, FromRecord(n, now))
 		}
@@ -77,25 +77,25 @@
 }
 
 // TakeRequest converts t to protobuf.
-func TakeRequest(t hookhall.TakeRequest) *pb.TakeRequest {
+func TakeRequest(t hookhall.ShareRequest) *pb.TakeRequest {
 	out := &pb.TakeRequest{From: t.From, Epoch: t.Epoch}
-	for _, w := range t.Wants {
+	for _, w := range t.Demands {
 		out.Wants = append(out.Wants, &pb.Want{Account: w.Account, RateUnits: w.Rate, Held: w.Held, Concurrency: w.Concurrency})
 	}
 	return out
 }
 
 // FromTakeRequest is the inverse of TakeRequest.
-func FromTakeRequest(t *pb.TakeRequest) hookhall.TakeRequest {
-	out := hookhall.TakeRequest{From: t.From, Epoch: t.Epoch}
+func FromTakeRequest(t *pb.TakeRequest) hookhall.ShareRequest {
+	out := hookhall.ShareRequest{From: t.From, Epoch: t.Epoch}
 	for _, w := range t.Wants {
-		out.Wants = append(out.Wants, hookhall.Want{Account: w.Account, Rate: w.RateUnits, Held: w.Held, Concurrency: w.Concurrency})
+		out.Demands = append(out.Demands, hookhall.ShareDemand{Account: w.Account, Rate: w.RateUnits, Held: w.Held, Concurrency: w.Concurrency})
 	}
 	return out
 }
 
 // TakeReply converts t to protobuf.
-func TakeReply(t hookhall.TakeReply) *pb.TakeReply {
+func TakeReply(t hookhall.ShareReply) *pb.TakeReply {
 	out := &pb.TakeReply{Epoch: t.Epoch}
 	for _, l := range t.Leases {
 		out.Leases = append(out.Leases, &pb.Lease{
@@ -107,8 +107,8 @@
 }
 
 // FromTakeReply is the inverse of TakeReply.
-func FromTakeReply(t *pb.TakeReply) hookhall.TakeReply {
-	out := hookhall.TakeReply{Epoch: t.Epoch}
+func FromTakeReply(t *pb.TakeReply) hookhall.ShareReply {
+	out := hookhall.ShareReply{Epoch: t.Epoch}
 	for _, l := range t.Leases {
 		out.Leases = append(out.Leases, hookhall.ShareLease{
 			Account: l.Account, Rate: l.RateUnits, Concurrency: l.Concurrency,
--- a/internal/protocol/wire/caller.go
+++ b/internal/protocol/wire/caller.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// MaxBody is the largest request body in bytes.
-	MaxBody = 1 << 20
-	// MaxKey is the largest length of an idempotency key in bytes.
-	MaxKey = 200
+	// MaxBodyBytes is the largest request body in bytes.
+	MaxBodyBytes = 1 << 20
+	// MaxKeyBytes is the largest length of an idempotency key in bytes.
+	MaxKeyBytes = 200
 	// maxDeadline is the longest deadline that a caller may request.
 	maxDeadline = 10 * time.Minute
 	// maxTokens is the largest output limit that a caller may request, in tokens.
@@ -27,8 +27,8 @@
 
 // Headers of the callers' interface.
 const (
-	// HeaderKey carries the caller's idempotency key.
-	HeaderKey = "Idempotency-Key"
+	// HeaderIdempotencyKey carries the caller's idempotency key.
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderRequestID carries the request's id. Stage calls carry it as well.
 	HeaderRequestID = "Hookhall-Request"
 )
@@ -52,18 +52,18 @@
 }
 
 // RunAnswer is the answer to POST /v1/run, and the End of a streamed answer,
-// where Output is empty. Length is in bytes, FirstMS is the time from admission to
+// where Output is empty. Length is in bytes, FirstTokenMS is the time from admission to
 // the first streamed chunk in milliseconds, and Replayed is set for the stored
 // answer of an earlier request with the same idempotency key.
 type RunAnswer struct {
-	RequestID string               `json:"request_id"`
-	Verdict   string               `json:"verdict"`
-	Output    string               `json:"output,omitempty"`
-	Length    int                  `json:"length"`
-	Checksum  string               `json:"checksum"`
-	Replayed  bool                 `json:"replayed,omitempty"`
-	FirstMS   float64              `json:"first_token_ms,omitempty"`
-	Cost      []hookhall.StageCost `json:"cost"`
+	RequestID    string               `json:"request_id"`
+	Verdict      string               `json:"verdict"`
+	Output       string               `json:"output,omitempty"`
+	Length       int                  `json:"length"`
+	Checksum     string               `json:"checksum"`
+	Replayed     bool                 `json:"replayed,omitempty"`
+	FirstTokenMS float64              `json:"first_token_ms,omitempty"`
+	Cost         []hookhall.StageCost `json:"cost"`
 }
 
 // StreamLine is one line of a streamed answer. Only the last line has End or Error set.
@@ -83,18 +83,18 @@
 	return &RunAnswer{
 		RequestID: id, Verdict: hookhall.Ran.String(), Output: string(a.Output),
 		Length: len(a.Output), Checksum: Checksum(a.Output), Replayed: a.Replayed,
-		FirstMS: float64(a.FirstToken) / float64(time.Millisecond), Cost: a.Cost,
+		FirstTokenMS: float64(a.TimeToFirstToken) / float64(time.Millisecond), Cost: a.Cost,
 	}
 }
 
 // ReadRunRequest reads and validates a request body. Errors are of type *hookhall.Error.
 func ReadRunRequest(r io.Reader) (*RunRequest, error) {
-	b, err := io.ReadAll(io.LimitReader(r, MaxBody+1))
+	b, err := io.ReadAll(io.LimitReader(r, MaxBodyBytes+1))
 	if err != nil {
 		return nil, badRequest("the body could not be read: %v", err)
 	}
-	if len(b) > MaxBody {
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTooLarge, "the body is larger than %d bytes", MaxBody)
+	if len(b) > MaxBodyBytes {
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseTooLarge, "the body is larger than %d bytes", MaxBodyBytes)
 	}
 	q := &RunRequest{}
 	d := json.NewDecoder(bytes.NewReader(b))
@@ -120,15 +120,15 @@
 	return nil
 }
 
-// CheckKey returns an error unless key is at most MaxKey long and consists of
+// CheckKey returns an error unless key is at most MaxKeyBytes long and consists of
 // printable ASCII without spaces. An empty key is valid.
 func CheckKey(key string) error {
-	if len(key) > MaxKey {
-		return badRequest("%s is longer than %d bytes", HeaderKey, MaxKey)
+	if len(key) > MaxKeyBytes {
+		return badRequest("%s is longer than %d bytes", HeaderIdempotencyKey, MaxKeyBytes)
 	}
 	for _, r := range key {
 		if r < '!' || r > '~' {
-			return badRequest("%s may hold printable ASCII without spaces only", HeaderKey)
+			return badRequest("%s may hold printable ASCII without spaces only", HeaderIdempotencyKey)
 		}
 	}
 	return nil
--- a/internal/protocol/wire/problem.go
+++ b/internal/protocol/wire/problem.go
@@ -29,8 +29,8 @@
 	Cost []hookhall.StageCost `json:"cost,omitempty"`
 }
 
-// ContentProblem is the media type of a Problem.
-const ContentProblem = "application/problem+json"
+// ProblemMediaType is the media type of a Problem.
+const ProblemMediaType = "application/problem+json"
 
 // statusByCause maps causes to HTTP statuses; other causes are sent as 502.
 var statusByCause = map[hookhall.Cause]int{
@@ -75,7 +75,7 @@
 // WriteProblem sends p with its status. It sets Retry-After to RetryAfterMS, rounded
 // up to whole seconds, if that is positive.
 func WriteProblem(w http.ResponseWriter, p *Problem) {
-	w.Header().Set("Content-Type", ContentProblem)
+	w.Header().Set("Content-Type", ProblemMediaType)
 	if p.RetryAfterMS > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(float64(p.RetryAfterMS)/1000))))
 	}
--- a/internal/protocol/wire/target.go
+++ b/internal/protocol/wire/target.go
@@ -59,9 +59,9 @@
 	Load     hookhall.LoadReport `json:"load"`
 }
 
-// SetCall sets the headers of stage call c that is sent at now. The key, epoch
+// SetCallHeaders sets the headers of stage call c that is sent at now. The key, epoch
 // and token are set only for calls with an idempotency key.
-func SetCall(h http.Header, c hookhall.StageCall, now time.Time) {
+func SetCallHeaders(h http.Header, c hookhall.StageCall, now time.Time) {
 	h.Set(HeaderRequestID, c.Request)
 	h.Set(HeaderStage, c.Stage)
 	h.Set(HeaderAttempt, strconv.Itoa(c.Attempt))
@@ -70,14 +70,14 @@
 	h.Set(HeaderPriority, strconv.Itoa(c.Priority))
 	h.Set(HeaderMaxTokens, strconv.Itoa(c.MaxTokens))
 	if c.Key != "" {
-		h.Set(HeaderKey, c.Key)
+		h.Set(HeaderIdempotencyKey, c.Key)
 		h.Set(HeaderEpoch, strconv.FormatUint(c.Epoch, 10))
 		h.Set(HeaderToken, strconv.FormatUint(c.Token, 10))
 	}
 }
 
-// Echo copies the headers that identify a call into the headers of its answer.
-func Echo(to, from http.Header) {
+// EchoHeaders copies the headers that identify a call into the headers of its answer.
+func EchoHeaders(to, from http.Header) {
 	for _, k := range echoedHeaders {
 		to.Set(k, from.Get(k))
 	}
--- a/internal/standin/instances.go
+++ b/internal/standin/instances.go
@@ -41,7 +41,7 @@
 func (l *Instances) Set(i hookhall.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	i.Seen = time.Now()
+	i.LastSeen = time.Now()
 	l.current[i.ID] = i
 	l.recordSnapshot()
 }
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -26,10 +26,10 @@
 
 // KeyValueFaults are the fault switches of a KeyValue. The zero value has none.
 type KeyValueFaults struct {
-	Down       bool `json:"down"`        // every call fails with 503
-	SlowMS     int  `json:"slow_ms"`     // delay added to every call, in milliseconds
-	LoseWrites int  `json:"lose_writes"` // number of next writes whose answer is lost after their effect
-	StaleReads int  `json:"stale_reads"` // number of next reads that return the value before the last change
+	Down             bool `json:"down"`        // every call fails with 503
+	SlowMS           int  `json:"slow_ms"`     // delay added to every call, in milliseconds
+	LoseWriteAnswers int  `json:"lose_writes"` // number of next writes whose answer is lost after their effect
+	StaleReads       int  `json:"stale_reads"` // number of next reads that return the value before the last change
 }
 
 // KeyValueStats counts calls by kind, rejected ones included.
@@ -40,8 +40,8 @@
 	Limited int64 `json:"limited"` // calls rejected by a rate limit
 	// The highest counts of reads and writes within one second of the clock; watches count
 	// as reads.
-	MostReads  int64 `json:"most_reads_per_s"`
-	MostWrites int64 `json:"most_writes_per_s"`
+	MaxReadsPerSecond  int64 `json:"most_reads_per_s"`
+	MaxWritesPerSecond int64 `json:"most_writes_per_s"`
 }
 
 // KeyValue is a stand-in of the platform's key-value service: keys with a modify index,
@@ -176,8 +176,8 @@
 		k.stats.Reads++
 		k.readsThisSecond++
 	}
-	k.stats.MostReads = max(k.stats.MostReads, k.readsThisSecond)
-	k.stats.MostWrites = max(k.stats.MostWrites, k.writesThisSecond)
+	k.stats.MaxReadsPerSecond = max(k.stats.MaxReadsPerSecond, k.readsThisSecond)
+	k.stats.MaxWritesPerSecond = max(k.stats.MaxWritesPerSecond, k.writesThisSecond)
 }
 
 func (k *KeyValue) get(w http.ResponseWriter, r *http.Request, key string) {
@@ -256,9 +256,9 @@
 		k.pairs[key] = kvPair{value: value, previousValue: current.value, index: k.lastIndex, previousIndex: current.index}
 		k.notifyWatches()
 	}
-	loseAnswer := k.faults.LoseWrites > 0
+	loseAnswer := k.faults.LoseWriteAnswers > 0
 	if loseAnswer {
-		k.faults.LoseWrites--
+		k.faults.LoseWriteAnswers--
 	}
 	k.mu.Unlock()
 	if loseAnswer {
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -41,9 +41,9 @@
 // controlTimeout limits one call of Control.
 const controlTimeout = 5 * time.Second
 
-// Control sends body as JSON to a path of the stand-in at address, such as a fault
+// SendControl sends body as JSON to a path of the stand-in at address, such as a fault
 // switch. It fails unless the answer is 200.
-func Control(method, address, path string, body any) error {
+func SendControl(method, address, path string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -67,5 +67,5 @@
 
 // Announce adds or changes an instance on the list stand-in at address list.
 func Announce(list string, i hookhall.Instance) error {
-	return Control(http.MethodPut, list, "/standin/instance", i)
+	return SendControl(http.MethodPut, list, "/standin/instance", i)
 }
--- a/internal/standin/stalling_proxy.go
+++ b/internal/standin/stalling_proxy.go
@@ -8,41 +8,41 @@
 	"sync/atomic"
 )
 
-// Wire is a TCP proxy whose open connections can be stalled, as by a network that
+// StallingProxy is a TCP proxy whose open connections can be stalled, as by a network that
 // drops packets without a reset: they stay open, but neither bytes nor the end of the
 // stream pass any more. Connections opened afterwards work. It is safe for concurrent use.
-type Wire struct {
+type StallingProxy struct {
 	listener        net.Listener
 	upstreamAddress string
 	generation      atomic.Int64 // connections of an earlier generation are stalled
 	opened          atomic.Int64
 }
 
-// NewWire starts a proxy on a free loopback port that forwards to
+// NewStallingProxy starts a proxy on a free loopback port that forwards to
 // upstreamAddress.
-func NewWire(upstreamAddress string) (*Wire, error) {
+func NewStallingProxy(upstreamAddress string) (*StallingProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Wire{listener: l, upstreamAddress: upstreamAddress}
+	w := &StallingProxy{listener: l, upstreamAddress: upstreamAddress}
 	go w.acceptConnections()
 	return w, nil
 }
 
 // Address returns the address that the proxy listens at.
-func (w *Wire) Address() string { return w.listener.Addr().String() }
+func (w *StallingProxy) Address() string { return w.listener.Addr().String() }
 
-// Silence stalls all connections that are open now.
-func (w *Wire) Silence() { w.generation.Add(1) }
+// Stall stalls all connections that are open now.
+func (w *StallingProxy) Stall() { w.generation.Add(1) }
 
-// Opened returns the number of connections accepted since the start.
-func (w *Wire) Opened() int64 { return w.opened.Load() }
+// OpenedCount returns the number of connections accepted since the start.
+func (w *StallingProxy) OpenedCount() int64 { return w.opened.Load() }
 
 // Close stops accepting connections; those that are open stay.
-func (w *Wire) Close() { _ = w.listener.Close() }
+func (w *StallingProxy) Close() { _ = w.listener.Close() }
 
-func (w *Wire) acceptConnections() {
+func (w *StallingProxy) acceptConnections() {
 	for {
 		client, err := w.listener.Accept()
 		if err != nil {
@@ -62,7 +62,7 @@
 
 // copyDirection copies one direction of a connection. Bytes and ends on a stalled
 // connection are discarded.
-func (w *Wire) copyDirection(from, to net.Conn, generation int64) {
+func (w *StallingProxy) copyDirection(from, to net.Conn, generation int64) {
 	buffer := make([]byte, 4096)
 	for {
 		length, err := from.Read(buffer)
