--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -26,46 +26,46 @@
 	ID string
 	// Capacity is the number of calls that run at once.
 	Capacity int
-	// Queue is the number of waiting calls from which on further ones are refused; 0
+	// MaxQueued is the number of waiting calls from which on further ones are refused; 0
 	// for no limit.
-	Queue int
-	// Time is the duration of a call; for engines, of a prefill without a cached prefix.
-	Time time.Duration
-	// Token is the time of one token in an otherwise empty batch; 0 for targets that do
+	MaxQueued int
+	// CallTime is the duration of a call; for engines, of a prefill without a cached prefix.
+	CallTime time.Duration
+	// TokenTime is the time of one token in an otherwise empty batch; 0 for targets that do
 	// not stream.
-	Token time.Duration
-	// Cache is the number of prompt prefixes that an engine caches, the least
+	TokenTime time.Duration
+	// CachedPrefixes is the number of prompt prefixes that an engine caches, the least
 	// recently used evicted first; a cached prefix makes the prefill ten times shorter.
-	Cache int
-	// Lag is the maximum age of a load report; within it, the same report is repeated.
-	Lag time.Duration
+	CachedPrefixes int
+	// ReportLag is the maximum age of a load report; within it, the same report is repeated.
+	ReportLag time.Duration
 }
 
 // TargetFaults are the fault switches of a Target. The zero value has none. Shares are
 // probabilities from 0 to 1 for each call.
 type TargetFaults struct {
-	Slow       float64 `json:"slow"`        // factor on all times; values below 1 count as 1
-	FailBefore float64 `json:"fail_before"` // share refused with 503 and marked as not run
-	FailAfter  float64 `json:"fail_after"`  // share that fails after running, with status 500
-	Lose       float64 `json:"lose"`        // share whose connection breaks after running, before the answer
-	Truncate   float64 `json:"truncate"`    // share whose connection breaks in the middle of the answer
-	Misdirect  float64 `json:"misdirect"`   // share answered with the answer of another request
-	Corrupt    float64 `json:"corrupt"`     // share whose answer has a changed last byte
-	Duplicate  float64 `json:"duplicate"`   // share whose first word is sent twice
-	Leaving    bool    `json:"leaving"`     // refuses new calls and reports that it is leaving
-	Quiet      bool    `json:"quiet"`       // with Leaving: refuses new calls, but load reports do not say so
+	SlowFactor  float64 `json:"slow"`        // factor on all times; values below 1 count as 1
+	FailBefore  float64 `json:"fail_before"` // share refused with 503 and marked as not run
+	FailAfter   float64 `json:"fail_after"`  // share that fails after running, with status 500
+	LoseAnswer  float64 `json:"lose"`        // share whose connection breaks after running, before the answer
+	Truncate    float64 `json:"truncate"`    // share whose connection breaks in the middle of the answer
+	Misdirect   float64 `json:"misdirect"`   // share answered with the answer of another request
+	Corrupt     float64 `json:"corrupt"`     // share whose answer has a changed last byte
+	Duplicate   float64 `json:"duplicate"`   // share whose first word is sent twice
+	Leaving     bool    `json:"leaving"`     // refuses new calls and reports that it is leaving
+	HideLeaving bool    `json:"quiet"`       // with Leaving: refuses new calls, but load reports do not say so
 }
 
-// Run is one entry of the ledger: a call that began to run.
-type Run struct {
-	Target   string    `json:"target"`
-	Request  string    `json:"request"`
-	Stage    string    `json:"stage"`
-	Attempt  string    `json:"attempt"`
-	Key      string    `json:"key,omitempty"` // idempotency key
-	Tag      string    `json:"tag"`
-	Began    time.Time `json:"began"`
-	Finished bool      `json:"finished"` // ran to its end, even if its answer was then lost
+// RunRecord is one entry of the ledger: a call that began to run.
+type RunRecord struct {
+	Target         string    `json:"target"`
+	Request        string    `json:"request"`
+	Stage          string    `json:"stage"`
+	Attempt        string    `json:"attempt"`
+	IdempotencyKey string    `json:"key,omitempty"` // idempotency key
+	Tag            string    `json:"tag"`
+	StartedAt      time.Time `json:"began"`
+	Finished       bool      `json:"finished"` // ran to its end, even if its answer was then lost
 	// BusyMS is the time in milliseconds that the call held a slot, also if it was canceled.
 	BusyMS float64 `json:"busy_ms"`
 }
@@ -81,7 +81,7 @@
 
 	mu             sync.Mutex
 	faults         TargetFaults
-	ledger         []*Run
+	ledger         []*RunRecord
 	cachedPrefixes []uint64 // least recently used first, as hashes
 	lastReport     hookhall.LoadReport
 	lastReportAt   time.Time
@@ -100,10 +100,10 @@
 }
 
 // Ledger returns a copy of all runs so far, in the order in which they began.
-func (t *Target) Ledger() []Run {
+func (t *Target) Ledger() []RunRecord {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	runs := make([]Run, len(t.ledger))
+	runs := make([]RunRecord, len(t.ledger))
 	for i, r := range t.ledger {
 		runs[i] = *r
 	}
@@ -133,18 +133,18 @@
 	}
 }
 
-// loadReport returns a load report that is at most TargetSettings.Lag old.
+// loadReport returns a load report that is at most TargetSettings.ReportLag old.
 func (t *Target) loadReport() hookhall.LoadReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if time.Since(t.lastReportAt) >= t.settings.Lag {
+	if time.Since(t.lastReportAt) >= t.settings.ReportLag {
 		t.lastReportAt = time.Now()
 		t.lastReport = hookhall.LoadReport{
 			Running: int(t.running.Load()), Waiting: t.slots.waiting(), Capacity: t.settings.Capacity,
 		}
 	}
 	report := t.lastReport
-	report.Leaving = t.faults.Leaving && !t.faults.Quiet
+	report.Leaving = t.faults.Leaving && !t.faults.HideLeaving
 	return report
 }
 
@@ -157,7 +157,7 @@
 	if err != nil {
 		return // the connection broke before the call was complete
 	}
-	wire.Echo(w.Header(), r.Header)
+	wire.EchoHeaders(w.Header(), r.Header)
 	if refused := t.refuse(w, faults); refused {
 		return
 	}
@@ -180,7 +180,7 @@
 		status = http.StatusServiceUnavailable
 	case rand.Float64() < faults.FailBefore:
 		status = http.StatusServiceUnavailable
-	case t.settings.Queue > 0 && t.slots.waiting() >= t.settings.Queue:
+	case t.settings.MaxQueued > 0 && t.slots.waiting() >= t.settings.MaxQueued:
 		status = http.StatusTooManyRequests
 	default:
 		return false
@@ -199,9 +199,9 @@
 		record.BusyMS = milliseconds(time.Since(began))
 		t.mu.Unlock()
 	}()
-	slow := max(faults.Slow, 1)
+	slow := max(faults.SlowFactor, 1)
 	tokens := 0
-	if t.settings.Token > 0 {
+	if t.settings.TokenTime > 0 {
 		tokens = max(headerInt(r, wire.HeaderMaxTokens), 1)
 	}
 	words := Transform(r.Header.Get(wire.HeaderStage), input, tokens)
@@ -214,7 +214,7 @@
 		return
 	}
 	for i, word := range words {
-		if t.settings.Token > 0 && i > 0 && !sleepContext(r.Context(), scaleDuration(t.currentTokenTime(), slow)) {
+		if t.settings.TokenTime > 0 && i > 0 && !sleepContext(r.Context(), scaleDuration(t.currentTokenTime(), slow)) {
 			return
 		}
 		output.writeWord(i, word)
@@ -236,7 +236,7 @@
 // a full one it is half as long again as in an empty one.
 func (t *Target) currentTokenTime() time.Duration {
 	batchShare := float64(t.running.Load()) / float64(t.settings.Capacity)
-	return scaleDuration(t.settings.Token, 1+batchShare/2)
+	return scaleDuration(t.settings.TokenTime, 1+batchShare/2)
 }
 
 const (
@@ -248,8 +248,8 @@
 
 // prefillTime returns the time before the first word and adds the prefix to the cache.
 func (t *Target) prefillTime(input string) time.Duration {
-	if t.settings.Cache == 0 {
-		return t.settings.Time
+	if t.settings.CachedPrefixes == 0 {
+		return t.settings.CallTime
 	}
 	prefix := xxhash.Sum64String(input[:min(prefixBytes, len(input))])
 	t.mu.Lock()
@@ -258,22 +258,22 @@
 		if cached == prefix {
 			t.cachedPrefixes = append(append(t.cachedPrefixes[:i:i], t.cachedPrefixes[i+1:]...), cached)
 			t.cacheHits.Add(1)
-			return t.settings.Time / cachedPrefillDivisor
+			return t.settings.CallTime / cachedPrefillDivisor
 		}
 	}
 	t.cachedPrefixes = append(t.cachedPrefixes, prefix)
-	if len(t.cachedPrefixes) > t.settings.Cache {
+	if len(t.cachedPrefixes) > t.settings.CachedPrefixes {
 		t.cachedPrefixes = t.cachedPrefixes[1:]
 	}
-	return t.settings.Time
+	return t.settings.CallTime
 }
 
 // beginRun appends the call to the ledger.
-func (t *Target) beginRun(r *http.Request, input string) *Run {
-	record := &Run{
+func (t *Target) beginRun(r *http.Request, input string) *RunRecord {
+	record := &RunRecord{
 		Target: t.settings.ID, Request: r.Header.Get(wire.HeaderRequestID), Stage: r.Header.Get(wire.HeaderStage),
-		Attempt: r.Header.Get(wire.HeaderAttempt), Key: r.Header.Get(wire.HeaderKey),
-		Tag: Tag(input), Began: time.Now(),
+		Attempt: r.Header.Get(wire.HeaderAttempt), IdempotencyKey: r.Header.Get(wire.HeaderIdempotencyKey),
+		Tag: Tag(input), StartedAt: time.Now(),
 	}
 	t.mu.Lock()
 	t.ledger = append(t.ledger, record)
@@ -282,7 +282,7 @@
 }
 
 // finishRun marks a run as finished.
-func (t *Target) finishRun(record *Run) {
+func (t *Target) finishRun(record *RunRecord) {
 	t.mu.Lock()
 	record.Finished = true
 	t.mu.Unlock()
@@ -308,18 +308,18 @@
 	case draw < faults.FailAfter:
 		http.Error(a.w, "failed after running", http.StatusInternalServerError)
 		return errAlreadyAnswered
-	case draw < faults.FailAfter+faults.Lose:
+	case draw < faults.FailAfter+faults.LoseAnswer:
 		a.cutAt = 0
-	case draw < faults.FailAfter+faults.Lose+faults.Truncate:
+	case draw < faults.FailAfter+faults.LoseAnswer+faults.Truncate:
 		a.cutAt = (len(a.words) + 1) / 2
-	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect:
+	case draw < faults.FailAfter+faults.LoseAnswer+faults.Truncate+faults.Misdirect:
 		a.w.Header().Set(wire.HeaderRequestID, "another-request")
 		a.words = Transform("another-stage", "another input another-tag", len(a.words)+1)[:len(a.words)]
 		a.misdirected = true
-	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect+faults.Corrupt:
+	case draw < faults.FailAfter+faults.LoseAnswer+faults.Truncate+faults.Misdirect+faults.Corrupt:
 		last := a.words[len(a.words)-1]
 		a.words[len(a.words)-1] = last[:len(last)-1] + "#"
-	case draw < faults.FailAfter+faults.Lose+faults.Truncate+faults.Misdirect+faults.Corrupt+faults.Duplicate:
+	case draw < faults.FailAfter+faults.LoseAnswer+faults.Truncate+faults.Misdirect+faults.Corrupt+faults.Duplicate:
 		a.words[0] += a.words[0]
 	}
 	return nil
--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -113,7 +113,7 @@
 	if g.queued.Load() == 0 && g.tryEnter() {
 		return nil
 	}
-	wait := clock.Until(it.Start)
+	wait := clock.Until(it.LatestStart)
 	if wait <= 0 {
 		return ErrTooLate
 	}
@@ -259,9 +259,9 @@
 	return float64(max(n, 0))
 }
 
-// Wait estimates how long a call of a client account would wait in the queue if
+// EstimateWait estimates how long a call of a client account would wait in the queue if
 // it came now; 0 without data. weight is the account's share within its priority.
-func (g *Gate) Wait(account string, weight float64, priority int, now time.Time) time.Duration {
+func (g *Gate) EstimateWait(account string, weight float64, priority int, now time.Time) time.Duration {
 	priority = clamp(priority)
 	n := g.backlog(priority)
 	if g.queued.Load() > 0 {
@@ -284,7 +284,7 @@
 // RetryAfter returns the delay after which a refused call should be retried: the
 // estimated wait, from minRetryDelay to maxRetryDelay.
 func (g *Gate) RetryAfter(account string, weight float64, priority int, now time.Time) time.Duration {
-	delay := g.Wait(account, weight, priority, now)
+	delay := g.EstimateWait(account, weight, priority, now)
 	if delay == 0 {
 		delay = defaultRetryDelay
 	}
@@ -314,12 +314,12 @@
 // number. g.mu must be held.
 func (g *Gate) shedFlow(f *flow, priority int, now time.Time) int {
 	items := append([]*Item(nil), f.items.items...)
-	sort.Slice(items, func(i, j int) bool { return items[i].Start.Before(items[j].Start) })
+	sort.Slice(items, func(i, j int) bool { return items[i].LatestStart.Before(items[j].LatestStart) })
 	shed := 0
 	for i, it := range items {
 		n := g.queue.itemsAhead(f.account, it.Weight, priority, i-shed)
 		wait := g.drainTime(n, priority, now)
-		if wait <= shedMargin || now.Add(wait-shedMargin-wait/shedErrorDivisor).Before(it.Start) {
+		if wait <= shedMargin || now.Add(wait-shedMargin-wait/shedErrorDivisor).Before(it.LatestStart) {
 			continue
 		}
 		it.state = itemRemoved
@@ -333,9 +333,9 @@
 // Queued returns the number of waiting calls.
 func (g *Gate) Queued() int64 { return g.queued.Load() }
 
-// Idle reports whether the pool has spare capacity: no call waits, and fewer calls
+// HasCapacity reports whether the pool has spare capacity: no call waits, and fewer calls
 // are in progress than the window allows.
-func (g *Gate) Idle() bool {
+func (g *Gate) HasCapacity() bool {
 	return g.queued.Load() == 0 && g.inflight.Load() < g.limit.Load()
 }
 
--- a/internal/state/admission/gate_test.go
+++ b/internal/state/admission/gate_test.go
@@ -28,7 +28,7 @@
 // an error. start is the time until the latest start. The end of the test cancels it.
 func enter(t *testing.T, g *Gate, returned chan<- string, name, account string, weight float64, priority int, start time.Duration) {
 	go func() {
-		it := &Item{Account: account, Weight: weight, Priority: priority, Start: time.Now().Add(start)}
+		it := &Item{Account: account, Weight: weight, Priority: priority, LatestStart: time.Now().Add(start)}
 		if err := g.Enter(t.Context(), it); err != nil {
 			returned <- name + " refused"
 			return
@@ -155,7 +155,7 @@
 		g := fullGate(OrderFair)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
-		go func() { done <- g.Enter(ctx, &Item{Account: "a", Start: time.Now().Add(time.Hour)}) }()
+		go func() { done <- g.Enter(ctx, &Item{Account: "a", LatestStart: time.Now().Add(time.Hour)}) }()
 		synctest.Wait()
 		cancel()
 		if err := <-done; !errors.Is(err, context.Canceled) {
@@ -181,7 +181,7 @@
 					cancel()
 				}
 				defer cancel()
-				it := &Item{Account: fmt.Sprint(i % 5), Weight: 1, Priority: i % 10, Start: time.Now().Add(time.Hour)}
+				it := &Item{Account: fmt.Sprint(i % 5), Weight: 1, Priority: i % 10, LatestStart: time.Now().Add(time.Hour)}
 				if g.Enter(ctx, it) == nil {
 					g.Leave(0)
 				}
@@ -238,7 +238,7 @@
 
 // benchItem returns the i-th call, of one of benchAccounts accounts.
 func benchItem(i int) *Item {
-	return &Item{Account: fmt.Sprintf("account-%d", i%benchAccounts), Weight: 1, Priority: i % 10, Start: time.Now().Add(time.Hour), Cost: 1}
+	return &Item{Account: fmt.Sprintf("account-%d", i%benchAccounts), Weight: 1, Priority: i % 10, LatestStart: time.Now().Add(time.Hour), Cost: 1}
 }
 
 // BenchmarkGateOpen measures Enter and Leave while the window is open.
@@ -268,7 +268,7 @@
 	b.ResetTimer()
 	for i := 0; i < b.N; i++ {
 		it := q.pop()
-		it.Start = it.Start.Add(time.Second)
+		it.LatestStart = it.LatestStart.Add(time.Second)
 		q.push(it)
 	}
 }
@@ -286,7 +286,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		now := time.Now()
 		for pb.Next() {
-			g.Wait("account-77", 1, 7, now)
+			g.EstimateWait("account-77", 1, 7, now)
 		}
 	})
 }
--- a/internal/state/admission/queue.go
+++ b/internal/state/admission/queue.go
@@ -52,9 +52,9 @@
 	Weight float64
 	// Priority is 0 to 9, the highest; other values are clamped.
 	Priority int
-	// Start is the latest time, by package clock, at which the call can start and still
+	// LatestStart is the latest time, by package clock, at which the call can start and still
 	// meet its deadline.
-	Start time.Time
+	LatestStart time.Time
 	// Cost is the expected work, in any unit common to a pool's calls; 0 or less means 1.
 	Cost float64
 
@@ -288,10 +288,10 @@
 func (h *itemHeap) Len() int { return len(h.items) }
 func (h *itemHeap) Less(i, j int) bool {
 	a, b := h.items[i], h.items[j]
-	if h.byArrival || a.Start.Equal(b.Start) {
+	if h.byArrival || a.LatestStart.Equal(b.LatestStart) {
 		return a.arrival < b.arrival
 	}
-	return a.Start.Before(b.Start)
+	return a.LatestStart.Before(b.LatestStart)
 }
 func (h *itemHeap) Swap(i, j int) {
 	h.items[i], h.items[j] = h.items[j], h.items[i]
--- a/internal/state/advisory/rate.go
+++ b/internal/state/advisory/rate.go
@@ -54,15 +54,15 @@
 // Grants grants requests to limited targets at their rates. It implements balance.Limiter.
 // The zero Share grants limited targets nothing.
 type Grants struct {
-	Book *Book
+	Registry *Registry
 	// Share is the part of each rate that this instance grants, from 0 to 1.
 	Share float64
 }
 
 // Due returns the time until an incarnation of a target may get another request: 0 for
 // now, Never if this instance may not grant it any.
-func (g Grants) Due(incarnation hookhall.Life, now time.Time) time.Duration {
-	e := g.Book.findRestricted(incarnation)
+func (g Grants) Due(incarnation hookhall.Incarnation, now time.Time) time.Duration {
+	e := g.Registry.findRestricted(incarnation)
 	if e == nil {
 		return 0
 	}
@@ -73,8 +73,8 @@
 
 // Reserve takes the next token of an incarnation of a target if it is due within maxWait.
 // It returns how long the request has to wait, and whether the token was taken.
-func (g Grants) Reserve(incarnation hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool) {
-	e := g.Book.findRestricted(incarnation)
+func (g Grants) Reserve(incarnation hookhall.Incarnation, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool) {
+	e := g.Registry.findRestricted(incarnation)
 	if e == nil {
 		return 0, true
 	}
--- a/internal/state/advisory/rate_test.go
+++ b/internal/state/advisory/rate_test.go
@@ -40,12 +40,12 @@
 
 // reportOf returns a peer's report of a limit.
 func reportOf(l advisory.Limit) advisory.Report {
-	return advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Born: currentIncarnation.Born}, Limit: l}
+	return advisory.Report{Target: hookhall.Target{ID: currentIncarnation.ID, Start: currentIncarnation.Start}, Limit: l}
 }
 
 // newLimitedRegistry returns the registry of one instance with a limit that all instances know.
-func newLimitedRegistry(rate float64) *advisory.Book {
-	r := &advisory.Book{}
+func newLimitedRegistry(rate float64) *advisory.Registry {
+	r := &advisory.Registry{}
 	r.Merge(reportOf(advisory.Limit{Named: true, Rate: rate, Heard: start}), start)
 	return r
 }
@@ -57,15 +57,15 @@
 	rapid.Check(t, func(r *rapid.T) {
 		rate := rapid.SampledFrom([]float64{0, 0.1, 0.25, 1, 2.5, 10, 60}).Draw(r, "rate")
 		owners := rapid.IntRange(1, 3).Draw(r, "owners")
-		registries := make([]*advisory.Book, owners)
+		registries := make([]*advisory.Registry, owners)
 		for i := range registries {
 			registries[i] = newLimitedRegistry(rate)
 		}
 		standIn := newLimitedRegistry(rate)
 		owner, changedAt := 0, start
 		var grants []time.Time
-		reserve := func(registry *advisory.Book, share float64, now time.Time) {
-			g := advisory.Grants{Book: registry, Share: share}
+		reserve := func(registry *advisory.Registry, share float64, now time.Time) {
+			g := advisory.Grants{Registry: registry, Share: share}
 			for range 3 {
 				if _, ok := g.Reserve(currentIncarnation, 0, now); ok {
 					grants = append(grants, now)
@@ -91,7 +91,7 @@
 // TestGrantsUseTheRate guards against a rate that is not used up by steady demand.
 func TestGrantsUseTheRate(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 4} {
-		g, n := advisory.Grants{Book: newLimitedRegistry(rate), Share: 1}, 0
+		g, n := advisory.Grants{Registry: newLimitedRegistry(rate), Share: 1}, 0
 		for now := start; now.Before(at(20 * time.Second)); now = now.Add(step) {
 			if _, ok := g.Reserve(currentIncarnation, 0, now); ok {
 				n++
@@ -107,7 +107,7 @@
 // tokens one after the other; one that would have to wait too long takes none and gets the
 // time until the next one.
 func TestReservations(t *testing.T) {
-	g := advisory.Grants{Book: newLimitedRegistry(2), Share: 1}
+	g := advisory.Grants{Registry: newLimitedRegistry(2), Share: 1}
 	g.Due(currentIncarnation, at(0)) // starts to fill the bucket
 	for i, want := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 		if wait, ok := g.Reserve(currentIncarnation, 2*time.Second, at(0)); !ok || wait != want {
@@ -125,11 +125,11 @@
 // TestGrantsOfNoShare guards against an instance without a share that grants requests to
 // limited targets, or that refuses them to others.
 func TestGrantsOfNoShare(t *testing.T) {
-	g := advisory.Grants{Book: newLimitedRegistry(100)}
+	g := advisory.Grants{Registry: newLimitedRegistry(100)}
 	if wait, ok := g.Reserve(currentIncarnation, time.Hour, at(time.Hour)); ok || wait != advisory.Never {
 		t.Errorf("limited target is due after %v, %v", wait, ok)
 	}
-	if wait, ok := g.Reserve(hookhall.Life{ID: "other"}, 0, at(0)); !ok || wait != 0 {
+	if wait, ok := g.Reserve(hookhall.Incarnation{ID: "other"}, 0, at(0)); !ok || wait != 0 {
 		t.Errorf("unlimited target is due after %v, %v", wait, ok)
 	}
 }
@@ -137,7 +137,7 @@
 // TestMerge guards against an old report that replaces a more recent limit, and against
 // notifying peers of what they already know.
 func TestMerge(t *testing.T) {
-	r := &advisory.Book{}
+	r := &advisory.Registry{}
 	check := func(situation string, c advisory.Change, notify bool, rate float64) {
 		t.Helper()
 		if c.Notify != notify {
@@ -156,17 +156,17 @@
 // BenchmarkChoice measures the cost of a choice among 620 targets while one is limited.
 func BenchmarkChoice(b *testing.B) {
 	registry := newLimitedRegistry(1)
-	g := advisory.Grants{Book: registry, Share: 1}
+	g := advisory.Grants{Registry: registry, Share: 1}
 	targets := make([]hookhall.Target, 620)
 	for i := range targets {
-		targets[i] = hookhall.Target{ID: fmt.Sprintf("%04d", i), Born: 1}
+		targets[i] = hookhall.Target{ID: fmt.Sprintf("%04d", i), Start: 1}
 	}
-	registry.Record(targets[7].Life(), hookhall.Advisory{Pause: time.Hour}, start, start)
+	registry.Record(targets[7].Incarnation(), hookhall.Advisory{Pause: time.Hour}, start, start)
 	for b.Loop() {
 		registry.Reports(targets, start)
 		registry.Paused(targets, start)
 		for _, t := range targets {
-			g.Due(t.Life(), start)
+			g.Due(t.Incarnation(), start)
 		}
 	}
 }
--- a/internal/state/advisory/registry.go
+++ b/internal/state/advisory/registry.go
@@ -57,9 +57,9 @@
 	Notify bool
 }
 
-// Book stores the advisories of targets by incarnation. It is safe for concurrent use.
-type Book struct {
-	entries sync.Map // hookhall.Life to *entry
+// Registry stores the advisories of targets by incarnation. It is safe for concurrent use.
+type Registry struct {
+	entries sync.Map // hookhall.Incarnation to *entry
 	// restrictedCount is the number of entries with a limit, a recently ended limit or a
 	// pause. While it is 0, a lookup costs a single atomic load.
 	restrictedCount atomic.Int64
@@ -77,7 +77,7 @@
 }
 
 // find returns the entry of an incarnation, or nil.
-func (r *Book) find(incarnation hookhall.Life) *entry {
+func (r *Registry) find(incarnation hookhall.Incarnation) *entry {
 	if e, ok := r.entries.Load(incarnation); ok {
 		return e.(*entry)
 	}
@@ -86,21 +86,21 @@
 
 // findRestricted returns the entry of an incarnation, or nil if there is none or if no target
 // is restricted.
-func (r *Book) findRestricted(incarnation hookhall.Life) *entry {
-	if r.Idle() {
+func (r *Registry) findRestricted(incarnation hookhall.Incarnation) *entry {
+	if r.Unrestricted() {
 		return nil
 	}
 	return r.find(incarnation)
 }
 
 // findOrAdd returns the entry of an incarnation, which it adds if there is none.
-func (r *Book) findOrAdd(incarnation hookhall.Life) *entry {
+func (r *Registry) findOrAdd(incarnation hookhall.Incarnation) *entry {
 	e, _ := r.entries.LoadOrStore(incarnation, &entry{})
 	return e.(*entry)
 }
 
 // setRestricted sets whether Registry.restrictedCount counts an entry. e.mu must be held.
-func (r *Book) setRestricted(e *entry, isRestricted bool) {
+func (r *Registry) setRestricted(e *entry, isRestricted bool) {
 	if e.restricted == isRestricted {
 		return
 	}
@@ -114,7 +114,7 @@
 
 // Record applies the advisory of a response that was received at now to a call sent at
 // sent.
-func (r *Book) Record(incarnation hookhall.Life, a hookhall.Advisory, sent, now time.Time) Change {
+func (r *Registry) Record(incarnation hookhall.Incarnation, a hookhall.Advisory, sent, now time.Time) Change {
 	if a == (hookhall.Advisory{}) && r.find(incarnation) == nil {
 		return Change{}
 	}
@@ -143,8 +143,8 @@
 }
 
 // Merge applies a peer's report. Of two limits, the one that was received last wins.
-func (r *Book) Merge(report Report, now time.Time) Change {
-	incarnation := report.Target.Life()
+func (r *Registry) Merge(report Report, now time.Time) Change {
+	incarnation := report.Target.Incarnation()
 	if !report.Limit.Named && !report.Leaving && r.find(incarnation) == nil {
 		return Change{}
 	}
@@ -166,11 +166,11 @@
 // taken for the previous one, until this instance learns the key of the new one.
 const maxRestartDetectionDelay = 3 * time.Second
 
-// Reborn copies the pause of a target's previous incarnation to its new one if the pause was
+// TransferPause copies the pause of a target's previous incarnation to its new one if the pause was
 // requested at most maxRestartDetectionDelay ago, since the new incarnation may have
 // requested it before it was known here. Limits and leaving are not copied, since each
 // response announces them again.
-func (r *Book) Reborn(previous, current hookhall.Life, now time.Time) {
+func (r *Registry) TransferPause(previous, current hookhall.Incarnation, now time.Time) {
 	old := r.Status(previous)
 	if !old.PausedUntil.After(now) || now.Sub(old.PauseHeard) > maxRestartDetectionDelay {
 		return
@@ -184,7 +184,7 @@
 }
 
 // Status returns what an incarnation of a target has announced, or the zero Status.
-func (r *Book) Status(incarnation hookhall.Life) Status {
+func (r *Registry) Status(incarnation hookhall.Incarnation) Status {
 	e := r.find(incarnation)
 	if e == nil {
 		return Status{}
@@ -194,14 +194,14 @@
 	return e.status
 }
 
-// Keep removes the entries of incarnations for which isCurrent returns false, and entries
+// Prune removes the entries of incarnations for which isCurrent returns false, and entries
 // that neither restrict requests nor say that the target is leaving.
-func (r *Book) Keep(isCurrent func(incarnation hookhall.Life) bool, now time.Time) {
+func (r *Registry) Prune(isCurrent func(incarnation hookhall.Incarnation) bool, now time.Time) {
 	r.entries.Range(func(k, v any) bool {
 		e := v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		live := isCurrent(k.(hookhall.Life))
+		live := isCurrent(k.(hookhall.Incarnation))
 		r.setRestricted(e, live && e.status.restricted(now))
 		if !live || !(e.restricted || e.status.Leaving) {
 			r.entries.Delete(k)
@@ -210,9 +210,9 @@
 	})
 }
 
-// Idle reports whether no target has a limit, a limit that ended less than
+// Unrestricted reports whether no target has a limit, a limit that ended less than
 // limitEndReportTime ago, or a pause.
-func (r *Book) Idle() bool { return r.restrictedCount.Load() == 0 }
+func (r *Registry) Unrestricted() bool { return r.restrictedCount.Load() == 0 }
 
 // later returns the later of two times.
 func later(a, b time.Time) time.Time {
--- a/internal/state/balance/cold.go
+++ b/internal/state/balance/cold.go
@@ -28,40 +28,40 @@
 // service whose targets bear ColdRate requests a second while cold, the limit in any
 // second is ColdRate times a factor, plus a number of extra requests.
 type ColdLimits struct {
-	Over  float64 // factor of ColdRate; values below 1 count as 1
-	Slack float64 // requests in any second
+	RateFactor    float64 // factor of ColdRate; values below 1 count as 1
+	ExtraRequests float64 // requests in any second
 }
 
 // maxPerSecond returns the fleet-wide limit of each cold target of a service, in
 // requests in any second.
 func (l ColdLimits) maxPerSecond(s *hookhall.Service) float64 {
-	return s.ColdRate*max(l.Over, 1) + l.Slack
+	return s.ColdRate*max(l.RateFactor, 1) + l.ExtraRequests
 }
 
-// Placer returns how many requests in any second a cold target of a service may get
+// MaxFromPlacementOwner returns how many requests in any second a cold target of a service may get
 // from its placement owner: placementOwnerShare of the limit, but at least 1 and no
 // more than the target bears continuously. For a service whose targets are never cold
 // it returns 0, which is not used as a limit.
-func (l ColdLimits) Placer(s *hookhall.Service) int {
+func (l ColdLimits) MaxFromPlacementOwner(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
 	}
 	return int(max(min(s.ColdRate, placementOwnerShare*l.maxPerSecond(s)), 1))
 }
 
-// Owners returns how many gateways may each send one request a second to a cold target
+// MaxDirectSenders returns how many gateways may each send one request a second to a cold target
 // of a service while it has no placement owner. It is at least 1, or 0 for a service
 // whose targets are never cold.
-func (l ColdLimits) Owners(s *hookhall.Service) int {
+func (l ColdLimits) MaxDirectSenders(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
 	}
 	return int(max(directShare*l.maxPerSecond(s), 1))
 }
 
-// Owns reports whether the gateway self is among the first count of all gateways in
+// IsDirectSender reports whether the gateway self is among the first count of all gateways in
 // the order of rendezvous hashing for a target. If all lacks self, it is ranked too.
-func Owns(target, self string, all []string, count int) bool {
+func IsDirectSender(target, self string, all []string, count int) bool {
 	ownWeight := rendezvousWeight(target, self)
 	rank := 0
 	for _, gateway := range all {
--- a/internal/state/balance/cold_test.go
+++ b/internal/state/balance/cold_test.go
@@ -30,22 +30,22 @@
 		b, list := NewTracker(), coldTargets(1, now)
 		got := 0
 		for i := range 20 {
-			if _, ok := b.Choose(list, Wish{Cold: allow(3)}, now.Add(time.Duration(i)*40*time.Millisecond)); ok {
+			if _, ok := b.Choose(list, Criteria{MaxColdRequests: allow(3)}, now.Add(time.Duration(i)*40*time.Millisecond)); ok {
 				got++
 			}
 		}
 		if got != 3 {
 			t.Errorf("%d requests in 0.8 s, want 3", got)
 		}
-		if _, ok := b.Choose(list, Wish{Cold: allow(3)}, now.Add(1100*time.Millisecond)); !ok {
+		if _, ok := b.Choose(list, Criteria{MaxColdRequests: allow(3)}, now.Add(1100*time.Millisecond)); !ok {
 			t.Error("no request in the next second")
 		}
 	})
 	t.Run("a warm target is chosen when the cold holder of a prompt has reached its limit", func(t *testing.T) {
 		b, list := NewTracker(), targets(2)
 		criteria := prompt("p", 10000, 100)
-		criteria.Cold = allow(1)
-		holder := First("p", list)
+		criteria.MaxColdRequests = allow(1)
+		holder := PreferredTarget("p", list)
 		for i := range list {
 			if list[i].ID == holder {
 				list[i].ColdUntil = now.Add(time.Hour)
@@ -59,15 +59,15 @@
 	})
 	t.Run("without a quota for cold targets none is chosen, not even the one whose pause ends first", func(t *testing.T) {
 		b, list := NewTracker(), coldTargets(2, now)
-		b.Begin(list[0], Wish{}, now).Failed(true, now)
-		if c, ok := b.Choose(list, Wish{}, now); ok {
+		b.Begin(list[0], Criteria{}, now).Failed(true, now)
+		if c, ok := b.Choose(list, Criteria{}, now); ok {
 			t.Errorf("cold target %s was chosen", c.ID)
 		}
 	})
 	t.Run("a target that has warmed up has no limit", func(t *testing.T) {
 		b, list := NewTracker(), coldTargets(1, now)
 		for i := range 5 {
-			if _, ok := b.Choose(list, Wish{Cold: allow(1)}, now.Add(time.Hour)); !ok {
+			if _, ok := b.Choose(list, Criteria{MaxColdRequests: allow(1)}, now.Add(time.Hour)); !ok {
 				t.Errorf("no target for request %d", i)
 			}
 		}
@@ -75,11 +75,11 @@
 	t.Run("only targets of the allowed halls are chosen", func(t *testing.T) {
 		b, list := NewTracker(), targets(6)
 		for range 20 {
-			if c, ok := b.Choose(list, Wish{Halls: []string{"h1"}}, now); !ok || c.Hall != "h1" {
+			if c, ok := b.Choose(list, Criteria{Halls: []string{"h1"}}, now); !ok || c.Hall != "h1" {
 				t.Fatalf("ok = %v, target in hall %s", ok, c.Hall)
 			}
 		}
-		if _, ok := b.Choose(list, Wish{Halls: []string{"elsewhere"}}, now); ok {
+		if _, ok := b.Choose(list, Criteria{Halls: []string{"elsewhere"}}, now); ok {
 			t.Error("a target was chosen for a hall without targets")
 		}
 	})
@@ -90,9 +90,9 @@
 // gateways choose targets independently, at arbitrary times.
 func TestColdBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limits := ColdLimits{Over: rapid.Float64Range(1, 3).Draw(t, "over"), Slack: rapid.Float64Range(0, 10).Draw(t, "slack")}
+		limits := ColdLimits{RateFactor: rapid.Float64Range(1, 3).Draw(t, "over"), ExtraRequests: rapid.Float64Range(0, 10).Draw(t, "slack")}
 		s := &hookhall.Service{ColdRate: rapid.Float64Range(4, 40).Draw(t, "rate")}
-		bound := s.ColdRate*limits.Over + limits.Slack
+		bound := s.ColdRate*limits.RateFactor + limits.ExtraRequests
 		now := time.Unix(1000, 0)
 		list := coldTargets(2, now)
 		var all []string
@@ -108,13 +108,13 @@
 		for range rapid.IntRange(1, 400).Draw(t, "sends") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			by := rapid.IntRange(-2, len(all)-1).Draw(t, "by")
-			criteria, chooser := Wish{Cold: func(string) int { return limits.Placer(s) }}, placementOwners[0]
+			criteria, chooser := Criteria{MaxColdRequests: func(string) int { return limits.MaxFromPlacementOwner(s) }}, placementOwners[0]
 			if by == -1 {
 				chooser = placementOwners[1]
 			} else if by >= 0 {
 				chooser = own[by]
-				criteria.Cold = func(id string) int {
-					if Owns(id, all[by], all, limits.Owners(s)) {
+				criteria.MaxColdRequests = func(id string) int {
+					if IsDirectSender(id, all[by], all, limits.MaxDirectSenders(s)) {
 						return 1
 					}
 					return 0
--- a/internal/state/balance/incarnation_test.go
+++ b/internal/state/balance/incarnation_test.go
@@ -17,7 +17,7 @@
 	now := time.Now()
 	for name, c := range map[string]struct {
 		before   func(b *Tracker, t hookhall.Target)
-		criteria Wish
+		criteria Criteria
 		other    bool // the other target is chosen in the same incarnation
 	}{
 		"a cached prompt": {func(b *Tracker, t hookhall.Target) {
@@ -33,18 +33,18 @@
 			b.Begin(t, prompt("", 0, 0), now).Refused(now)
 		}, prompt("", 0, 100), true},
 		"a slow pace": {func(b *Tracker, t hookhall.Target) {
-			u := b.Begin(t, Wish{}, now)
+			u := b.Begin(t, Criteria{}, now)
 			u.Succeeded(10 * time.Second)
 			u.End()
-		}, Wish{}, true},
+		}, Criteria{}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := NewTracker()
-			list := []hookhall.Target{{ID: "t0", Born: 5, Slots: 4}, {ID: "t1", Born: 5, Slots: 4}}
+			list := []hookhall.Target{{ID: "t0", Start: 5, Slots: 4}, {ID: "t1", Start: 5, Slots: 4}}
 			if c.other {
 				// The other target is a little worse than one without a record.
 				b.Begin(list[1], prompt("", 0, 2000), now)
-				u := b.Begin(list[1], Wish{}, now)
+				u := b.Begin(list[1], Criteria{}, now)
 				u.Succeeded(100 * time.Millisecond)
 				u.End()
 			}
@@ -56,7 +56,7 @@
 			if got := choose(); (got == "t1") != c.other {
 				t.Errorf("in the same incarnation, %s is chosen", got)
 			}
-			list[0].Born = 3 // earlier than before: the clock of its host was set back
+			list[0].Start = 3 // earlier than before: the clock of its host was set back
 			if got := choose(); c.other && got != "t0" {
 				t.Errorf("in another incarnation, %s is chosen", got)
 			}
--- a/internal/state/balance/large_test.go
+++ b/internal/state/balance/large_test.go
@@ -29,7 +29,7 @@
 func TestLargeService(t *testing.T) {
 	now := time.Now()
 	list := fleet(5715)
-	choose := func(t *testing.T, b *Tracker, criteria Wish) string {
+	choose := func(t *testing.T, b *Tracker, criteria Criteria) string {
 		t.Helper()
 		c, ok := b.Choose(list, criteria, now)
 		if !ok {
@@ -56,22 +56,22 @@
 	t.Run("holders are removed after the retention time", func(t *testing.T) {
 		b := NewTracker()
 		b.Begin(list[4000], prompt("p", 10000, 100), now).End()
-		b.Keep(func(hookhall.Life) bool { return true }, now.Add(partRetention))
+		b.Prune(func(hookhall.Incarnation) bool { return true }, now.Add(partRetention))
 		if n := len(b.holders.targets("p")); n != 0 {
 			t.Errorf("%d holders, want none", n)
 		}
 	})
 	t.Run("the target is in the hall that has the results", func(t *testing.T) {
-		criteria := Wish{Engine: true, OwnTokens: 100, Slack: time.Second, Near: map[string]float64{"h1": 3e7}}
+		criteria := Criteria{IsEngineCall: true, OwnTokens: 100, LatencyBudget: time.Second, BytesByHall: map[string]float64{"h1": 3e7}}
 		id := choose(t, NewTracker(), criteria)
 		if i, _ := find(list, id); list[i].Hall != "h1" {
 			t.Errorf("target in hall %s, want h1", list[i].Hall)
 		}
 	})
 	t.Run("the only target that is not excluded is found", func(t *testing.T) {
-		criteria := Wish{Engine: true, Exclude: map[string]bool{}}
+		criteria := Criteria{IsEngineCall: true, ExcludedTargets: map[string]bool{}}
 		for _, c := range list[1:] {
-			criteria.Exclude[c.ID] = true
+			criteria.ExcludedTargets[c.ID] = true
 		}
 		if id := choose(t, NewTracker(), criteria); id != list[0].ID {
 			t.Errorf("chose %s, want the only target left", id)
@@ -87,7 +87,7 @@
 			}
 		}
 		for range 20 {
-			if id := choose(t, b, Wish{Engine: true, OwnTokens: 100, Slack: time.Second}); busy[id] {
+			if id := choose(t, b, Criteria{IsEngineCall: true, OwnTokens: 100, LatencyBudget: time.Second}); busy[id] {
 				t.Fatalf("chose busy target %s", id)
 			}
 		}
--- a/internal/state/balance/sample.go
+++ b/internal/state/balance/sample.go
@@ -27,18 +27,18 @@
 // sample returns a subset of a large service's targets that contains the best one
 // with near certainty: the presumed holders of the shared prompt part, and sampleSize
 // targets at random, possibly repeated. The targets must be sorted by id.
-func (b *Tracker) sample(targets []hookhall.Target, criteria Wish) []hookhall.Target {
+func (b *Tracker) sample(targets []hookhall.Target, criteria Criteria) []hookhall.Target {
 	sampled := make([]hookhall.Target, 0, sampleSize+ringWindow)
 	add := func(id string) {
 		if i, ok := find(targets, id); ok {
 			sampled = append(sampled, targets[i])
 		}
 	}
-	if criteria.Engine && criteria.Shared != "" {
-		for _, id := range b.holders.targets(criteria.Shared) {
+	if criteria.IsEngineCall && criteria.SharedPart != "" {
+		for _, id := range b.holders.targets(criteria.SharedPart) {
 			add(id)
 		}
-		add(b.First(criteria.Shared, targets))
+		add(b.PreferredTarget(criteria.SharedPart, targets))
 	}
 	for range sampleSize {
 		sampled = append(sampled, targets[rand.IntN(len(targets))])
--- a/internal/state/balance/tracker.go
+++ b/internal/state/balance/tracker.go
@@ -40,15 +40,15 @@
 	defaultLatency = float64(20 * time.Millisecond)
 )
 
-// ReadTime returns how long an otherwise idle engine takes to read prompt tokens.
-func ReadTime(tokens int) time.Duration {
+// PromptReadTime returns how long an otherwise idle engine takes to read prompt tokens.
+func PromptReadTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / tokensPerMillisecond * float64(time.Millisecond))
 }
 
 // Tracker holds the records of all targets, one per incarnation, and chooses among
 // targets. Its methods may be called concurrently.
 type Tracker struct {
-	records sync.Map // hookhall.Life to *record
+	records sync.Map // hookhall.Incarnation to *record
 	holders holderIndex
 	rings   rings
 }
@@ -57,7 +57,7 @@
 func NewTracker() *Tracker { return &Tracker{} }
 
 // record returns the record of an incarnation and creates it if necessary.
-func (b *Tracker) record(l hookhall.Life) *record {
+func (b *Tracker) record(l hookhall.Incarnation) *record {
 	if r, ok := b.records.Load(l); ok {
 		return r.(*record)
 	}
@@ -65,11 +65,11 @@
 	return r.(*record)
 }
 
-// Keep removes the records of incarnations for which current returns false, and from
+// Prune removes the records of incarnations for which current returns false, and from
 // the others the prompt parts that are presumably no longer cached.
-func (b *Tracker) Keep(current func(l hookhall.Life) bool, now time.Time) {
+func (b *Tracker) Prune(current func(l hookhall.Incarnation) bool, now time.Time) {
 	b.records.Range(func(k, v any) bool {
-		if !current(k.(hookhall.Life)) {
+		if !current(k.(hookhall.Incarnation)) {
 			b.records.Delete(k)
 			return true
 		}
@@ -79,37 +79,37 @@
 	b.holders.sweep(now)
 }
 
-// Wish describes a call and the conditions that its target must meet.
-type Wish struct {
-	// Engine is set when the target reads prompts.
-	Engine bool
-	// Shared is the id of the longest part of the prompt that other prompts share, ""
+// Criteria describes a call and the conditions that its target must meet.
+type Criteria struct {
+	// IsEngineCall is set when the target reads prompts.
+	IsEngineCall bool
+	// SharedPart is the id of the longest part of the prompt that other prompts share, ""
 	// for none.
-	Shared string
+	SharedPart string
 	// SharedTokens is the number of prompt tokens up to the end of the shared part,
 	// OwnTokens that of the tokens after it.
 	SharedTokens int
 	OwnTokens    int
-	// OutTokens is the maximum number of output tokens.
-	OutTokens int
-	// Spec is the configured capacity of the engines, nil if not configured.
-	Spec *hookhall.EngineSpec
+	// MaxOutputTokens is the maximum number of output tokens.
+	MaxOutputTokens int
+	// EngineSpec is the configured capacity of the engines, nil if not configured.
+	EngineSpec *hookhall.EngineSpec
 	// Parts are the ids of all parts of the prompt; the target is recorded as caching
 	// them.
 	Parts []string
-	// Slack is the time left until the latency target, 0 if it has passed or is not
+	// LatencyBudget is the time left until the latency target, 0 if it has passed or is not
 	// known.
-	Slack time.Duration
-	// Near holds the number of bytes that the target reads, by the hall that has them.
-	Near map[string]float64
-	// Exclude holds the ids of targets that were already tried.
-	Exclude map[string]bool
+	LatencyBudget time.Duration
+	// BytesByHall holds the number of bytes that the target reads, by the hall that has them.
+	BytesByHall map[string]float64
+	// ExcludedTargets holds the ids of targets that were already tried.
+	ExcludedTargets map[string]bool
 	// Halls lists the halls in which the target may be; empty allows all.
 	Halls []string
 	Versions
-	// Cold returns how many requests in any second a cold target may get from this
+	// MaxColdRequests returns how many requests in any second a cold target may get from this
 	// process, by the target's id; nil excludes cold targets.
-	Cold func(target string) int
+	MaxColdRequests func(target string) int
 	// Limiter enforces the rate limits that targets have named; nil enforces none.
 	Limiter Limiter
 }
@@ -118,16 +118,16 @@
 // concurrent use.
 type Limiter interface {
 	// Due returns how long it takes until a target may get another request, 0 for now.
-	Due(l hookhall.Life, now time.Time) time.Duration
+	Due(l hookhall.Incarnation, now time.Time) time.Duration
 	// Reserve takes the next request that a target may get, if it is due within maxWait,
 	// and returns how long the request has to wait.
-	Reserve(l hookhall.Life, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool)
+	Reserve(l hookhall.Incarnation, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool)
 }
 
 // Choose returns the target with the earliest expected answer and counts the request
 // against the limits of a cold or rate-limited target. ok is false if no target
 // qualifies. A list of more than 256 targets must be sorted by id.
-func (b *Tracker) Choose(targets []hookhall.Target, criteria Wish, now time.Time) (t hookhall.Target, ok bool) {
+func (b *Tracker) Choose(targets []hookhall.Target, criteria Criteria, now time.Time) (t hookhall.Target, ok bool) {
 	for {
 		t, ok = b.pick(targets, criteria, now)
 		if !ok || b.reserve(t, criteria, now) {
@@ -140,29 +140,29 @@
 
 // reserve counts a request against the limits of a cold or rate-limited target. It
 // returns false if no request is left.
-func (b *Tracker) reserve(t hookhall.Target, criteria Wish, now time.Time) bool {
-	if t.Cold(now) && !b.record(t.Life()).reserveCold(criteria.Cold(t.ID), now) {
+func (b *Tracker) reserve(t hookhall.Target, criteria Criteria, now time.Time) bool {
+	if t.Cold(now) && !b.record(t.Incarnation()).reserveCold(criteria.MaxColdRequests(t.ID), now) {
 		return false
 	}
 	if criteria.Limiter == nil {
 		return true
 	}
-	_, ok := criteria.Limiter.Reserve(t.Life(), 0, now)
+	_, ok := criteria.Limiter.Reserve(t.Incarnation(), 0, now)
 	return ok
 }
 
-// Next returns the rate-limited target that may get a request first and the time until
+// NextLimited returns the rate-limited target that may get a request first and the time until
 // then, for use when Choose finds no target because of rate limits. ok is false if no
 // limited target may get the request at all.
-func (b *Tracker) Next(targets []hookhall.Target, criteria Wish, now time.Time) (next hookhall.Target, wait time.Duration, ok bool) {
+func (b *Tracker) NextLimited(targets []hookhall.Target, criteria Criteria, now time.Time) (next hookhall.Target, wait time.Duration, ok bool) {
 	if criteria.Limiter == nil {
 		return hookhall.Target{}, 0, false
 	}
 	for _, t := range criteria.selectTargets(targets) {
-		if t.Leaving || criteria.Exclude[t.ID] || !criteria.allows(t) || t.Cold(now) {
+		if t.Leaving || criteria.ExcludedTargets[t.ID] || !criteria.allows(t) || t.Cold(now) {
 			continue
 		}
-		if due := criteria.Limiter.Due(t.Life(), now); due > 0 && (!ok || due < wait) {
+		if due := criteria.Limiter.Due(t.Incarnation(), now); due > 0 && (!ok || due < wait) {
 			next, wait, ok = t, due, true
 		}
 	}
@@ -171,7 +171,7 @@
 
 // pick returns the target with the earliest expected answer without counting a
 // request.
-func (b *Tracker) pick(targets []hookhall.Target, criteria Wish, now time.Time) (t hookhall.Target, ok bool) {
+func (b *Tracker) pick(targets []hookhall.Target, criteria Criteria, now time.Time) (t hookhall.Target, ok bool) {
 	var open, refusing, ejected []candidate
 	targets = criteria.selectTargets(targets)
 	if len(targets) > maxScannedTargets {
@@ -204,12 +204,12 @@
 
 // candidates returns the targets that may be chosen, in three groups: those without a
 // pause, those in a pause after a refusal, and those ejected after a failure.
-func (b *Tracker) candidates(targets []hookhall.Target, criteria Wish, now time.Time) (open, refusing, ejected []candidate) {
+func (b *Tracker) candidates(targets []hookhall.Target, criteria Criteria, now time.Time) (open, refusing, ejected []candidate) {
 	for _, t := range targets {
-		if t.Leaving || criteria.Exclude[t.ID] || !criteria.allows(t) || !b.hasCapacity(t, criteria, now) {
+		if t.Leaving || criteria.ExcludedTargets[t.ID] || !criteria.allows(t) || !b.hasCapacity(t, criteria, now) {
 			continue
 		}
-		c := candidate{t, b.record(t.Life()).snapshot(criteria.Shared, now)}
+		c := candidate{t, b.record(t.Incarnation()).snapshot(criteria.SharedPart, now)}
 		switch {
 		case c.ejectedUntil.After(now):
 			ejected = append(ejected, c)
@@ -223,21 +223,21 @@
 }
 
 // allows reports whether the hall and the version of a target may run the request.
-func (c *Wish) allows(t hookhall.Target) bool {
+func (c *Criteria) allows(t hookhall.Target) bool {
 	return (len(c.Halls) == 0 || slices.Contains(c.Halls, t.Hall)) && c.Allow(t)
 }
 
 // hasCapacity reports whether a target may get another request now: a cold target
 // fails under more than a few requests a second, and a target may have named a rate
 // limit.
-func (b *Tracker) hasCapacity(t hookhall.Target, criteria Wish, now time.Time) bool {
-	if criteria.Limiter != nil && criteria.Limiter.Due(t.Life(), now) > 0 {
+func (b *Tracker) hasCapacity(t hookhall.Target, criteria Criteria, now time.Time) bool {
+	if criteria.Limiter != nil && criteria.Limiter.Due(t.Incarnation(), now) > 0 {
 		return false
 	}
 	if !t.Cold(now) {
 		return true
 	}
-	return criteria.Cold != nil && b.record(t.Life()).hasColdCapacity(criteria.Cold(t.ID), now)
+	return criteria.MaxColdRequests != nil && b.record(t.Incarnation()).hasColdCapacity(criteria.MaxColdRequests(t.ID), now)
 }
 
 // earliestReadmitted returns the ejected candidate whose pause ends first.
@@ -256,15 +256,15 @@
 // otherwise the preferred target by rendezvous hashing, so that all processes send the
 // part to the same one. A new target that becomes the preferred one thus causes no
 // part to be read again.
-func (b *Tracker) partHolders(open []candidate, criteria Wish, targets []hookhall.Target) func(candidate) bool {
+func (b *Tracker) partHolders(open []candidate, criteria Criteria, targets []hookhall.Target) func(candidate) bool {
 	for _, c := range open {
 		if c.holdsPart {
 			return func(c candidate) bool { return c.holdsPart }
 		}
 	}
 	preferred := ""
-	if criteria.Engine && criteria.Shared != "" {
-		preferred = b.First(criteria.Shared, targets)
+	if criteria.IsEngineCall && criteria.SharedPart != "" {
+		preferred = b.PreferredTarget(criteria.SharedPart, targets)
 	}
 	return func(c candidate) bool { return c.target.ID == preferred }
 }
@@ -272,9 +272,9 @@
 // expectedCost returns the expected time to the answer with penalties, in
 // milliseconds. A random part below 1 ms keeps processes from all choosing the same
 // target.
-func expectedCost(t hookhall.Target, s snapshot, criteria Wish, holdsPart bool) float64 {
+func expectedCost(t hookhall.Target, s snapshot, criteria Criteria, holdsPart bool) float64 {
 	jitter := rand.Float64()
-	if !criteria.Engine {
+	if !criteria.IsEngineCall {
 		latency := s.avgLatency
 		if latency == 0 {
 			latency = defaultLatency
@@ -284,15 +284,15 @@
 	}
 	cost := float64(s.unreadTokens)/tokensPerMillisecond + float64(s.inflight)*costPerCall
 	readTime := float64(criteria.OwnTokens) / tokensPerMillisecond
-	if criteria.Shared != "" && !holdsPart {
+	if criteria.SharedPart != "" && !holdsPart {
 		readTime += float64(criteria.SharedTokens) / tokensPerMillisecond
 		cost += rereadPenalty * float64(criteria.SharedTokens) / tokensPerMillisecond
 	}
 	cost += readTime + overload(s, criteria)
-	if criteria.Slack > 0 && float64(s.unreadTokens)/tokensPerMillisecond+readTime > criteria.Slack.Seconds()*1e3 {
+	if criteria.LatencyBudget > 0 && float64(s.unreadTokens)/tokensPerMillisecond+readTime > criteria.LatencyBudget.Seconds()*1e3 {
 		cost += overloadCost
 	}
-	for hall, bytes := range criteria.Near {
+	for hall, bytes := range criteria.BytesByHall {
 		if hall != t.Hall {
 			cost += costPerRemoteMegabyte * bytes / 1e6
 		}
@@ -303,34 +303,34 @@
 // overload returns the cost, in milliseconds, of an engine whose slots or memory would
 // be exhausted: it would queue the call, or preempt another one and read its prompt
 // again.
-func overload(s snapshot, criteria Wish) float64 {
-	if criteria.Spec == nil {
+func overload(s snapshot, criteria Criteria) float64 {
+	if criteria.EngineSpec == nil {
 		return 0
 	}
 	cost := 0.0
-	if criteria.Spec.Slots > 0 && s.inflight >= criteria.Spec.Slots {
+	if criteria.EngineSpec.Slots > 0 && s.inflight >= criteria.EngineSpec.Slots {
 		cost += overloadCost
 	}
-	excessTokens := float64(s.heldTokens+criteria.OwnTokens+criteria.OutTokens) - maxMemoryFraction*float64(criteria.Spec.Memory)
-	if criteria.Spec.Memory > 0 && excessTokens > 0 {
+	excessTokens := float64(s.heldTokens+criteria.OwnTokens+criteria.MaxOutputTokens) - maxMemoryFraction*float64(criteria.EngineSpec.MemoryTokens)
+	if criteria.EngineSpec.MemoryTokens > 0 && excessTokens > 0 {
 		cost += overloadCost + excessTokens/tokensPerMillisecond
 	}
 	return cost
 }
 
-// First returns the id of the preferred target of a key without targets that are
+// PreferredTarget returns the id of the preferred target of a key without targets that are
 // leaving, "" if there is none. It uses rendezvous hashing over all targets, or over a
 // section of the hash ring if the service has more than 256.
-func (b *Tracker) First(key string, targets []hookhall.Target) string {
+func (b *Tracker) PreferredTarget(key string, targets []hookhall.Target) string {
 	if len(targets) > maxScannedTargets {
 		return b.rings.forTargets(targets).preferred(key)
 	}
-	return First(key, targets)
+	return PreferredTarget(key, targets)
 }
 
-// First returns the id of the target selected by rendezvous hashing of a key, without
+// PreferredTarget returns the id of the target selected by rendezvous hashing of a key, without
 // targets that are leaving; "" if there is none.
-func First(key string, targets []hookhall.Target) string {
+func PreferredTarget(key string, targets []hookhall.Target) string {
 	best, maxWeight := "", uint64(0)
 	for _, t := range targets {
 		if t.Leaving {
@@ -344,8 +344,8 @@
 	return best
 }
 
-// Use is a call in progress at a target. Read and End must not be called concurrently.
-type Use struct {
+// ActiveCall is a call in progress at a target. Read and End must not be called concurrently.
+type ActiveCall struct {
 	record       *record
 	unreadTokens int // prompt tokens counted as unread until Read
 	heldTokens   int // tokens counted as held until End
@@ -355,26 +355,26 @@
 }
 
 // Begin counts a call to t as in progress. The caller must call End.
-func (b *Tracker) Begin(t hookhall.Target, criteria Wish, now time.Time) *Use {
-	r := b.record(t.Life())
-	u := &Use{record: r, began: now}
-	if criteria.Engine {
+func (b *Tracker) Begin(t hookhall.Target, criteria Criteria, now time.Time) *ActiveCall {
+	r := b.record(t.Incarnation())
+	u := &ActiveCall{record: r, began: now}
+	if criteria.IsEngineCall {
 		u.unreadTokens = criteria.OwnTokens
-		u.heldTokens = criteria.OwnTokens + criteria.OutTokens
-		if !r.snapshot(criteria.Shared, now).holdsPart {
+		u.heldTokens = criteria.OwnTokens + criteria.MaxOutputTokens
+		if !r.snapshot(criteria.SharedPart, now).holdsPart {
 			u.unreadTokens += criteria.SharedTokens
 		}
 	}
 	r.begin(u.unreadTokens, u.heldTokens, criteria.Parts, now)
-	if criteria.Engine {
-		b.holders.add(criteria.Shared, t.ID, now)
+	if criteria.IsEngineCall {
+		b.holders.add(criteria.SharedPart, t.ID, now)
 	}
 	return u
 }
 
 // Read counts the prompt as read; call it when the answer begins. Repeated calls have
 // no effect.
-func (u *Use) Read() {
+func (u *ActiveCall) Read() {
 	if !u.isRead {
 		u.isRead = true
 		u.record.read(u.unreadTokens)
@@ -383,7 +383,7 @@
 
 // End counts the end of the call and, if necessary, its prompt as read. Repeated calls
 // have no effect.
-func (u *Use) End() {
+func (u *ActiveCall) End() {
 	u.Read()
 	if !u.isEnded {
 		u.isEnded = true
@@ -392,14 +392,14 @@
 }
 
 // Succeeded counts an answer whose header arrived after latency.
-func (u *Use) Succeeded(latency time.Duration) { u.record.succeeded(latency) }
+func (u *ActiveCall) Succeeded(latency time.Duration) { u.record.succeeded(latency) }
 
 // Failed counts a failure. hard is set if the target was unreachable or silent, which
 // the call itself cannot have caused.
-func (u *Use) Failed(hard bool, now time.Time) { u.record.failed(hard, now) }
+func (u *ActiveCall) Failed(hard bool, now time.Time) { u.record.failed(hard, now) }
 
 // Refused counts a call that the target rejected for lack of a free slot.
-func (u *Use) Refused(now time.Time) { u.record.refused(now) }
+func (u *ActiveCall) Refused(now time.Time) { u.record.refused(now) }
 
 // Status is the part of a state dump that describes one target.
 type Status struct {
@@ -412,7 +412,7 @@
 }
 
 // Status returns the status of an incarnation of a target.
-func (b *Tracker) Status(l hookhall.Life, now time.Time) Status {
+func (b *Tracker) Status(l hookhall.Incarnation, now time.Time) Status {
 	s := b.record(l).snapshot("", now)
 	return Status{s.inflight, s.unreadTokens, s.avgLatency / 1e6, s.failureRate, s.ejectedUntil.After(now), s.refusedUntil.After(now)}
 }
--- a/internal/state/balance/tracker_test.go
+++ b/internal/state/balance/tracker_test.go
@@ -24,8 +24,8 @@
 
 // prompt returns the criteria of a call to an engine with a prompt whose first tokens are
 // shared, followed by own ones.
-func prompt(shared string, tokens, own int) Wish {
-	return Wish{Engine: true, Shared: shared, SharedTokens: tokens, OwnTokens: own, Parts: []string{shared}, Slack: time.Second}
+func prompt(shared string, tokens, own int) Criteria {
+	return Criteria{IsEngineCall: true, SharedPart: shared, SharedTokens: tokens, OwnTokens: own, Parts: []string{shared}, LatencyBudget: time.Second}
 }
 
 // TestEngines guards against wasted engine time: prompts go where their shared part is
@@ -34,17 +34,17 @@
 	now := time.Now()
 	Convey("Given six engines", t, func() {
 		b, list := NewTracker(), targets(6)
-		choose := func(criteria Wish) string {
+		choose := func(criteria Criteria) string {
 			c, ok := b.Choose(list, criteria, now)
 			So(ok, ShouldBeTrue)
 			return c.ID
 		}
 		Convey("a shared part goes to its preferred engine", func() {
-			So(choose(prompt("p", 10000, 100)), ShouldEqual, First("p", list))
-			So(First("p", list), ShouldEqual, First("p", list[:6]))
+			So(choose(prompt("p", 10000, 100)), ShouldEqual, PreferredTarget("p", list))
+			So(PreferredTarget("p", list), ShouldEqual, PreferredTarget("p", list[:6]))
 		})
 		Convey("an engine that holds a part keeps it when a new engine becomes the preferred one", func() {
-			holder := First("p", list[:3])
+			holder := PreferredTarget("p", list[:3])
 			for _, c := range list[:3] {
 				if c.ID == holder {
 					b.Begin(c, prompt("p", 10000, 100), now).End()
@@ -53,7 +53,7 @@
 			So(choose(prompt("p", 10000, 100)), ShouldEqual, holder)
 		})
 		Convey("a busy holder is not chosen when waiting would miss the latency target", func() {
-			preferred := First("p", list)
+			preferred := PreferredTarget("p", list)
 			for _, c := range list {
 				if c.ID == preferred {
 					b.Begin(c, prompt("p", 10000, 100), now)
@@ -63,7 +63,7 @@
 			So(choose(prompt("p", 10000, 100)), ShouldNotEqual, preferred)
 		})
 		Convey("a busy holder is chosen when there is time to wait", func() {
-			preferred := First("p", list)
+			preferred := PreferredTarget("p", list)
 			for _, c := range list {
 				if c.ID == preferred {
 					b.Begin(c, prompt("p", 10000, 100), now)
@@ -73,27 +73,27 @@
 			So(choose(prompt("p", 10000, 100)), ShouldEqual, preferred)
 		})
 		Convey("an engine whose slots or memory are exhausted is avoided", func() {
-			preferred := First("p", list)
+			preferred := PreferredTarget("p", list)
 			small := prompt("p", 10000, 100)
-			for _, spec := range []hookhall.EngineSpec{{Slots: 2, Memory: 1 << 30}, {Slots: 64, Memory: 1000}} {
+			for _, spec := range []hookhall.EngineSpec{{Slots: 2, MemoryTokens: 1 << 30}, {Slots: 64, MemoryTokens: 1000}} {
 				b := NewTracker()
 				for _, c := range list {
 					if c.ID == preferred {
 						for range 2 {
 							full := prompt("p", 10000, 100)
-							full.OutTokens = 300
+							full.MaxOutputTokens = 300
 							b.Begin(c, full, now).Read()
 						}
 					}
 				}
-				small.Spec = &spec
+				small.EngineSpec = &spec
 				c, _ := b.Choose(list, small, now)
 				So(c.ID, ShouldNotEqual, preferred)
 			}
 		})
 		Convey("prompts without a shared part go to the hall that has the results", func() {
 			criteria := prompt("", 0, 500)
-			criteria.Near = map[string]float64{"h1": 6e6}
+			criteria.BytesByHall = map[string]float64{"h1": 6e6}
 			for range 10 {
 				c, _ := b.Choose(list, criteria, now)
 				So(c.Hall, ShouldEqual, "h1")
@@ -108,47 +108,47 @@
 	now := time.Now()
 	Convey("Given two targets", t, func() {
 		b, list := NewTracker(), targets(2)
-		fail := func(i int, at time.Time) { b.Begin(list[i], Wish{}, at).Failed(true, at) }
+		fail := func(i int, at time.Time) { b.Begin(list[i], Criteria{}, at).Failed(true, at) }
 		Convey("a silent target is ejected until the pause ends", func() {
 			fail(0, now)
 			for range 10 {
-				c, _ := b.Choose(list, Wish{}, now)
+				c, _ := b.Choose(list, Criteria{}, now)
 				So(c.ID, ShouldEqual, "t1")
 			}
-			So(b.Status(hookhall.Life{ID: "t0"}, now).Ejected, ShouldBeTrue)
-			So(b.Status(hookhall.Life{ID: "t0"}, now.Add(2*minEjectionPause)).Ejected, ShouldBeFalse)
+			So(b.Status(hookhall.Incarnation{ID: "t0"}, now).Ejected, ShouldBeTrue)
+			So(b.Status(hookhall.Incarnation{ID: "t0"}, now.Add(2*minEjectionPause)).Ejected, ShouldBeFalse)
 		})
 		Convey("if all targets are ejected, the one whose pause ends first is tried", func() {
 			fail(0, now)
 			fail(1, now.Add(time.Millisecond))
-			c, ok := b.Choose(list, Wish{}, now.Add(2*time.Millisecond))
+			c, ok := b.Choose(list, Criteria{}, now.Add(2*time.Millisecond))
 			So(ok, ShouldBeTrue)
 			So(c.ID, ShouldEqual, "t0")
 		})
 		Convey("excluded and leaving targets are not chosen", func() {
 			list[0].Leaving = true
-			_, ok := b.Choose(list, Wish{Exclude: map[string]bool{"t1": true}}, now)
+			_, ok := b.Choose(list, Criteria{ExcludedTargets: map[string]bool{"t1": true}}, now)
 			So(ok, ShouldBeFalse)
 		})
 		Convey("a slow target is avoided", func() {
 			for i, latency := range []time.Duration{400 * time.Millisecond, 20 * time.Millisecond} {
 				for range 20 {
-					u := b.Begin(list[i], Wish{}, now)
+					u := b.Begin(list[i], Criteria{}, now)
 					u.Succeeded(latency)
 					u.End()
 				}
 			}
-			c, _ := b.Choose(list, Wish{}, now)
+			c, _ := b.Choose(list, Criteria{}, now)
 			So(c.ID, ShouldEqual, "t1")
 		})
 		Convey("repeated reports of a call are counted once", func() {
 			u := b.Begin(list[0], prompt("p", 100, 10), now)
-			So(b.Status(hookhall.Life{ID: "t0"}, now).Unread, ShouldEqual, 110)
+			So(b.Status(hookhall.Incarnation{ID: "t0"}, now).Unread, ShouldEqual, 110)
 			u.Read()
 			u.Read()
 			u.End()
 			u.End()
-			So(b.Status(hookhall.Life{ID: "t0"}, now), ShouldResemble, Status{})
+			So(b.Status(hookhall.Incarnation{ID: "t0"}, now), ShouldResemble, Status{})
 		})
 	})
 }
@@ -162,14 +162,14 @@
 		// Without these answers a target has the default latency, which is higher than
 		// that of the others, and may never be chosen, as expectedCost is partly random.
 		for _, c := range list {
-			b.Begin(c, Wish{}, now).Succeeded(time.Millisecond)
+			b.Begin(c, Criteria{}, now).Succeeded(time.Millisecond)
 		}
 		for at := now; at.Before(now.Add(5 * time.Second)); at = at.Add(20 * time.Millisecond) {
-			c, ok := b.Choose(list, Wish{}, at)
+			c, ok := b.Choose(list, Criteria{}, at)
 			if !ok {
 				t.Fatal("no target was chosen")
 			}
-			u := b.Begin(c, Wish{}, at)
+			u := b.Begin(c, Criteria{}, at)
 			if slices.Contains(ids, c.ID) {
 				offers++
 				u.Refused(at)
@@ -193,10 +193,10 @@
 	t.Run("an accepted call ends the pause", func(t *testing.T) {
 		b := NewTracker()
 		callsToRefusing(b, "t0", "t1", "t2")
-		u := b.Begin(list[0], Wish{}, now)
+		u := b.Begin(list[0], Criteria{}, now)
 		u.Succeeded(time.Millisecond)
 		u.End()
-		if b.Status(hookhall.Life{ID: "t0"}, now).Full || !b.Status(hookhall.Life{ID: "t1"}, now).Full {
+		if b.Status(hookhall.Incarnation{ID: "t0"}, now).Full || !b.Status(hookhall.Incarnation{ID: "t1"}, now).Full {
 			t.Error("t0 should accept calls and t1 be in a pause")
 		}
 	})
--- a/internal/state/balance/versions.go
+++ b/internal/state/balance/versions.go
@@ -15,9 +15,9 @@
 type Versions struct {
 	Only string // the one version allowed; empty allows any
 	Not  string // the one version excluded; empty excludes none
-	// Among limits how many targets of version Only are used; 0 uses all. All
+	// MaxTargets limits how many targets of version Only are used; 0 uses all. All
 	// processes select the same targets.
-	Among int
+	MaxTargets int
 }
 
 // Allow reports whether the version of t may run the request. It ignores the limit on
@@ -30,12 +30,12 @@
 // limited, otherwise that many of the allowed targets, selected by rendezvous hashing of
 // Only. It does not modify targets.
 func (v Versions) selectTargets(targets []hookhall.Target) []hookhall.Target {
-	if v.Among == 0 {
+	if v.MaxTargets == 0 {
 		return targets
 	}
 	allowed := slices.DeleteFunc(slices.Clone(targets), func(t hookhall.Target) bool { return !v.Allow(t) })
 	slices.SortFunc(allowed, func(a, b hookhall.Target) int {
 		return cmp.Compare(rendezvousWeight(v.Only, b.ID), rendezvousWeight(v.Only, a.ID))
 	})
-	return allowed[:min(v.Among, len(allowed))]
+	return allowed[:min(v.MaxTargets, len(allowed))]
 }
--- a/internal/state/batch/canary.go
+++ b/internal/state/batch/canary.go
@@ -13,9 +13,9 @@
 	canaryCalls int     // those of them to targets of the version
 }
 
-// Try limits the targets of a version to a share (0 to 1) of the calls from now on; the
+// SetCanary limits the targets of a version to a share (0 to 1) of the calls from now on; the
 // version "" ends the limit. It does nothing if the version is set already.
-func (q *Queue) Try(version string, share float64) {
+func (q *Queue) SetCanary(version string, share float64) {
 	if q.canary.version != version {
 		q.canary = canary{version: version, share: share}
 	}
--- a/internal/state/batch/fill.go
+++ b/internal/state/batch/fill.go
@@ -87,7 +87,7 @@
 // started in memory that is too small for it.
 func (q *Queue) fillBatch(w *worker, now time.Time) *Batch {
 	b := &Batch{Target: w.Target, began: now}
-	maxPieces := max(q.spec.Batch, 1)
+	maxPieces := max(q.spec.MaxBatch, 1)
 	for _, onlyComplete := range []bool{true, false} {
 		for _, j := range q.jobs {
 			freePieces := maxPieces - len(b.Pieces)
@@ -110,9 +110,9 @@
 	if len(b.Pieces) == 0 {
 		return nil
 	}
-	b.Expected = q.spec.CallTime + time.Duration(len(b.Pieces))*q.spec.ItemTime
-	b.Patience = w.overdueAfter(b.Expected)
-	b.ReadBy = max(time.Duration(inputsReadShare*float64(q.spec.CallTime)), minInputsReadDelay)
+	b.Expected = q.spec.CallTime + time.Duration(len(b.Pieces))*q.spec.PieceTime
+	b.StallTimeout = w.overdueAfter(b.Expected)
+	b.InputsReadAfter = max(time.Duration(inputsReadShare*float64(q.spec.CallTime)), minInputsReadDelay)
 	w.activeCalls++
 	return b
 }
@@ -129,11 +129,11 @@
 // with freePieces unused slots for pieces. It returns true for jobs that have started, and
 // for those too large for any target: they use whatever memory there is.
 func (q *Queue) hasMemoryFor(w *worker, j *Job, freePieces int) bool {
-	allBytes := float64(len(j.waiting)) * j.Bytes
-	if q.spec.Room <= 0 || j.isStarted() || allBytes > q.spec.Room {
+	allBytes := float64(len(j.waiting)) * j.ResultBytes
+	if q.spec.ResultMemory <= 0 || j.isStarted() || allBytes > q.spec.ResultMemory {
 		return true
 	}
-	return w.bytes+float64(min(len(j.waiting), freePieces))*j.Bytes <= q.spec.Room
+	return w.bytes+float64(min(len(j.waiting), freePieces))*j.ResultBytes <= q.spec.ResultMemory
 }
 
 // isSuitable reports whether j may go to w. A job that can still meet its latency target
@@ -143,20 +143,20 @@
 	if j.refusedBy(w.Target) {
 		return false
 	}
-	fullCall := q.spec.CallTime + time.Duration(q.spec.Batch)*q.spec.ItemTime
-	if j.Cross >= minCrossHallBytes && j.Hall != w.Target.Hall && q.healthyByHall[j.Hall] > 0 && !j.hasNoSlack(fullCall, now) {
+	fullCall := q.spec.CallTime + time.Duration(q.spec.MaxBatch)*q.spec.PieceTime
+	if j.CrossHallBytes >= minCrossHallBytes && j.Hall != w.Target.Hall && q.healthyByHall[j.Hall] > 0 && !j.hasNoSlack(fullCall, now) {
 		return false
 	}
 	if w.slowdown < minSlow || j.isLate(now) {
 		return true
 	}
-	return !now.Add(time.Duration((w.slowdown - 1) * float64(fullCall))).After(j.Due)
+	return !now.Add(time.Duration((w.slowdown - 1) * float64(fullCall))).After(j.LatestStart)
 }
 
 // takePieces moves pieces of j into b until b has maxPieces of them or w has no memory left.
 func (q *Queue) takePieces(w *worker, j *Job, b *Batch, maxPieces int, now time.Time) {
 	for len(j.waiting) > 0 && len(b.Pieces) < maxPieces {
-		if q.spec.Room > 0 && w.bytes+j.Bytes > q.spec.Room {
+		if q.spec.ResultMemory > 0 && w.bytes+j.ResultBytes > q.spec.ResultMemory {
 			q.memoryShortAt = now
 			return
 		}
@@ -165,16 +165,16 @@
 		if j.Hall == "" {
 			j.Hall = w.Target.Hall
 		}
-		q.addBytes(w, j.Bytes)
+		q.addBytes(w, j.ResultBytes)
 		b.Pieces = append(b.Pieces, j.piece(i, now))
 		b.jobs = append(b.jobs, j)
 		j.activeCalls[i]++
 	}
 }
 
-// Crowded reports whether targets are short of memory for results: less than a call's
+// MemoryConstrained reports whether targets are short of memory for results: less than a call's
 // fixed time ago, pieces did not fit into the memory of a target with a free call slot,
 // and enough pieces wait to fill a call.
-func (q *Queue) Crowded(now time.Time) bool {
-	return !q.memoryShortAt.IsZero() && now.Sub(q.memoryShortAt) < q.spec.CallTime && q.Waiting() >= q.spec.Batch
+func (q *Queue) MemoryConstrained(now time.Time) bool {
+	return !q.memoryShortAt.IsZero() && now.Sub(q.memoryShortAt) < q.spec.CallTime && q.Waiting() >= q.spec.MaxBatch
 }
--- a/internal/state/batch/incarnation_test.go
+++ b/internal/state/batch/incarnation_test.go
@@ -30,7 +30,7 @@
 			}
 		},
 		"no memory": func(q *Queue, b *Batch) {
-			q.Done(b, failureResults(b, hookhall.PieceNoRoom), at(199))
+			q.Done(b, failureResults(b, hookhall.PieceNoMemory), at(199))
 			for _, j := range b.jobs {
 				q.Drop(j)
 			}
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			q := NewQueue()
 			list := targets("a")
-			list[0].Born = 5
+			list[0].Start = 5
 			q.Configure(spec, list)
 			j, _ := newJob("first", 4, 500, 5000)
 			q.Add(j)
@@ -54,7 +54,7 @@
 			if calls := q.Next(at(200)); len(calls) != 0 {
 				t.Fatalf("%d calls to the same incarnation", len(calls))
 			}
-			list[0].Born = 3 // the target's clock was set back
+			list[0].Start = 3 // the target's clock was set back
 			q.Configure(spec, list)
 			if calls := q.Next(at(200)); len(calls) != 1 || calls[0].Pieces[0].Call != "next" {
 				t.Errorf("%d calls to the new incarnation", len(calls))
--- a/internal/state/batch/job.go
+++ b/internal/state/batch/job.go
@@ -29,25 +29,25 @@
 // Job is one stage of one request. Its exported fields are set before Queue.Add and not
 // changed by the caller afterwards.
 type Job struct {
-	Call   string   // the request's id
-	Stage  int      // the index of the stage in the request
-	Count  int      // the number of pieces
-	Key    string   // for stages without inputs
-	Inputs []string // handles, for stages with inputs
+	RequestID  string   // the request's id
+	Stage      int      // the index of the stage in the request
+	PieceCount int      // the number of pieces
+	Key        string   // for stages without inputs
+	Inputs     []string // handles, for stages with inputs
 	Request
-	// Bytes is the approximate size of one result.
-	Bytes float64
-	// Due is the latest start that meets the request's latency target.
-	Due time.Time
-	// End is the deadline of the request: results that come later are useless.
-	End time.Time
+	// ResultBytes is the approximate size of one result.
+	ResultBytes float64
+	// LatestStart is the latest start that meets the request's latency target.
+	LatestStart time.Time
+	// Deadline is the deadline of the request: results that come later are useless.
+	Deadline time.Time
 	// Urgency ranks the request; lower values go first.
 	Urgency int
 	// Hall is where the job's data is or will be read; "" means any. If it is empty, the queue
 	// sets it to the hall of the first target that gets pieces of the job.
 	Hall string
-	// Cross is how many bytes cross halls if the job runs in another hall.
-	Cross float64
+	// CrossHallBytes is how many bytes cross halls if the job runs in another hall.
+	CrossHallBytes float64
 	// Refused reports whether the job must not run on a target; nil means that none refuses
 	// it. It must not block or call the queue.
 	Refused func(t hookhall.Target) bool
@@ -84,12 +84,12 @@
 
 // prepare initializes the state of the pieces; all of them wait.
 func (j *Job) prepare() {
-	j.handles = make([]string, j.Count)
-	j.unfinishedCount = j.Count
-	j.inputsReadByPiece = make([]bool, j.Count)
-	j.unreadCount = j.Count
-	j.activeCalls = make([]int, j.Count)
-	for i := range j.Count {
+	j.handles = make([]string, j.PieceCount)
+	j.unfinishedCount = j.PieceCount
+	j.inputsReadByPiece = make([]bool, j.PieceCount)
+	j.unreadCount = j.PieceCount
+	j.activeCalls = make([]int, j.PieceCount)
+	for i := range j.PieceCount {
 		j.waiting = append(j.waiting, i)
 	}
 }
@@ -98,11 +98,11 @@
 func (j *Job) refusedBy(t hookhall.Target) bool { return j.Refused != nil && j.Refused(t) }
 
 // isLate reports whether the job can no longer meet its latency target.
-func (j *Job) isLate(now time.Time) bool { return now.After(j.Due) }
+func (j *Job) isLate(now time.Time) bool { return now.After(j.LatestStart) }
 
 // isStarted reports whether the job has some results. They occupy memory until the others
 // are made as well.
-func (j *Job) isStarted() bool { return j.unfinishedCount < j.Count }
+func (j *Job) isStarted() bool { return j.unfinishedCount < j.PieceCount }
 
 // before reports whether j goes before o into the next call.
 func (j *Job) before(o *Job, now time.Time) bool {
@@ -117,10 +117,10 @@
 		if j.Urgency != o.Urgency {
 			return j.Urgency < o.Urgency
 		}
-		return j.End.Before(o.End)
+		return j.Deadline.Before(o.Deadline)
 	}
-	jStart := j.Due.Add(time.Duration(j.Urgency) * urgencyStep)
-	oStart := o.Due.Add(time.Duration(o.Urgency) * urgencyStep)
+	jStart := j.LatestStart.Add(time.Duration(j.Urgency) * urgencyStep)
+	oStart := o.LatestStart.Add(time.Duration(o.Urgency) * urgencyStep)
 	return jStart.Before(oStart)
 }
 
@@ -153,15 +153,15 @@
 // already, its deadline.
 func (j *Job) hasNoSlack(call time.Duration, now time.Time) bool {
 	if j.isLate(now) {
-		return now.Add(2 * call).After(j.End)
+		return now.Add(2 * call).After(j.Deadline)
 	}
-	return now.Add(call).After(j.Due)
+	return now.Add(call).After(j.LatestStart)
 }
 
 // piece returns the piece at index i as sent to a target at now.
 func (j *Job) piece(i int, now time.Time) hookhall.Piece {
 	return hookhall.Piece{
-		Call: j.Call, Stage: j.Stage, Index: i, Key: j.Key, Inputs: j.Inputs, Left: j.End.Sub(now),
+		Call: j.RequestID, Stage: j.Stage, Index: i, Key: j.Key, Inputs: j.Inputs, Remaining: j.Deadline.Sub(now),
 	}
 }
 
--- a/internal/state/batch/queue.go
+++ b/internal/state/batch/queue.go
@@ -18,16 +18,16 @@
 	Pieces []hookhall.Piece
 	// Expected is the expected duration of the call.
 	Expected time.Duration
-	// Patience is how long after the start of the call it is overdue, so that its pieces
+	// StallTimeout is how long after the start of the call it is overdue, so that its pieces
 	// should be offered to other targets as well.
-	Patience time.Duration
-	// ReadBy is how long after the start of the call the target has read all inputs.
-	ReadBy     time.Duration
-	jobs       []*Job // the job of each piece, in the order of Pieces
-	began      time.Time
-	done       bool // the call has ended
-	overdue    bool // its pieces wait for another call as well
-	inputsRead bool // Queue.InputsRead was applied
+	StallTimeout time.Duration
+	// InputsReadAfter is how long after the start of the call the target has read all inputs.
+	InputsReadAfter time.Duration
+	jobs            []*Job // the job of each piece, in the order of Pieces
+	began           time.Time
+	done            bool // the call has ended
+	overdue         bool // its pieces wait for another call as well
+	inputsRead      bool // Queue.InputsRead was applied
 }
 
 // Requests returns the requests that the pieces of the call belong to, without duplicates.
@@ -46,7 +46,7 @@
 type Queue struct {
 	spec    hookhall.PoolSpec
 	jobs    []*Job
-	workers map[hookhall.Life]*worker
+	workers map[hookhall.Incarnation]*worker
 	// workerList holds the values of workers in any order. Each call iterates over all of
 	// them, which takes several times as long with a map.
 	workerList []*worker
@@ -67,7 +67,7 @@
 
 // NewQueue returns an empty queue. Configure must be called before Next.
 func NewQueue() *Queue {
-	return &Queue{workers: map[hookhall.Life]*worker{}, workersByHandle: map[string]*worker{}, healthyByHall: map[string]int{}}
+	return &Queue{workers: map[hookhall.Incarnation]*worker{}, workersByHandle: map[string]*worker{}, healthyByHall: map[string]int{}}
 }
 
 // Configure sets the operators' description of the pool and the targets that may get
@@ -75,13 +75,13 @@
 // calls have ended.
 func (q *Queue) Configure(spec hookhall.PoolSpec, targets []hookhall.Target) {
 	q.spec = spec
-	current := map[hookhall.Life]bool{}
+	current := map[hookhall.Incarnation]bool{}
 	for _, t := range targets {
-		current[t.Life()] = true
-		w := q.workers[t.Life()]
+		current[t.Incarnation()] = true
+		w := q.workers[t.Incarnation()]
 		if w == nil {
 			w = newWorker(t)
-			q.workers[t.Life()] = w
+			q.workers[t.Incarnation()] = w
 		}
 		w.Target = t
 	}
@@ -101,12 +101,12 @@
 	}
 }
 
-// Admit sets the function that reports which targets accept calls now; nil means all. The
+// SetAdmission sets the function that reports which targets accept calls now; nil means all. The
 // other targets keep their results.
-func (q *Queue) Admit(admits func(t hookhall.Target) bool) { q.admits = admits }
+func (q *Queue) SetAdmission(admits func(t hookhall.Target) bool) { q.admits = admits }
 
 // removeWorker removes a worker together with its results, except from workerList.
-func (q *Queue) removeWorker(l hookhall.Life, w *worker) {
+func (q *Queue) removeWorker(l hookhall.Incarnation, w *worker) {
 	for h := range w.results {
 		delete(q.workersByHandle, h)
 	}
@@ -175,8 +175,8 @@
 		if len(j.waiting) > 0 {
 			earliestEnd = now.Add(q.spec.CallTime)
 		}
-		if !j.finished && earliestEnd.After(j.End) {
-			j.finish(Outcome{Reason: hookhall.PieceLate})
+		if !j.finished && earliestEnd.After(j.Deadline) {
+			j.finish(Outcome{Reason: hookhall.PieceExpired})
 		}
 		if !j.finished {
 			kept = append(kept, j)
@@ -195,7 +195,7 @@
 // AbandonBefore does what Abandon does, but only for the jobs with a deadline before t, the
 // time of the next possible call.
 func (q *Queue) AbandonBefore(t time.Time) {
-	q.finishWaiting(hookhall.PieceNoTarget, func(j *Job) bool { return j.End.Before(t) })
+	q.finishWaiting(hookhall.PieceNoTarget, func(j *Job) bool { return j.Deadline.Before(t) })
 }
 
 // refuseJobs finishes the jobs with waiting pieces that every target refuses.
--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -19,8 +19,8 @@
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 var spec = hookhall.PoolSpec{
-	Slots: 1, Batch: 4, CallTime: 100 * time.Millisecond, ItemTime: 10 * time.Millisecond,
-	Room: 8, Keep: 4 * time.Second,
+	Slots: 1, MaxBatch: 4, CallTime: 100 * time.Millisecond, PieceTime: 10 * time.Millisecond,
+	ResultMemory: 8, ResultRetention: 4 * time.Second,
 }
 
 func targets(ids ...string) []hookhall.Target {
@@ -36,7 +36,7 @@
 func newJob(call string, count int, latestStart, deadline int) (*Job, *Outcome) {
 	o := &Outcome{}
 	return &Job{
-		Call: call, Count: count, Bytes: 1, Due: at(latestStart), End: at(deadline),
+		RequestID: call, PieceCount: count, ResultBytes: 1, LatestStart: at(latestStart), Deadline: at(deadline),
 		Finish: func(got Outcome) { *o = got },
 	}, o
 }
@@ -112,7 +112,7 @@
 			j, o := newJob("hopeless", 1, 10, 150)
 			q.Add(j)
 			So(q.Next(at(60)), ShouldBeEmpty)
-			So(o.Reason, ShouldEqual, hookhall.PieceLate)
+			So(o.Reason, ShouldEqual, hookhall.PieceExpired)
 		})
 	})
 }
@@ -140,7 +140,7 @@
 			So(len(q.Next(at(201))), ShouldEqual, 1)
 		})
 		Convey("results expire when the pool drops them", func() {
-			j.End = at(9000)
+			j.Deadline = at(9000)
 			So(len(q.Next(at(4300))), ShouldEqual, 1)
 		})
 	})
@@ -174,8 +174,8 @@
 			})
 		})
 		Convey("an overdue call is made elsewhere as well, and the first result counts", func() {
-			So(q.Overdue(b), ShouldBeTrue)
-			So(q.Overdue(b), ShouldBeFalse)
+			So(q.MarkOverdue(b), ShouldBeTrue)
+			So(q.MarkOverdue(b), ShouldBeFalse)
 			next := q.Next(at(300))
 			So(len(next), ShouldEqual, 1)
 			So(q.Done(next[0], successResults(next[0]), at(400)), ShouldBeEmpty)
@@ -185,14 +185,14 @@
 			})
 		})
 		Convey("the overdue call may still be first", func() {
-			q.Overdue(b)
+			q.MarkOverdue(b)
 			So(q.Done(b, successResults(b), at(250)), ShouldBeEmpty)
 			So(len(o.Handles), ShouldEqual, 4)
 			So(q.Waiting(), ShouldEqual, 0)
 		})
 		Convey("a missing input fails the job", func() {
-			q.Done(b, failureResults(b, hookhall.PieceGone), at(100))
-			So(o.Reason, ShouldEqual, hookhall.PieceGone)
+			q.Done(b, failureResults(b, hookhall.PieceInputGone), at(100))
+			So(o.Reason, ShouldEqual, hookhall.PieceInputGone)
 		})
 		Convey("errors are retried a limited number of times", func() {
 			for i := 0; i < 40 && o.Reason == ""; i++ {
@@ -230,7 +230,7 @@
 		q.Done(b, successResults(b), b.began.Add(4*b.Expected))
 		now := b.began.Add(4 * b.Expected)
 		tight, _ := newJob("tight", 2, 0, 90000)
-		tight.Due = now.Add(100 * time.Millisecond)
+		tight.LatestStart = now.Add(100 * time.Millisecond)
 		q.Add(tight)
 		Convey("it gets no job that would miss its latency target there", func() {
 			So(q.Next(now), ShouldBeEmpty)
@@ -257,7 +257,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				id := fmt.Sprint("j", step)
-				j := &Job{Call: id, Count: rapid.IntRange(1, 6).Draw(t, "count"), Bytes: 1, Due: now.Add(time.Second), End: now.Add(3 * time.Second)}
+				j := &Job{RequestID: id, PieceCount: rapid.IntRange(1, 6).Draw(t, "count"), ResultBytes: 1, LatestStart: now.Add(time.Second), Deadline: now.Add(3 * time.Second)}
 				j.Finish = func(o Outcome) {
 					finished[id]++
 					for _, h := range o.Handles {
@@ -278,7 +278,7 @@
 				}
 			case 3:
 				if len(inProgress) > 0 {
-					q.Overdue(inProgress[len(inProgress)-1])
+					q.MarkOverdue(inProgress[len(inProgress)-1])
 				}
 			case 4:
 				for h := range handles {
@@ -295,7 +295,7 @@
 			}
 			inProgress = append(inProgress, q.Next(now)...)
 			for _, s := range q.workers {
-				if s.bytes < 0 || s.bytes > spec.Room {
+				if s.bytes < 0 || s.bytes > spec.ResultMemory {
 					t.Fatalf("%v bytes at %s", s.bytes, s.Target.ID)
 				}
 			}
@@ -314,9 +314,9 @@
 func TestMemoryForCompleteJobs(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue()
-	q.Configure(hookhall.PoolSpec{Slots: 1, Batch: 8, CallTime: 100 * time.Millisecond, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
+	q.Configure(hookhall.PoolSpec{Slots: 1, MaxBatch: 8, CallTime: 100 * time.Millisecond, ResultMemory: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
 	add := func(call string, count int) *Job {
-		j := &Job{Call: call, Count: count, Bytes: 1, Due: now.Add(time.Second), End: now.Add(5 * time.Second), Finish: func(Outcome) {}}
+		j := &Job{RequestID: call, PieceCount: count, ResultBytes: 1, LatestStart: now.Add(time.Second), Deadline: now.Add(5 * time.Second), Finish: func(Outcome) {}}
 		q.Add(j)
 		return j
 	}
@@ -338,8 +338,8 @@
 	})
 	t.Run("a job too large for any target is started", func(t *testing.T) {
 		q := NewQueue()
-		q.Configure(hookhall.PoolSpec{Slots: 1, Batch: 8, Room: 3}, []hookhall.Target{{ID: "a", Hall: "h"}})
-		q.Add(&Job{Call: "large", Count: 5, Bytes: 1, Due: now.Add(time.Second), End: now.Add(5 * time.Second), Finish: func(Outcome) {}})
+		q.Configure(hookhall.PoolSpec{Slots: 1, MaxBatch: 8, ResultMemory: 3}, []hookhall.Target{{ID: "a", Hall: "h"}})
+		q.Add(&Job{RequestID: "large", PieceCount: 5, ResultBytes: 1, LatestStart: now.Add(time.Second), Deadline: now.Add(5 * time.Second), Finish: func(Outcome) {}})
 		if b := q.Next(now); len(b) != 1 || len(b[0].Pieces) != 3 {
 			t.Errorf("%v", b)
 		}
@@ -359,8 +359,8 @@
 func newConstrainedQueue(t *testing.T, inputsRead func()) (q *Queue, first *Job, b *Batch) {
 	t.Helper()
 	q = NewQueue()
-	q.Configure(hookhall.PoolSpec{Slots: 2, Batch: 8, CallTime: 100 * time.Millisecond, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
-	first = &Job{Call: "first", Count: 7, Bytes: 1, Inputs: []string{"x"}, Due: at(1000), End: at(5000), Finish: func(Outcome) {}, InputsRead: inputsRead}
+	q.Configure(hookhall.PoolSpec{Slots: 2, MaxBatch: 8, CallTime: 100 * time.Millisecond, ResultMemory: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
+	first = &Job{RequestID: "first", PieceCount: 7, ResultBytes: 1, Inputs: []string{"x"}, LatestStart: at(1000), Deadline: at(5000), Finish: func(Outcome) {}, InputsRead: inputsRead}
 	q.Add(first)
 	calls := q.Next(start)
 	if len(calls) != 1 || len(calls[0].Pieces) != 7 {
@@ -375,8 +375,8 @@
 	t.Run("called once, when all pieces are in calls that have read them", func(t *testing.T) {
 		callCount := 0
 		q, _, b := newConstrainedQueue(t, func() { callCount++ })
-		if b.ReadBy != minInputsReadDelay || callCount != 0 {
-			t.Fatalf("read after %v, called %d times", b.ReadBy, callCount)
+		if b.InputsReadAfter != minInputsReadDelay || callCount != 0 {
+			t.Fatalf("read after %v, called %d times", b.InputsReadAfter, callCount)
 		}
 		q.InputsRead(b, at(50))
 		q.InputsRead(b, at(50))
@@ -405,15 +405,15 @@
 	})
 	t.Run("a second call that misses them does not fail pieces in the first one", func(t *testing.T) {
 		q, first, b := newConstrainedQueue(t, nil)
-		q.Overdue(b)
-		q.Configure(hookhall.PoolSpec{Slots: 2, Batch: 8, Room: 10}, []hookhall.Target{{ID: "a", Hall: "h"}, {ID: "b", Hall: "h"}})
+		q.MarkOverdue(b)
+		q.Configure(hookhall.PoolSpec{Slots: 2, MaxBatch: 8, ResultMemory: 10}, []hookhall.Target{{ID: "a", Hall: "h"}, {ID: "b", Hall: "h"}})
 		again := q.Next(at(300))
 		if len(again) != 1 || again[0].Target.ID != "b" {
 			t.Fatalf("%v", again)
 		}
 		gone := make([]hookhall.PieceResult, 7)
 		for i := range gone {
-			gone[i].Failure = hookhall.PieceGone
+			gone[i].Failure = hookhall.PieceInputGone
 		}
 		again[0].overdue = false
 		q.Done(again[0], gone, at(350))
@@ -431,15 +431,15 @@
 // it, or long after pieces last did not fit.
 func TestMemoryConstrained(t *testing.T) {
 	q, _, _ := newConstrainedQueue(t, nil)
-	if q.Crowded(start) {
+	if q.MemoryConstrained(start) {
 		t.Error("memory-constrained while nothing waits")
 	}
-	q.Add(&Job{Call: "second", Count: 8, Bytes: 1, Due: at(1000), End: at(5000), Finish: func(Outcome) {}})
+	q.Add(&Job{RequestID: "second", PieceCount: 8, ResultBytes: 1, LatestStart: at(1000), Deadline: at(5000), Finish: func(Outcome) {}})
 	q.Next(at(10))
-	if !q.Crowded(at(20)) {
+	if !q.MemoryConstrained(at(20)) {
 		t.Error("not memory-constrained, though enough pieces for a call did not fit")
 	}
-	if q.Crowded(at(500)) {
+	if q.MemoryConstrained(at(500)) {
 		t.Error("memory-constrained long after pieces did not fit")
 	}
 }
--- a/internal/state/batch/results.go
+++ b/internal/state/batch/results.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// Overdue makes the unfinished pieces of a call that takes too long wait for another call
+// MarkOverdue makes the unfinished pieces of a call that takes too long wait for another call
 // as well. The result that comes first is used; Done returns the other one as unwanted.
-// Overdue returns false if it was called for b before.
-func (q *Queue) Overdue(b *Batch) bool {
+// MarkOverdue returns false if it was called for b before.
+func (q *Queue) MarkOverdue(b *Batch) bool {
 	if b.overdue {
 		return false
 	}
@@ -39,9 +39,9 @@
 	return true
 }
 
-// Ended records that the target of b crashed during the call. Any of the jobs may have
+// TargetCrashed records that the target of b crashed during the call. Any of the jobs may have
 // caused the crash, so each is isolated from other jobs from now on.
-func (q *Queue) Ended(b *Batch) {
+func (q *Queue) TargetCrashed(b *Batch) {
 	for _, j := range b.jobs {
 		j.isolated = true
 	}
@@ -55,7 +55,7 @@
 	defer q.updateAfterCall(w)
 	if len(results) != len(b.Pieces) {
 		w.recordFailure(now)
-		q.Overdue(b)
+		q.MarkOverdue(b)
 		return nil
 	}
 	w.failures = 0
@@ -78,20 +78,20 @@
 func (q *Queue) Withdraw(b *Batch) {
 	w := q.endCall(b)
 	defer q.updateAfterCall(w)
-	q.Overdue(b)
+	q.MarkOverdue(b)
 }
 
 // endCall updates the counts for a call that is no longer in progress, and returns the
 // worker that had it.
 func (q *Queue) endCall(b *Batch) *worker {
-	w := q.workers[b.Target.Life()]
+	w := q.workers[b.Target.Incarnation()]
 	if w == nil {
 		w = newWorker(b.Target)
 	}
 	w.activeCalls--
 	b.done = true
 	for i, j := range b.jobs {
-		q.addBytes(w, -j.Bytes)
+		q.addBytes(w, -j.ResultBytes)
 		j.activeCalls[b.Pieces[i].Index]--
 	}
 	return w
@@ -102,7 +102,7 @@
 func (q *Queue) updateAfterCall(w *worker) {
 	q.updateHealthy(w)
 	if w.removed && w.activeCalls == 0 {
-		q.removeWorker(w.Target.Life(), w)
+		q.removeWorker(w.Target.Incarnation(), w)
 		q.workerList = slices.DeleteFunc(q.workerList, func(o *worker) bool { return o == w })
 	}
 }
@@ -118,9 +118,9 @@
 	}
 	j.removeWaiting(index)
 	j.markInputsRead(index)
-	w.results[r.Handle] = heldResult{j.Bytes, now.Add(q.spec.Keep)}
+	w.results[r.Handle] = heldResult{j.ResultBytes, now.Add(q.spec.ResultRetention)}
 	q.workersByHandle[r.Handle] = w
-	q.addBytes(w, j.Bytes)
+	q.addBytes(w, j.ResultBytes)
 	j.handles[index] = r.Handle
 	j.unfinishedCount--
 	if j.unfinishedCount == 0 {
@@ -134,15 +134,15 @@
 // or finishes the job.
 func (q *Queue) applyFailure(w *worker, j *Job, index int, f hookhall.PieceFailure, now time.Time) {
 	switch f {
-	case hookhall.PieceGone, hookhall.PieceLate:
+	case hookhall.PieceInputGone, hookhall.PieceExpired:
 		if j.activeCalls[index] > 0 {
 			return // another call started earlier and has read the inputs
 		}
 		q.removeJob(j)
 		j.finish(Outcome{Reason: f})
-	case hookhall.PieceNoRoom:
+	case hookhall.PieceNoMemory:
 		w.noMemoryUntil = now.Add(noMemoryPause)
-		q.unaccountedUntil = now.Add(q.spec.Keep)
+		q.unaccountedUntil = now.Add(q.spec.ResultRetention)
 		q.requeue(j, index)
 	default:
 		q.requeue(j, index)
@@ -195,6 +195,6 @@
 	return list
 }
 
-// Held returns how many bytes are counted at all targets, including those reserved for
+// HeldResults returns how many bytes are counted at all targets, including those reserved for
 // calls in progress, and the number of results held there.
-func (q *Queue) Held() (bytes float64, results int) { return q.bytes, len(q.workersByHandle) }
+func (q *Queue) HeldResults() (bytes float64, results int) { return q.bytes, len(q.workersByHandle) }
--- a/internal/state/batch/scale_test.go
+++ b/internal/state/batch/scale_test.go
@@ -28,11 +28,11 @@
 	for _, n := range []int{5, 100, 1358} {
 		b.Run(fmt.Sprint(n, " targets"), func(b *testing.B) {
 			q := NewQueue()
-			largeSpec := hookhall.PoolSpec{Slots: 1, Batch: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, Room: 41e6, Keep: 4 * time.Second}
+			largeSpec := hookhall.PoolSpec{Slots: 1, MaxBatch: 8, CallTime: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond, ResultMemory: 41e6, ResultRetention: 4 * time.Second}
 			q.Configure(largeSpec, manyTargets(n))
 			now := start
 			add := func(call string) *Batch {
-				j := &Job{Call: call, Count: 3, Bytes: 3e6, Hall: "hall-1", Cross: 3e6, Due: now.Add(time.Second), End: now.Add(time.Hour), Finish: func(Outcome) {}}
+				j := &Job{RequestID: call, PieceCount: 3, ResultBytes: 3e6, Hall: "hall-1", CrossHallBytes: 3e6, LatestStart: now.Add(time.Second), Deadline: now.Add(time.Hour), Finish: func(Outcome) {}}
 				q.Add(j)
 				calls := q.Next(now)
 				if len(calls) != 1 {
@@ -122,7 +122,7 @@
 			healthyByHall[s.Target.Hall]++
 		}
 	}
-	if b, n := q.Held(); b != bytes || n != results {
+	if b, n := q.HeldResults(); b != bytes || n != results {
 		t.Fatalf("the queue counts %v bytes and %d results, its workers %v and %d", b, n, bytes, results)
 	}
 	if len(q.workerList) != len(q.workers) {
@@ -146,7 +146,7 @@
 	}
 	q := NewQueue()
 	q.Configure(spec, list)
-	q.Try("new", share)
+	q.SetCanary("new", share)
 	canaryCalls, calls := 0, 0
 	for i := range 400 {
 		j, _ := newJob(fmt.Sprint("job ", i), 4, 60000, 90000)
--- a/internal/state/budget/budget.go
+++ b/internal/state/budget/budget.go
@@ -62,12 +62,12 @@
 // concurrent use.
 type Budget struct {
 	limits      Limits
-	getPosition func(now time.Time) quota.Sharers
+	getPosition func(now time.Time) quota.Position
 	startedAt   time.Time // start of the process
 
 	mu               sync.Mutex
 	bucketsByService map[string]*bucket
-	position         quota.Sharers
+	position         quota.Position
 	positionAt       time.Time // when position was refreshed
 }
 
@@ -81,7 +81,7 @@
 // New returns an empty Budget of a process that started at startedAt. getPosition returns the
 // position of this process among those that share the slack. It is called with the Budget
 // locked.
-func New(l Limits, getPosition func(now time.Time) quota.Sharers, startedAt time.Time) *Budget {
+func New(l Limits, getPosition func(now time.Time) quota.Position, startedAt time.Time) *Budget {
 	return &Budget{limits: l, getPosition: getPosition, startedAt: startedAt, bucketsByService: map[string]*bucket{}}
 }
 
@@ -128,7 +128,7 @@
 	share := b.limits.Slack / float64(b.position.Count)
 	if share < 1 {
 		// A fraction of a retry can't be spent, so that the first processes get a whole one.
-		if float64(b.position.Place) < math.Floor(b.limits.Slack) {
+		if float64(b.position.Index) < math.Floor(b.limits.Slack) {
 			return 1, 0
 		}
 		return 0, 0
@@ -142,8 +142,8 @@
 // much of the slack if there are no more processes than the slack has retries.
 func (b *Budget) capacityWithoutPosition() float64 { return min(1, math.Floor(b.limits.Slack)) }
 
-// Request counts a request for a service.
-func (b *Budget) Request(service string, now time.Time) {
+// RecordRequest counts a request for a service.
+func (b *Budget) RecordRequest(service string, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.bucket(service, now)
@@ -151,35 +151,35 @@
 	u.add(b.limits.Ratio, capacity)
 }
 
-// Account is the result of Spend, with the state of the service's bucket.
-type Account struct {
-	Granted bool          // the retry may be sent
-	Held    float64       // tokens before this retry
-	Most    float64       // tokens that the bucket holds
-	Sharers int           // processes that share the slack, 0 if unknown
-	Age     time.Duration // since the start of this process
+// Decision is the result of Spend, with the state of the service's bucket.
+type Decision struct {
+	Granted    bool          // the retry may be sent
+	Available  float64       // tokens before this retry
+	Capacity   float64       // tokens that the bucket holds
+	Processes  int           // processes that share the slack, 0 if unknown
+	ProcessAge time.Duration // since the start of this process
 	// fullCount is the bucket's at the time.
 	fullCount uint64
 }
 
 // Spend takes the token of one retry out of a service's bucket if there is one.
-func (b *Budget) Spend(service string, now time.Time) Account {
+func (b *Budget) Spend(service string, now time.Time) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u := b.bucket(service, now)
 	capacity, _ := b.slackPart()
-	d := Account{Held: u.tokens, Most: capacity, Sharers: b.position.Count, Age: now.Sub(b.startedAt), fullCount: u.fullCount}
+	d := Decision{Available: u.tokens, Capacity: capacity, Processes: b.position.Count, ProcessAge: now.Sub(b.startedAt), fullCount: u.fullCount}
 	if d.Granted = u.tokens >= 1; d.Granted {
 		u.tokens--
 	}
 	return d
 }
 
-// Renew reports whether a retry that Spend granted may still be sent, and spends another
+// Revalidate reports whether a retry that Spend granted may still be sent, and spends another
 // token if the bucket has been full since. Between the grant and the attempt a request may
 // repeat its stages for seconds; without this check, retries that were granted over two
 // windows could be sent within one.
-func (b *Budget) Renew(service string, d Account, now time.Time) bool {
+func (b *Budget) Revalidate(service string, d Decision, now time.Time) bool {
 	b.mu.Lock()
 	stillGranted := b.bucket(service, now).fullCount == d.fullCount
 	b.mu.Unlock()
@@ -188,21 +188,21 @@
 
 // Status is the state of a Budget as operators read it.
 type Status struct {
-	Sharers int                `json:"sharers"` // processes that share the slack, 0 if unknown
-	Most    float64            `json:"most"`    // retries that the bucket of a service holds
-	Held    map[string]float64 `json:"held"`    // retries in the bucket, by service
+	Processes int                `json:"sharers"` // processes that share the slack, 0 if unknown
+	Capacity  float64            `json:"most"`    // retries that the bucket of a service holds
+	Available map[string]float64 `json:"held"`    // retries in the bucket, by service
 }
 
 // Status returns the state of the budget at now.
 func (b *Budget) Status(now time.Time) Status {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := Status{Held: map[string]float64{}}
+	s := Status{Available: map[string]float64{}}
 	for service := range b.bucketsByService {
-		s.Held[service] = b.bucket(service, now).tokens
+		s.Available[service] = b.bucket(service, now).tokens
 	}
 	b.refreshPosition(now)
-	s.Sharers = b.position.Count
-	s.Most, _ = b.slackPart()
+	s.Processes = b.position.Count
+	s.Capacity, _ = b.slackPart()
 	return s
 }
--- a/internal/state/budget/budget_test.go
+++ b/internal/state/budget/budget_test.go
@@ -13,8 +13,8 @@
 )
 
 // firstOf returns a function that reports count processes, of which this one is the first.
-func firstOf(count int) func(time.Time) quota.Sharers {
-	return func(time.Time) quota.Sharers { return quota.Sharers{Count: count} }
+func firstOf(count int) func(time.Time) quota.Position {
+	return func(time.Time) quota.Position { return quota.Position{Count: count} }
 }
 
 func TestBudget(t *testing.T) {
@@ -42,11 +42,11 @@
 		})
 		Convey("each request adds the ratio, up to the capacity of the bucket", func() {
 			for range 5 {
-				b.Request("s", start)
+				b.RecordRequest("s", start)
 			}
 			So(spend(10, start), ShouldEqual, 1)
 			for range 50 {
-				b.Request("s", start)
+				b.RecordRequest("s", start)
 			}
 			So(spend(100, start), ShouldEqual, 6)
 		})
@@ -60,31 +60,31 @@
 			now := start.Add(time.Minute)
 			So(spend(10, now), ShouldEqual, 0)
 			for range 10 {
-				b.Request("s", now)
+				b.RecordRequest("s", now)
 			}
 			So(spend(10, now), ShouldEqual, 1)
 		})
 		Convey("a grant remains valid while the bucket has not been full", func() {
 			now := start.Add(time.Hour)
 			d := b.Spend("s", now)
-			So(b.Renew("s", d, now.Add(time.Second)), ShouldBeTrue)
-			So(b.Spend("s", now.Add(time.Second)).Held, ShouldAlmostEqual, 5.56)
+			So(b.Revalidate("s", d, now.Add(time.Second)), ShouldBeTrue)
+			So(b.Spend("s", now.Add(time.Second)).Available, ShouldAlmostEqual, 5.56)
 		})
 		Convey("a grant from before the bucket was full costs another token", func() {
 			now := start.Add(time.Hour)
 			d := b.Spend("s", now)
 			now = now.Add(window)
-			So(b.Renew("s", d, now), ShouldBeTrue)
-			So(b.Spend("s", now).Held, ShouldAlmostEqual, 5.4)
+			So(b.Revalidate("s", d, now), ShouldBeTrue)
+			So(b.Spend("s", now).Available, ShouldAlmostEqual, 5.4)
 			spend(10, now)
-			So(b.Renew("s", d, now), ShouldBeFalse)
+			So(b.Revalidate("s", d, now), ShouldBeFalse)
 		})
 	})
 	Convey("Given more processes than the slack has whole retries, only the first ones have one", t, func() {
 		for index := range 5 {
-			b := New(Limits{Ratio: 0.2, Window: window, Slack: 3.5}, func(time.Time) quota.Sharers { return quota.Sharers{Count: 5, Place: index} }, start)
+			b := New(Limits{Ratio: 0.2, Window: window, Slack: 3.5}, func(time.Time) quota.Position { return quota.Position{Count: 5, Index: index} }, start)
 			for range 100 {
-				b.Request("s", start)
+				b.RecordRequest("s", start)
 			}
 			So(b.Spend("s", start).Granted, ShouldEqual, index < 3)
 			So(b.Spend("s", start).Granted, ShouldBeFalse)
@@ -103,7 +103,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			if rapid.Bool().Draw(t, "request") {
-				b.Request("s", now)
+				b.RecordRequest("s", now)
 				requests = append(requests, now)
 			} else if b.Spend("s", now).Granted {
 				retries = append(retries, now)
@@ -146,7 +146,7 @@
 					budgets[i] = New(Limits{Ratio: ratio, Window: window, Slack: slack}, firstOf(fleet), now)
 				}
 				if rapid.Bool().Draw(t, "request") {
-					budgets[i].Request("s", now)
+					budgets[i].RecordRequest("s", now)
 					requests = append(requests, now)
 				}
 				for budgets[i].Spend("s", now).Granted {
@@ -171,7 +171,7 @@
 		ratio  = 0.2
 	)
 	type pendingRetry struct {
-		decision Account
+		decision Decision
 		due      time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -185,7 +185,7 @@
 				b, pending = New(limits, firstOf(1), now), nil
 			}
 			for range rapid.IntRange(0, 3).Draw(t, "requests") {
-				b.Request("s", now)
+				b.RecordRequest("s", now)
 				requests = append(requests, now)
 			}
 			for range rapid.IntRange(0, 4).Draw(t, "failures") {
@@ -198,7 +198,7 @@
 			for _, p := range pending {
 				if p.due.After(now) {
 					remaining = append(remaining, p)
-				} else if b.Renew("s", p.decision, now) {
+				} else if b.Revalidate("s", p.decision, now) {
 					sent = append(sent, now)
 				}
 			}
@@ -255,7 +255,7 @@
 					budgets[i] = New(Limits{Ratio: ratio, Window: window, Slack: slack}, firstOf(fleet), now)
 				}
 				for range rapid.IntRange(0, maxRequestsPerStep).Draw(t, "requests") {
-					budgets[i].Request("s", now)
+					budgets[i].RecordRequest("s", now)
 					requests = append(requests, now)
 				}
 				for refusing && budgets[i].Spend("s", now).Granted {
--- a/internal/state/claim/schedule_test.go
+++ b/internal/state/claim/schedule_test.go
@@ -275,7 +275,7 @@
 	}
 	for before := -1; ; {
 		checksum := 0
-		for _, need := range n.store.Missing() {
+		for _, need := range n.store.MissingEpochs() {
 			if s.usedSlots[need.Slot] {
 				checksum += int(need.Epoch) + 1000
 			}
@@ -292,11 +292,11 @@
 // reports the epochs whose pair has ended to the store.
 func (s *simulation) fetch(n *node) {
 	v := n.store.Placement().View
-	for _, need := range n.store.Missing() {
+	for _, need := range n.store.MissingEpochs() {
 		if !s.usedSlots[need.Slot] {
 			continue // no key of the test is in this slot
 		}
-		members, ok := view.At(v, need.Epoch)
+		members, ok := view.MembersAt(v, need.Epoch)
 		if !ok {
 			continue
 		}
@@ -318,7 +318,7 @@
 			}
 		}
 		if pairGone {
-			n.store.Lost(need, s.now)
+			n.store.MarkPairLost(need, s.now)
 		}
 	}
 }
--- a/internal/state/claim/standby.go
+++ b/internal/state/claim/standby.go
@@ -53,9 +53,9 @@
 func (l *slot) snapshot(number uint32) hookhall.SlotRecords {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := hookhall.SlotRecords{Slot: number, Through: l.completeThrough}
+	r := hookhall.SlotRecords{Slot: number, CompleteThrough: l.completeThrough}
 	for epoch := range l.completeEpochs {
-		r.Layers = append(r.Layers, epoch)
+		r.CompleteEpochs = append(r.CompleteEpochs, epoch)
 	}
 	for _, held := range l.records {
 		n := held.Record
@@ -83,10 +83,10 @@
 			l.put(n)
 		}
 	}
-	if r.Through > l.completeThrough {
-		l.completeThrough = r.Through
+	if r.CompleteThrough > l.completeThrough {
+		l.completeThrough = r.CompleteThrough
 	}
-	for _, epoch := range r.Layers {
+	for _, epoch := range r.CompleteEpochs {
 		l.completeEpochs[epoch] = true
 	}
 	l.compact()
@@ -99,22 +99,22 @@
 	return n.State != old.State && old.State == hookhall.StatePending
 }
 
-// Need is an epoch of a slot of which this process doesn't hold every grant.
-type Need struct {
+// MissingEpoch is an epoch of a slot of which this process doesn't hold every grant.
+type MissingEpoch struct {
 	Slot  uint32
 	Epoch uint64
 }
 
-// Missing returns, for each slot whose pair includes this process and whose records are
+// MissingEpochs returns, for each slot whose pair includes this process and whose records are
 // incomplete, the newest epoch that is missing. The newest comes first because the
 // members that served it usually hold all earlier ones too.
-func (s *Store) Missing() []Need {
-	var needs []Need
+func (s *Store) MissingEpochs() []MissingEpoch {
+	var needs []MissingEpoch
 	for i := range s.slots {
 		l := &s.slots[i]
 		l.mu.Lock()
 		if l.pair.Has(s.self) && !l.isComplete() {
-			needs = append(needs, Need{Slot: uint32(i), Epoch: l.newestMissingEpoch()})
+			needs = append(needs, MissingEpoch{Slot: uint32(i), Epoch: l.newestMissingEpoch()})
 		}
 		l.mu.Unlock()
 	}
@@ -136,11 +136,11 @@
 // member that leaves may still grant for a moment after it was seen to be gone.
 const lostMarginDivisor = 10
 
-// Lost records that both members of the pair that served the slot at n.Epoch are known
+// MarkPairLost records that both members of the pair that served the slot at n.Epoch are known
 // to have ended. Repeated calls return true once the retention and its margin have passed since
 // the first call: every claim of that epoch has expired, and the epoch counts as
 // complete.
-func (s *Store) Lost(n Need, now time.Time) bool {
+func (s *Store) MarkPairLost(n MissingEpoch, now time.Time) bool {
 	l := &s.slots[n.Slot]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,11 +157,11 @@
 	return true
 }
 
-// Forget marks all epochs of a slot that are lower than before as complete, for epochs
+// MarkCompleteBefore marks all epochs of a slot that are lower than before as complete, for epochs
 // that the view's history no longer covers. It may be called only after the retention
 // has passed without an unfenced member in the view, so that all their claims have
 // expired.
-func (s *Store) Forget(slotNumber uint32, before uint64) {
+func (s *Store) MarkCompleteBefore(slotNumber uint32, before uint64) {
 	l := &s.slots[slotNumber]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -171,10 +171,10 @@
 	}
 }
 
-// Whole reports whether the process has reached epoch and holds complete records of all
+// IsComplete reports whether the process has reached epoch and holds complete records of all
 // slots whose pair includes it.
-func (s *Store) Whole(epoch uint64) bool {
-	return s.Placement().View.Epoch >= epoch && len(s.Missing()) == 0
+func (s *Store) IsComplete(epoch uint64) bool {
+	return s.Placement().View.Epoch >= epoch && len(s.MissingEpochs()) == 0
 }
 
 // Summary is the store's part of a state dump: the epoch of the view in force, and
@@ -191,7 +191,7 @@
 // Summary returns the current counts; it locks one slot at a time, so they are not of
 // one instant.
 func (s *Store) Summary() Summary {
-	sum := Summary{Epoch: s.Placement().View.Epoch, Missing: len(s.Missing())}
+	sum := Summary{Epoch: s.Placement().View.Epoch, Missing: len(s.MissingEpochs())}
 	for i := range s.slots {
 		l := &s.slots[i]
 		l.mu.Lock()
--- a/internal/state/claim/store.go
+++ b/internal/state/claim/store.go
@@ -40,8 +40,8 @@
 	memberIDs map[string]bool
 }
 
-// Alive reports whether the member with this ID is in the view.
-func (p *Placement) Alive(id string) bool { return p.memberIDs[id] }
+// IsMember reports whether the member with this ID is in the view.
+func (p *Placement) IsMember(id string) bool { return p.memberIDs[id] }
 
 // slot holds the records of the keys that hash to one slot.
 type slot struct {
@@ -127,7 +127,7 @@
 func (s *Store) servedEpochs(old, v *hookhall.View) map[uint64][]hookhall.Member {
 	served := map[uint64][]hookhall.Member{}
 	for epoch := v.Epoch - 1; epoch > old.Epoch; epoch-- {
-		members, ok := view.At(v, epoch)
+		members, ok := view.MembersAt(v, epoch)
 		if !ok {
 			continue
 		}
--- a/internal/state/claim/store_test.go
+++ b/internal/state/claim/store_test.go
@@ -19,7 +19,7 @@
 		hookhall.Member{ID: "b#1", Instance: "b", Hall: "h2"})
 	stores := map[string]*Store{"a#1": New("a#1", time.Minute), "b#1": New("b#1", time.Minute)}
 	// Epoch 1 had a single member; both stores go through both epochs.
-	first, _ := view.At(v, 1)
+	first, _ := view.MembersAt(v, 1)
 	firstView := &hookhall.View{Epoch: 1, Revision: 1, Members: first}
 	for _, s := range stores {
 		s.Advance(firstView)
@@ -150,7 +150,7 @@
 			So(done, ShouldBeFalse)
 			later := refused.Record
 			later.Token, later.Sequence, later.State = 2, refused.Record.Sequence+1, hookhall.StateFinished
-			owner.Merge(hookhall.SlotRecords{Slot: view.SlotOf("k"), Through: without.Epoch, Records: []hookhall.Record{later}})
+			owner.Merge(hookhall.SlotRecords{Slot: view.SlotOf("k"), CompleteThrough: without.Epoch, Records: []hookhall.Record{later}})
 			done, _, _ = owner.Settle(release, now)
 			So(done, ShouldBeFalse)
 			q := newClaimRequest("k", 3)
--- a/internal/state/clock/clock.go
+++ b/internal/state/clock/clock.go
@@ -102,9 +102,9 @@
 // Until returns the time left until t.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Check detects a suspension that is not yet recorded, adds it to this clock,
+// DetectSuspension detects a suspension that is not yet recorded, adds it to this clock,
 // and returns its duration, or 0 if there was none.
-func Check() time.Duration {
+func DetectSuspension() time.Duration {
 	duration := bootOffset() - state.baseOffset - time.Duration(state.suspended.Load())
 	if duration < minSuspension {
 		return 0
@@ -134,10 +134,10 @@
 	return duration
 }
 
-// Watch checks for suspensions every watchInterval until ctx ends, and calls
+// WatchSuspensions checks for suspensions every watchInterval until ctx ends, and calls
 // suspended with the duration of each that it detects. Suspensions end pauses only while
 // it runs.
-func Watch(ctx context.Context, suspended func(time.Duration)) {
+func WatchSuspensions(ctx context.Context, suspended func(time.Duration)) {
 	resumed := make(chan struct{})
 	state.resumed.Store(&resumed)
 	defer state.resumed.Store(nil)
@@ -149,15 +149,15 @@
 			return
 		case <-tick.C:
 		}
-		if duration := Check(); duration > 0 {
+		if duration := DetectSuspension(); duration > 0 {
 			suspended(duration)
 		}
 	}
 }
 
-// Woken returns a channel that is closed at the end of the next suspension, or nil while
+// Resumed returns a channel that is closed at the end of the next suspension, or nil while
 // Watch is not running.
-func Woken() <-chan struct{} {
+func Resumed() <-chan struct{} {
 	if resumed := state.resumed.Load(); resumed != nil {
 		return *resumed
 	}
--- a/internal/state/clock/clock_test.go
+++ b/internal/state/clock/clock_test.go
@@ -43,7 +43,7 @@
 				for _, d := range c.suspensions {
 					time.Sleep(time.Second)
 					suspend(d)
-					Check()
+					DetectSuspension()
 				}
 				awake := time.Duration(len(c.suspensions)) * time.Second
 				if got := Since(began) - awake; got != c.want {
@@ -63,12 +63,12 @@
 	withSuspend(t, func(t *testing.T, suspend func(time.Duration)) {
 		before := Now()
 		suspend(-time.Second)
-		if Check() != 0 || Now().Before(before) {
+		if DetectSuspension() != 0 || Now().Before(before) {
 			t.Error("clock went backwards")
 		}
 		unavailable := func() time.Duration { return 0 }
 		bootClock.Store(&unavailable)
-		if Check() != 0 || Now().Before(before) {
+		if DetectSuspension() != 0 || Now().Before(before) {
 			t.Error("clock went backwards")
 		}
 	})
@@ -92,7 +92,7 @@
 				defer cancel()
 				time.Sleep(time.Second)
 				suspend(c.suspended)
-				Check()
+				DetectSuspension()
 				resumed := time.Now()
 				<-ctx.Done()
 				if took := time.Since(resumed); took != c.after || !errors.Is(ctx.Err(), c.err) {
@@ -111,7 +111,7 @@
 // pauses running.
 func TestWatch(t *testing.T) {
 	withSuspend(t, func(t *testing.T, suspend func(time.Duration)) {
-		if Woken() != nil {
+		if Resumed() != nil {
 			t.Error("channel without a running Watch")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -119,10 +119,10 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			Watch(ctx, func(d time.Duration) { reported = append(reported, d) })
+			WatchSuspensions(ctx, func(d time.Duration) { reported = append(reported, d) })
 		}()
 		synctest.Wait()
-		resumed := Woken()
+		resumed := Resumed()
 		suspend(3 * time.Second)
 		time.Sleep(watchInterval)
 		synctest.Wait()
@@ -148,7 +148,7 @@
 
 func BenchmarkCheck(b *testing.B) {
 	for b.Loop() {
-		Check()
+		DetectSuspension()
 	}
 }
 
--- a/internal/state/crashes/crash.go
+++ b/internal/state/crashes/crash.go
@@ -11,30 +11,30 @@
 	"github.com/hookhall/hookhall"
 )
 
-// End records that an incarnation of a target crashed while it ran a request content.
-type End struct {
+// Crash records that an incarnation of a target crashed while it ran a request content.
+type Crash struct {
 	Content Digest
 	// Account is the client account whose capacity the content counts against, "" for
 	// requests without one.
-	Account string
-	Life    hookhall.Life // the incarnation that crashed
+	Account     string
+	Incarnation hookhall.Incarnation // the incarnation that crashed
 	// Software is what the target ran: its service and version.
 	Software string
-	// Served reports whether the reporting process had served the content shortly before the
+	// RecentlyServed reports whether the reporting process had served the content shortly before the
 	// crash, so that it does not crash every target that runs it.
-	Served bool
+	RecentlyServed bool
 	// Cleared is set once a target gave a complete response to the content.
 	Cleared bool
-	// At is the time of the first report, by the clock of this process.
-	At time.Time
+	// ReportedAt is the time of the first report, by the clock of this process.
+	ReportedAt time.Time
 }
 
-// checksum returns the contribution of e to Ledger.Sum.
-func (e *End) checksum() uint64 {
+// checksum returns the contribution of e to Ledger.Checksum.
+func (e *Crash) checksum() uint64 {
 	b := make([]byte, 0, 128)
 	b = append(b, e.Content[:]...)
-	b = append(append(b, e.Life.ID...), 0)
-	b = binary.AppendVarint(b, e.Life.Born)
+	b = append(append(b, e.Incarnation.ID...), 0)
+	b = binary.AppendVarint(b, e.Incarnation.Start)
 	if e.Cleared {
 		b = append(b, 1)
 	}
--- a/internal/state/crashes/digest.go
+++ b/internal/state/crashes/digest.go
@@ -18,9 +18,9 @@
 // Requests with the same content have equal digests, whatever their ids.
 type Digest [digestSize]byte
 
-// Sum returns the digest of a request. Each part but the body is preceded by its length, so
+// DigestOf returns the digest of a request. Each part but the body is preceded by its length, so
 // that no two requests yield the same bytes by splitting them differently.
-func Sum(account, host, uri string, body []byte) Digest {
+func DigestOf(account, host, uri string, body []byte) Digest {
 	h := sha256.New()
 	for _, s := range []string{account, host, uri} {
 		_, _ = h.Write(binary.AppendUvarint(nil, uint64(len(s)))) // a hash never returns an error
--- a/internal/state/crashes/doc.go
+++ b/internal/state/crashes/doc.go
@@ -16,13 +16,13 @@
 //
 // Ledgers of several processes are merged by union, and a cleared crash stays cleared.
 // So reports may arrive in any order, more than once and through other processes, and
-// the ledgers still become equal, which Ledger.Sum shows.
+// the ledgers still become equal, which Ledger.Checksum shows.
 //
 // # Invariants
 //
-//   - A content is refused only with crashes of at least Limits.Ends incarnations, none of
+//   - A content is refused only with crashes of at least Limits.MinCrashes incarnations, none of
 //     them cleared.
-//   - A crash counts for Limits.Keep at most, from its first report.
+//   - A crash counts for Limits.Retention at most, from its first report.
 //   - The number of contents in a ledger is bounded, and no account can use the capacity
 //     of others.
 //   - Readers get an immutable status and need no lock.
--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -17,15 +17,15 @@
 
 // Limits bound a Ledger.
 type Limits struct {
-	// Ends is the number of incarnations with an uncleared crash from which a content is
+	// MinCrashes is the number of incarnations with an uncleared crash from which a content is
 	// refused.
-	Ends int
-	// Keep is how long a crash counts, from its first report.
-	Keep time.Duration
-	// Contents is the maximum number of contents.
-	Contents int
-	// PerAccount is the maximum number of contents of one account.
-	PerAccount int
+	MinCrashes int
+	// Retention is how long a crash counts, from its first report.
+	Retention time.Duration
+	// MaxContents is the maximum number of contents.
+	MaxContents int
+	// MaxContentsPerAccount is the maximum number of contents of one account.
+	MaxContentsPerAccount int
 }
 
 // Ledger holds the crashes of targets by request content. It is safe for concurrent use.
@@ -38,48 +38,48 @@
 
 	mu                sync.Mutex
 	contents          map[Digest]*content
-	contentsByAccount map[string]int      // number of contents by account
-	refused           map[Digest]Standing // the contents that are refused
+	contentsByAccount map[string]int    // number of contents by account
+	refused           map[Digest]Status // the contents that are refused
 }
 
 // content is the state of one request content.
 type content struct {
 	account       string
-	crashes       map[hookhall.Life]*End
+	crashes       map[hookhall.Incarnation]*Crash
 	firstReported time.Time // the earliest report of its crashes
 }
 
 // NewLedger returns an empty Ledger.
 func NewLedger(l Limits) *Ledger {
-	return &Ledger{limits: l, contents: map[Digest]*content{}, contentsByAccount: map[string]int{}, refused: map[Digest]Standing{}}
+	return &Ledger{limits: l, contents: map[Digest]*content{}, contentsByAccount: map[string]int{}, refused: map[Digest]Status{}}
 }
 
 // Empty reports whether no content has uncleared crashes. It takes no lock.
 func (l *Ledger) Empty() bool { return l.heldCount.Load() == 0 }
 
-// Standing returns the crash status of a content, the zero value if it has no uncleared
+// Status returns the crash status of a content, the zero value if it has no uncleared
 // crashes. It takes no lock.
-func (l *Ledger) Standing(d Digest) Standing {
+func (l *Ledger) Status(d Digest) Status {
 	if s, ok := l.statuses.Load(d); ok {
-		return s.(Standing)
+		return s.(Status)
 	}
-	return Standing{}
+	return Status{}
 }
 
 // Refused returns a copy of the refused contents with their status.
-func (l *Ledger) Refused() map[Digest]Standing {
+func (l *Ledger) Refused() map[Digest]Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return maps.Clone(l.refused)
 }
 
-// Learn merges reported crashes into the ledger, except those older than Limits.Keep. It
+// Merge merges reported crashes into the ledger, except those older than Limits.Retention. It
 // returns those that are new or newly cleared.
-func (l *Ledger) Learn(reported []End, now time.Time) (changed []End) {
+func (l *Ledger) Merge(reported []Crash, now time.Time) (changed []Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, e := range reported {
-		if now.Sub(e.At) < l.limits.Keep && l.merge(e) {
+		if now.Sub(e.ReportedAt) < l.limits.Retention && l.merge(e) {
 			changed = append(changed, e)
 			l.publish(e.Content)
 		}
@@ -89,26 +89,26 @@
 
 // merge merges one crash and reports whether it is new or newly cleared. It returns false
 // as well if there is no capacity for its content. l.mu must be held.
-func (l *Ledger) merge(e End) bool {
+func (l *Ledger) merge(e Crash) bool {
 	c := l.contents[e.Content]
 	if c == nil {
 		if !l.makeSpace(e.Account) {
 			return false
 		}
-		c = &content{account: e.Account, crashes: map[hookhall.Life]*End{}, firstReported: e.At}
+		c = &content{account: e.Account, crashes: map[hookhall.Incarnation]*Crash{}, firstReported: e.ReportedAt}
 		l.contents[e.Content] = c
 		l.contentsByAccount[e.Account]++
 	}
-	if e.At.Before(c.firstReported) {
-		c.firstReported = e.At
+	if e.ReportedAt.Before(c.firstReported) {
+		c.firstReported = e.ReportedAt
 	}
-	known := c.crashes[e.Life]
+	known := c.crashes[e.Incarnation]
 	if known == nil {
-		c.crashes[e.Life] = &e
+		c.crashes[e.Incarnation] = &e
 		return true
 	}
-	if e.At.Before(known.At) {
-		known.At = e.At // the first report counts, whichever process received it
+	if e.ReportedAt.Before(known.ReportedAt) {
+		known.ReportedAt = e.ReportedAt // the first report counts, whichever process received it
 	}
 	if e.Cleared && !known.Cleared {
 		known.Cleared = true
@@ -119,7 +119,7 @@
 
 // Clear clears the crashes of a content after a complete response of a target, and returns
 // those that were not cleared before.
-func (l *Ledger) Clear(d Digest) (cleared []End) {
+func (l *Ledger) Clear(d Digest) (cleared []Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.contents[d]
@@ -136,13 +136,13 @@
 	return cleared
 }
 
-// Expire removes crashes older than Limits.Keep.
+// Expire removes crashes older than Limits.Retention.
 func (l *Ledger) Expire(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for d, c := range l.contents {
 		oldCount := len(c.crashes)
-		maps.DeleteFunc(c.crashes, func(_ hookhall.Life, e *End) bool { return now.Sub(e.At) >= l.limits.Keep })
+		maps.DeleteFunc(c.crashes, func(_ hookhall.Incarnation, e *Crash) bool { return now.Sub(e.ReportedAt) >= l.limits.Retention })
 		switch len(c.crashes) {
 		case 0:
 			l.removeContent(d, c)
@@ -154,10 +154,10 @@
 }
 
 // All returns all crashes, cleared ones included, in no particular order.
-func (l *Ledger) All() []End {
+func (l *Ledger) All() []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var all []End
+	var all []Crash
 	for _, c := range l.contents {
 		for _, e := range c.crashes {
 			all = append(all, *e)
@@ -166,18 +166,18 @@
 	return all
 }
 
-// Of returns the crashes of one content, sorted by target id and start of the incarnation.
-func (l *Ledger) Of(d Digest) []End {
+// ByContent returns the crashes of one content, sorted by target id and start of the incarnation.
+func (l *Ledger) ByContent(d Digest) []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var list []End
+	var list []Crash
 	if c := l.contents[d]; c != nil {
 		for _, e := range c.crashes {
 			list = append(list, *e)
 		}
 	}
-	slices.SortFunc(list, func(a, b End) int {
-		return cmp.Or(strings.Compare(a.Life.ID, b.Life.ID), cmp.Compare(a.Life.Born, b.Life.Born))
+	slices.SortFunc(list, func(a, b Crash) int {
+		return cmp.Or(strings.Compare(a.Incarnation.ID, b.Incarnation.ID), cmp.Compare(a.Incarnation.Start, b.Incarnation.Start))
 	})
 	return list
 }
@@ -187,15 +187,15 @@
 // the report.
 const checksumMargin = 5 * time.Second
 
-// Sum returns a checksum of the crashes that don't expire soon; ledgers with equal
+// Checksum returns a checksum of the crashes that don't expire soon; ledgers with equal
 // checksums are taken for equal. That of an empty ledger is 0.
-func (l *Ledger) Sum(now time.Time) uint64 {
+func (l *Ledger) Checksum(now time.Time) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sum := uint64(0)
 	for _, c := range l.contents {
 		for _, e := range c.crashes {
-			if now.Sub(e.At) < l.limits.Keep-checksumMargin {
+			if now.Sub(e.ReportedAt) < l.limits.Retention-checksumMargin {
 				sum ^= e.checksum()
 			}
 		}
@@ -207,9 +207,9 @@
 // is capacity. An account at its limit loses one of its own contents. l.mu must be held.
 func (l *Ledger) makeSpace(account string) bool {
 	switch {
-	case l.contentsByAccount[account] >= l.limits.PerAccount:
+	case l.contentsByAccount[account] >= l.limits.MaxContentsPerAccount:
 		return l.evictOne(func(c *content) bool { return c.account == account })
-	case len(l.contents) >= l.limits.Contents:
+	case len(l.contents) >= l.limits.MaxContents:
 		return l.evictOne(func(*content) bool { return true })
 	}
 	return true
@@ -224,7 +224,7 @@
 		chosen *content
 	)
 	for d, c := range l.contents {
-		if !among(c) || c.unclearedCount() >= l.limits.Ends {
+		if !among(c) || c.unclearedCount() >= l.limits.MinCrashes {
 			continue
 		}
 		if chosen == nil || c.unclearedCount() < chosen.unclearedCount() || (c.unclearedCount() == chosen.unclearedCount() && c.firstReported.Before(chosen.firstReported)) {
@@ -248,9 +248,9 @@
 }
 
 // sortedCrashes returns the crashes in the order of their first reports.
-func (c *content) sortedCrashes() []*End {
+func (c *content) sortedCrashes() []*Crash {
 	list := slices.Collect(maps.Values(c.crashes))
-	slices.SortFunc(list, func(a, b *End) int { return a.At.Compare(b.At) })
+	slices.SortFunc(list, func(a, b *Crash) int { return a.ReportedAt.Compare(b.ReportedAt) })
 	return list
 }
 
@@ -267,13 +267,13 @@
 
 // publish updates the status of a content for readers. l.mu must be held.
 func (l *Ledger) publish(d Digest) {
-	var s Standing
+	var s Status
 	if c := l.contents[d]; c != nil {
 		s = l.status(c)
 	}
 	old, known := l.statuses.Load(d)
 	switch {
-	case s.Ends > 0:
+	case s.Crashes > 0:
 		l.statuses.Store(d, s)
 		if !known {
 			l.heldCount.Add(1)
@@ -284,7 +284,7 @@
 	}
 	if s.refused {
 		l.refused[d] = s
-	} else if known && old.(Standing).refused {
+	} else if known && old.(Status).refused {
 		delete(l.refused, d)
 	}
 }
@@ -295,25 +295,25 @@
 const simultaneousWindow = time.Second
 
 // status computes the status of a content. l.mu must be held.
-func (l *Ledger) status(c *content) Standing {
-	var s Standing
+func (l *Ledger) status(c *content) Status {
+	var s Status
 	var lastCounted time.Time // time of the last crash that counted
 	for _, e := range c.sortedCrashes() {
 		if e.Cleared {
 			continue
 		}
-		if !e.Served || lastCounted.IsZero() || e.At.Sub(lastCounted) >= simultaneousWindow {
-			s.Ends++
-			lastCounted = e.At
+		if !e.RecentlyServed || lastCounted.IsZero() || e.ReportedAt.Sub(lastCounted) >= simultaneousWindow {
+			s.Crashes++
+			lastCounted = e.ReportedAt
 		}
-		if s.Since.IsZero() || e.At.Before(s.Since) {
-			s.Since = e.At
+		if s.FirstReported.IsZero() || e.ReportedAt.Before(s.FirstReported) {
+			s.FirstReported = e.ReportedAt
 		}
 		if !slices.Contains(s.Software, e.Software) {
 			s.Software = append(s.Software, e.Software)
 		}
 	}
 	slices.Sort(s.Software)
-	s.refused = s.Ends >= l.limits.Ends
+	s.refused = s.Crashes >= l.limits.MinCrashes
 	return s
 }
--- a/internal/state/crashes/ledger_test.go
+++ b/internal/state/crashes/ledger_test.go
@@ -14,17 +14,17 @@
 )
 
 var (
-	limits = Limits{Ends: 3, Keep: time.Minute, Contents: 8, PerAccount: 4}
+	limits = Limits{MinCrashes: 3, Retention: time.Minute, MaxContents: 8, MaxContentsPerAccount: 4}
 	start  = time.Unix(1000, 0)
 )
 
 // newCrash returns a crash of target n under a content of account a, at the start of a test.
-func newCrash(content byte, n int) End {
-	return End{Content: Digest{content}, Account: "a", Life: hookhall.Life{ID: fmt.Sprint("target-", n)}, Software: "s v1", At: start}
+func newCrash(content byte, n int) Crash {
+	return Crash{Content: Digest{content}, Account: "a", Incarnation: hookhall.Incarnation{ID: fmt.Sprint("target-", n)}, Software: "s v1", ReportedAt: start}
 }
 
 // clearedCrash returns e as cleared.
-func clearedCrash(e End) End {
+func clearedCrash(e Crash) Crash {
 	e.Cleared = true
 	return e
 }
@@ -32,16 +32,16 @@
 // wantStatus checks how many crashes count against a content, and whether it is refused.
 func wantStatus(t *testing.T, l *Ledger, content byte, crashes int, refused bool) {
 	t.Helper()
-	s := l.Standing(Digest{content})
-	if _, listed := l.Refused()[Digest{content}]; s.Ends != crashes || s.Refused() != refused || listed != refused {
-		t.Errorf("content %d: %d crashes, refused %v; want %d, %v", content, s.Ends, s.Refused(), crashes, refused)
+	s := l.Status(Digest{content})
+	if _, listed := l.Refused()[Digest{content}]; s.Crashes != crashes || s.Refused() != refused || listed != refused {
+		t.Errorf("content %d: %d crashes, refused %v; want %d, %v", content, s.Crashes, s.Refused(), crashes, refused)
 	}
 }
 
-// TestSum guards against digests that are equal for different requests, or different for
+// TestDigestOf guards against digests that are equal for different requests, or different for
 // the same one.
-func TestSum(t *testing.T) {
-	one := Sum("account", "host", "/path?a=1", []byte("body"))
+func TestDigestOf(t *testing.T) {
+	one := DigestOf("account", "host", "/path?a=1", []byte("body"))
 	for name, c := range map[string]struct {
 		account, host, uri, body string
 		same                     bool
@@ -55,39 +55,39 @@
 		"another split":    {"accounth", "ost", "/path?a=1", "body", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Sum(c.account, c.host, c.uri, []byte(c.body)); (got == one) != c.same {
+			if got := DigestOf(c.account, c.host, c.uri, []byte(c.body)); (got == one) != c.same {
 				t.Errorf("digest %s, that of the first request %s", got, one)
 			}
 		})
 	}
 }
 
-// TestStanding guards against miscounted crashes: repeated reports count once, two
+// TestStatus guards against miscounted crashes: repeated reports count once, two
 // incarnations of a target count twice, and cleared or expired crashes don't count.
-func TestStanding(t *testing.T) {
+func TestStatus(t *testing.T) {
 	restarted := newCrash(1, 1)
-	restarted.Life.Born = 5
+	restarted.Incarnation.Start = 5
 	for name, c := range map[string]struct {
-		crashes []End
+		crashes []Crash
 		count   int
 		refused bool
 	}{
-		"one crash":                           {[]End{newCrash(1, 1)}, 1, false},
-		"two crashes":                         {[]End{newCrash(1, 1), newCrash(1, 2)}, 2, false},
-		"three crashes":                       {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, 3, true},
-		"the same crash reported three times": {[]End{newCrash(1, 1), newCrash(1, 1), newCrash(1, 1)}, 1, false},
-		"two incarnations of one target":      {[]End{newCrash(1, 1), restarted, newCrash(1, 2)}, 3, true},
-		"crashes under another content":       {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(2, 3)}, 2, false},
-		"one is cleared":                      {[]End{newCrash(1, 1), newCrash(1, 2), clearedCrash(newCrash(1, 3))}, 2, false},
-		"one is cleared later":                {[]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3), clearedCrash(newCrash(1, 3))}, 2, false},
-		"the cleared report comes first":      {[]End{clearedCrash(newCrash(1, 3)), newCrash(1, 3), newCrash(1, 1), newCrash(1, 2)}, 2, false},
-		"three after three cleared":           {[]End{clearedCrash(newCrash(1, 1)), clearedCrash(newCrash(1, 2)), clearedCrash(newCrash(1, 3)), newCrash(1, 4), newCrash(1, 5), newCrash(1, 6)}, 3, true},
-		"an expired crash":                    {[]End{newCrash(1, 1), newCrash(1, 2), {Content: Digest{1}, Account: "a", Life: hookhall.Life{ID: "old"}, At: start.Add(-time.Hour)}}, 2, false},
+		"one crash":                           {[]Crash{newCrash(1, 1)}, 1, false},
+		"two crashes":                         {[]Crash{newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three crashes":                       {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, 3, true},
+		"the same crash reported three times": {[]Crash{newCrash(1, 1), newCrash(1, 1), newCrash(1, 1)}, 1, false},
+		"two incarnations of one target":      {[]Crash{newCrash(1, 1), restarted, newCrash(1, 2)}, 3, true},
+		"crashes under another content":       {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(2, 3)}, 2, false},
+		"one is cleared":                      {[]Crash{newCrash(1, 1), newCrash(1, 2), clearedCrash(newCrash(1, 3))}, 2, false},
+		"one is cleared later":                {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3), clearedCrash(newCrash(1, 3))}, 2, false},
+		"the cleared report comes first":      {[]Crash{clearedCrash(newCrash(1, 3)), newCrash(1, 3), newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three after three cleared":           {[]Crash{clearedCrash(newCrash(1, 1)), clearedCrash(newCrash(1, 2)), clearedCrash(newCrash(1, 3)), newCrash(1, 4), newCrash(1, 5), newCrash(1, 6)}, 3, true},
+		"an expired crash":                    {[]Crash{newCrash(1, 1), newCrash(1, 2), {Content: Digest{1}, Account: "a", Incarnation: hookhall.Incarnation{ID: "old"}, ReportedAt: start.Add(-time.Hour)}}, 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
 			for _, e := range c.crashes {
-				l.Learn([]End{e}, start)
+				l.Merge([]Crash{e}, start)
 			}
 			wantStatus(t, l, 1, c.count, c.refused)
 		})
@@ -113,18 +113,18 @@
 			l := NewLedger(limits)
 			for n := range 3 {
 				e := newCrash(1, n)
-				e.Served = c.served
-				e.At = start.Add(time.Duration(n) * c.interval)
-				l.Learn([]End{e}, e.At)
+				e.RecentlyServed = c.served
+				e.ReportedAt = start.Add(time.Duration(n) * c.interval)
+				l.Merge([]Crash{e}, e.ReportedAt)
 			}
 			wantStatus(t, l, 1, c.crashes, c.refused)
 		})
 	}
 }
 
-// TestRecent guards against served contents that are forgotten too early, remembered too
+// TestRecentContents guards against served contents that are forgotten too early, remembered too
 // long, or that exceed the limit of a generation.
-func TestRecent(t *testing.T) {
+func TestRecentContents(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
 		want  bool
@@ -136,14 +136,14 @@
 		"after a long time":      {time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := NewRecent(start)
+			r := NewRecentContents(start)
 			r.Add(Digest{1}, start)
 			if got := r.Has(Digest{1}, start.Add(c.after)); got != c.want || r.Has(Digest{2}, start) {
 				t.Errorf("remembered: %v", got)
 			}
 		})
 	}
-	r := NewRecent(start)
+	r := NewRecentContents(start)
 	for n := range 3 * maxGenerationContents {
 		r.Add(Digest{byte(n), byte(n >> 8)}, start)
 	}
@@ -156,13 +156,13 @@
 // clears later ones.
 func TestClear(t *testing.T) {
 	l := NewLedger(limits)
-	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
+	l.Merge([]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
 	wantStatus(t, l, 1, 3, true)
 	if got := l.Clear(Digest{1}); len(got) != 3 {
 		t.Errorf("%d crashes were cleared", len(got))
 	}
 	wantStatus(t, l, 1, 0, false)
-	l.Learn([]End{newCrash(1, 4), newCrash(1, 3)}, start)
+	l.Merge([]Crash{newCrash(1, 4), newCrash(1, 3)}, start)
 	wantStatus(t, l, 1, 1, false)
 	if got := l.Clear(Digest{7}); len(got) != 0 {
 		t.Errorf("%d crashes of an unknown content were cleared", len(got))
@@ -173,15 +173,15 @@
 // the software may run it until that version has crashed under it.
 func TestOtherVersionNotRefused(t *testing.T) {
 	l := NewLedger(limits)
-	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
-	s := l.Standing(Digest{1})
+	l.Merge([]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
+	s := l.Status(Digest{1})
 	if !s.RefusedBy("s v1") || s.RefusedBy("s v2") {
 		t.Errorf("refused by v1 %v, by v2 %v", s.RefusedBy("s v1"), s.RefusedBy("s v2"))
 	}
 	newer := newCrash(1, 4)
 	newer.Software = "s v2"
-	l.Learn([]End{newer}, start)
-	if s := l.Standing(Digest{1}); !s.RefusedBy("s v2") {
+	l.Merge([]Crash{newer}, start)
+	if s := l.Status(Digest{1}); !s.RefusedBy("s v2") {
 		t.Error("v2 crashed under the content and is not refused")
 	}
 }
@@ -191,15 +191,15 @@
 func TestExpire(t *testing.T) {
 	l := NewLedger(limits)
 	late := newCrash(1, 3)
-	late.At = start.Add(30 * time.Second)
-	l.Learn([]End{newCrash(1, 1), newCrash(1, 2), late}, late.At)
+	late.ReportedAt = start.Add(30 * time.Second)
+	l.Merge([]Crash{newCrash(1, 1), newCrash(1, 2), late}, late.ReportedAt)
 	wantStatus(t, l, 1, 3, true)
 	early := late
-	early.At = start.Add(10 * time.Second)
-	l.Learn([]End{early}, late.At) // another process received the report earlier
-	l.Expire(start.Add(limits.Keep))
+	early.ReportedAt = start.Add(10 * time.Second)
+	l.Merge([]Crash{early}, late.ReportedAt) // another process received the report earlier
+	l.Expire(start.Add(limits.Retention))
 	wantStatus(t, l, 1, 1, false)
-	l.Expire(start.Add(limits.Keep + 10*time.Second))
+	l.Expire(start.Add(limits.Retention + 10*time.Second))
 	if len(l.All()) != 0 {
 		t.Errorf("%d crashes are kept", len(l.All()))
 	}
@@ -209,17 +209,17 @@
 // displaces the contents of others or a refused content.
 func TestBounds(t *testing.T) {
 	l := NewLedger(limits)
-	faulty := []End{newCrash(200, 1), newCrash(200, 2), newCrash(200, 3)}
+	faulty := []Crash{newCrash(200, 1), newCrash(200, 2), newCrash(200, 3)}
 	for i := range faulty {
 		faulty[i].Account = "b"
 	}
-	l.Learn(faulty, start)
+	l.Merge(faulty, start)
 	for n := range 100 {
 		e := newCrash(byte(n), n)
-		e.At = start.Add(time.Duration(n) * time.Millisecond)
-		l.Learn([]End{e}, start.Add(time.Second))
+		e.ReportedAt = start.Add(time.Duration(n) * time.Millisecond)
+		l.Merge([]Crash{e}, start.Add(time.Second))
 	}
-	if n := int(l.heldCount.Load()); n != limits.PerAccount+1 {
+	if n := int(l.heldCount.Load()); n != limits.MaxContentsPerAccount+1 {
 		t.Errorf("%d contents are remembered", n)
 	}
 	wantStatus(t, l, 200, 3, true)
@@ -227,9 +227,9 @@
 	for n := range 100 {
 		e := newCrash(byte(n), n)
 		e.Account = fmt.Sprint("account-", n)
-		l.Learn([]End{e}, start)
+		l.Merge([]Crash{e}, start)
 	}
-	if n := int(l.heldCount.Load()); n != limits.Contents {
+	if n := int(l.heldCount.Load()); n != limits.MaxContents {
 		t.Errorf("%d contents are remembered", n)
 	}
 	wantStatus(t, l, 200, 3, true)
@@ -238,14 +238,14 @@
 // TestMerge guards against ledgers that differ although they got the same reports, in any
 // order and number.
 func TestMerge(t *testing.T) {
-	wideLimits := Limits{Ends: 3, Keep: time.Minute, Contents: 100, PerAccount: 100}
+	wideLimits := Limits{MinCrashes: 3, Retention: time.Minute, MaxContents: 100, MaxContentsPerAccount: 100}
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 0))
-		var crashes []End
+		var crashes []Crash
 		for range 30 {
 			e := newCrash(byte(r.IntN(5)), r.IntN(6))
 			e.Cleared = r.IntN(4) == 0
-			e.Life.Born = int64(r.IntN(2))
+			e.Incarnation.Start = int64(r.IntN(2))
 			crashes = append(crashes, e)
 		}
 		var sums []uint64
@@ -255,57 +255,57 @@
 			r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
 			for len(reports) > 0 {
 				n := min(1+r.IntN(5), len(reports))
-				l.Learn(reports[:n], start)
+				l.Merge(reports[:n], start)
 				reports = reports[n:]
 			}
-			sums = append(sums, l.Sum(start))
+			sums = append(sums, l.Checksum(start))
 		}
 		if slices.Min(sums) != slices.Max(sums) {
 			t.Fatalf("seed %d: checksums %v", seed, sums)
 		}
 	}
-	if sum := NewLedger(wideLimits).Sum(start); sum != 0 {
+	if sum := NewLedger(wideLimits).Checksum(start); sum != 0 {
 		t.Errorf("an empty ledger has the checksum %d", sum)
 	}
 }
 
 var sink Digest
 
-// BenchmarkSum measures the digest of requests by size of the body.
-func BenchmarkSum(b *testing.B) {
+// BenchmarkDigestOf measures the digest of requests by size of the body.
+func BenchmarkDigestOf(b *testing.B) {
 	for _, size := range []int{1 << 10, 64 << 10, 10 << 20} {
 		b.Run(fmt.Sprint(size>>10, "KB"), func(b *testing.B) {
 			body := make([]byte, size)
 			b.SetBytes(int64(size))
 			for b.Loop() {
-				sink = Sum("account", "host.example", "/path/of/a/request", body)
+				sink = DigestOf("account", "host.example", "/path/of/a/request", body)
 			}
 		})
 	}
 }
 
-// BenchmarkStanding measures reading the status of one of 4,096 contents.
-func BenchmarkStanding(b *testing.B) {
-	l := NewLedger(Limits{Ends: 3, Keep: time.Minute, Contents: 4096, PerAccount: 4096})
+// BenchmarkStatus measures reading the status of one of 4,096 contents.
+func BenchmarkStatus(b *testing.B) {
+	l := NewLedger(Limits{MinCrashes: 3, Retention: time.Minute, MaxContents: 4096, MaxContentsPerAccount: 4096})
 	for n := range 4096 {
-		l.Learn([]End{{Content: Digest{byte(n), byte(n >> 8)}, Life: hookhall.Life{ID: "t"}, At: start}}, start)
+		l.Merge([]Crash{{Content: Digest{byte(n), byte(n >> 8)}, Incarnation: hookhall.Incarnation{ID: "t"}, ReportedAt: start}}, start)
 	}
 	for b.Loop() {
-		if l.Standing(Digest{1, 2}).Refused() {
+		if l.Status(Digest{1, 2}).Refused() {
 			b.Fatal("refused")
 		}
 	}
 }
 
-// BenchmarkLearn measures the report of a crash under one of 4,096 contents.
-func BenchmarkLearn(b *testing.B) {
-	l := NewLedger(Limits{Ends: 3, Keep: time.Hour, Contents: 4096, PerAccount: 4096})
+// BenchmarkMerge measures the report of a crash under one of 4,096 contents.
+func BenchmarkMerge(b *testing.B) {
+	l := NewLedger(Limits{MinCrashes: 3, Retention: time.Hour, MaxContents: 4096, MaxContentsPerAccount: 4096})
 	for n := range 4096 {
-		l.Learn([]End{{Content: Digest{byte(n), byte(n >> 8)}, Life: hookhall.Life{ID: "t"}, At: start}}, start)
+		l.Merge([]Crash{{Content: Digest{byte(n), byte(n >> 8)}, Incarnation: hookhall.Incarnation{ID: "t"}, ReportedAt: start}}, start)
 	}
 	n := int64(0)
 	for b.Loop() {
 		n++
-		l.Learn([]End{{Content: Digest{byte(n), byte(n>>8) & 15}, Life: hookhall.Life{ID: "t", Born: n >> 12}, At: start}}, start)
+		l.Merge([]Crash{{Content: Digest{byte(n), byte(n>>8) & 15}, Incarnation: hookhall.Incarnation{ID: "t", Start: n >> 12}, ReportedAt: start}}, start)
 	}
 }
--- a/internal/state/crashes/mass_test.go
+++ b/internal/state/crashes/mass_test.go
@@ -46,7 +46,7 @@
 	now             time.Time
 	queue           events
 	ledger          *Ledger
-	recent          *Recent
+	recent          *RecentContents
 	running         []map[*request]bool // requests in progress by target
 	incarnations    []int64             // by target
 	harmlessRefused int                 // refused requests that crash no target
@@ -66,8 +66,8 @@
 // newSimulation returns a simulation with an empty ledger and no events.
 func newSimulation(rule refusalRule, seed uint64) *sim {
 	s := &sim{
-		refusalRule: rule, rand: rand.New(rand.NewPCG(seed, 0)), now: start, recent: NewRecent(start),
-		ledger:       NewLedger(Limits{Ends: 3, Keep: 10 * time.Minute, Contents: 4096, PerAccount: 4096}),
+		refusalRule: rule, rand: rand.New(rand.NewPCG(seed, 0)), now: start, recent: NewRecentContents(start),
+		ledger:       NewLedger(Limits{MinCrashes: 3, Retention: 10 * time.Minute, MaxContents: 4096, MaxContentsPerAccount: 4096}),
 		incarnations: make([]int64, simulatedTargets),
 	}
 	for range simulatedTargets {
@@ -90,7 +90,7 @@
 
 // send starts a request on a random target, unless its content is refused.
 func (s *sim) send(r *request) {
-	if s.ledger.Standing(r.content).Refused() {
+	if s.ledger.Status(r.content).Refused() {
 		if !r.faulty {
 			s.harmlessRefused++
 		}
@@ -121,9 +121,9 @@
 	for r := range s.running[n] {
 		delete(s.running[n], r)
 		r.finished = true
-		s.ledger.Learn([]End{{
-			Content: r.content, Life: hookhall.Life{ID: fmt.Sprint(n), Born: s.incarnations[n]}, At: s.now,
-			Served: s.mergesSimultaneous && s.recent.Has(r.content, s.now),
+		s.ledger.Merge([]Crash{{
+			Content: r.content, Incarnation: hookhall.Incarnation{ID: fmt.Sprint(n), Start: s.incarnations[n]}, ReportedAt: s.now,
+			RecentlyServed: s.mergesSimultaneous && s.recent.Has(r.content, s.now),
 		}}, s.now)
 		if r.attempts++; r.attempts < 2 {
 			s.schedule(100*time.Millisecond, func() { s.send(&request{content: r.content, attempts: r.attempts, faulty: r.faulty}) })
--- a/internal/state/crashes/recent.go
+++ b/internal/state/crashes/recent.go
@@ -18,8 +18,8 @@
 	maxGenerationContents = 2048
 )
 
-// Recent remembers which contents were served recently. It is safe for concurrent use.
-type Recent struct {
+// RecentContents remembers which contents were served recently. It is safe for concurrent use.
+type RecentContents struct {
 	mu       sync.Mutex // held while generations change
 	current  atomic.Pointer[generation]
 	previous atomic.Pointer[generation]
@@ -32,16 +32,16 @@
 	count     atomic.Int64 // entries of contents
 }
 
-// NewRecent returns an empty set of recently served contents.
-func NewRecent(now time.Time) *Recent {
-	r := &Recent{}
+// NewRecentContents returns an empty set of recently served contents.
+func NewRecentContents(now time.Time) *RecentContents {
+	r := &RecentContents{}
 	r.current.Store(&generation{startedAt: now})
 	r.previous.Store(&generation{startedAt: now})
 	return r
 }
 
 // Add records that a content was served at now.
-func (r *Recent) Add(d Digest, now time.Time) {
+func (r *RecentContents) Add(d Digest, now time.Time) {
 	g := r.currentGeneration(now)
 	if g.count.Load() >= maxGenerationContents {
 		return
@@ -53,7 +53,7 @@
 
 // Has reports whether a content was served recently: within the last generationDuration
 // for certain, and at most twice as long ago.
-func (r *Recent) Has(d Digest, now time.Time) bool {
+func (r *RecentContents) Has(d Digest, now time.Time) bool {
 	if _, ok := r.currentGeneration(now).contents.Load(d); ok {
 		return true
 	}
@@ -62,7 +62,7 @@
 }
 
 // currentGeneration returns the generation that contains now, and starts one if needed.
-func (r *Recent) currentGeneration(now time.Time) *generation {
+func (r *RecentContents) currentGeneration(now time.Time) *generation {
 	if g := r.current.Load(); now.Sub(g.startedAt) < generationDuration {
 		return g
 	}
--- a/internal/state/crashes/status.go
+++ b/internal/state/crashes/status.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Standing is the crash status of a request content. It is immutable.
-type Standing struct {
-	// Ends is the number of target incarnations with an uncleared crash under the content.
+// Status is the crash status of a request content. It is immutable.
+type Status struct {
+	// Crashes is the number of target incarnations with an uncleared crash under the content.
 	// Simultaneous crashes under a recently served content count as one.
-	Ends int
-	// Since is the first report of those crashes, by the clock of this process.
-	Since time.Time
+	Crashes int
+	// FirstReported is the first report of those crashes, by the clock of this process.
+	FirstReported time.Time
 	// Software is what the crashed targets ran, service and version, sorted.
 	Software []string
 	// refused is set when the number of crashes has reached that in Limits.
@@ -23,11 +23,11 @@
 
 // Refused reports whether the content must not be sent to targets with the software that
 // crashed under it.
-func (s Standing) Refused() bool { return s.refused }
+func (s Status) Refused() bool { return s.refused }
 
 // RefusedBy reports whether the content must not be sent to targets with some software.
 // Another version or service may handle the content without a crash; its first crash
 // proves that it doesn't.
-func (s Standing) RefusedBy(software string) bool {
+func (s Status) RefusedBy(software string) bool {
 	return s.refused && slices.Contains(s.Software, software)
 }
--- a/internal/state/estimate/estimate.go
+++ b/internal/state/estimate/estimate.go
@@ -77,7 +77,7 @@
 	// Median and High are the 50th and the 90th percentile of the last windowCount windows,
 	// zero without data.
 	Median time.Duration
-	High   time.Duration
+	P90    time.Duration
 }
 
 // Observe adds a measured duration to a series, which it creates if need be. now is the
@@ -123,7 +123,7 @@
 		return Estimate{}
 	}
 	r := v.(*series)
-	return Estimate{Median: time.Duration(r.median.Load()), High: time.Duration(r.p90.Load())}
+	return Estimate{Median: time.Duration(r.median.Load()), P90: time.Duration(r.p90.Load())}
 }
 
 // All returns the estimates of all series.
--- a/internal/state/quota/quota.go
+++ b/internal/state/quota/quota.go
@@ -20,21 +20,21 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Sharers is the position of this process among the processes that share a limit.
-type Sharers struct {
+// Position is the position of this process among the processes that share a limit.
+type Position struct {
 	Count int // number of processes, 0 if unknown
-	Place int // index of this process in their order, from 0; negative if it is not listed
+	Index int // index of this process in their order, from 0; negative if it is not listed
 }
 
-// Part returns how many units of a limit this process may hold for a key. It is 0 if the
+// Share returns how many units of a limit this process may hold for a key. It is 0 if the
 // position is unknown.
-func (p Sharers) Part(limit int, key string) int {
-	if p.Count < 1 || limit < 1 || p.Place < 0 {
+func (p Position) Share(limit int, key string) int {
+	if p.Count < 1 || limit < 1 || p.Index < 0 {
 		return 0
 	}
 	part, remainder := limit/p.Count, limit%p.Count
 	offset := int(xxhash.Sum64String(key) % uint64(p.Count))
-	if (p.Place+offset)%p.Count < remainder {
+	if (p.Index+offset)%p.Count < remainder {
 		part++
 	}
 	return part
--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -19,7 +19,7 @@
 		key := rapid.String().Draw(t, "key")
 		sum := 0
 		for index := range count {
-			part := Sharers{count, index}.Part(limit, key)
+			part := Position{count, index}.Share(limit, key)
 			if part < limit/count || part > limit/count+1 {
 				t.Fatalf("process %d has %d of %d units; there are %d processes", index, part, limit, count)
 			}
@@ -36,7 +36,7 @@
 func TestPartsOfLostProcesses(t *testing.T) {
 	sum := 0
 	for index := range 50 {
-		sum += Sharers{Count: 60, Place: index}.Part(100, "target")
+		sum += Position{Count: 60, Index: index}.Share(100, "target")
 	}
 	if sum > 100 {
 		t.Errorf("parts add up to %d, want at most 100", sum)
@@ -49,7 +49,7 @@
 	held := make([]int, 60)
 	for target := range 300 {
 		for index := range held {
-			held[index] += Sharers{len(held), index}.Part(20, fmt.Sprint("target-", target))
+			held[index] += Position{len(held), index}.Share(20, fmt.Sprint("target-", target))
 		}
 	}
 	for index, n := range held {
@@ -62,9 +62,9 @@
 // TestPartOfUnknownPosition guards against a process that holds units although it does not
 // know its position, so that the parts of all would exceed the limit.
 func TestPartOfUnknownPosition(t *testing.T) {
-	for name, p := range map[string]Sharers{"unknown number of processes": {}, "process not listed": {Count: 5, Place: -1}} {
+	for name, p := range map[string]Position{"unknown number of processes": {}, "process not listed": {Count: 5, Index: -1}} {
 		t.Run(name, func(t *testing.T) {
-			if n := p.Part(100, "target"); n != 0 {
+			if n := p.Share(100, "target"); n != 0 {
 				t.Errorf("part is %d, want 0", n)
 			}
 		})
@@ -75,7 +75,7 @@
 	for _, n := range []int{9, 986} {
 		b.Run(fmt.Sprint(n, " processes"), func(b *testing.B) {
 			for b.Loop() {
-				Sharers{n, n / 2}.Part(1000, "10.1.64.7:8080")
+				Position{n, n / 2}.Share(1000, "10.1.64.7:8080")
 			}
 		})
 	}
--- a/internal/state/rollout/evidence.go
+++ b/internal/state/rollout/evidence.go
@@ -49,12 +49,12 @@
 	return t.Took / time.Duration(t.Answers)
 }
 
-// Versions holds the tallies of the old and the new version for the same requests.
-type Versions struct{ Old, New Tally }
+// Comparison holds the tallies of the old and the new version for the same requests.
+type Comparison struct{ Old, New Tally }
 
 // Evidence holds the tallies of both versions by route. Logs print it with the names of its
 // fields.
-type Evidence map[string]Versions
+type Evidence map[string]Comparison
 
 // Add adds another process's evidence.
 func (e Evidence) Add(o Evidence) {
@@ -67,7 +67,7 @@
 }
 
 // total returns the sum over all routes.
-func (e Evidence) total() (v Versions) {
+func (e Evidence) total() (v Comparison) {
 	for _, r := range e {
 		v.Old.add(r.Old)
 		v.New.add(r.New)
@@ -102,7 +102,7 @@
 // probability ratio test of a failure rate that is testedFailureRateIncrease higher against
 // an equal one. The old rate is estimated as if 10 more responses had failed at
 // minFailureRate, so that few responses don't give an extreme rate.
-func (v Versions) failsMore(old Tally) bool {
+func (v Comparison) failsMore(old Tally) bool {
 	equalRate := (float64(old.Bad)+minFailureRate*10)/(float64(old.Answers)+10) + minFailureRate
 	higherRate := math.Min(equalRate+testedFailureRateIncrease, 0.99)
 	if equalRate >= higherRate {
@@ -114,7 +114,7 @@
 }
 
 // isSlow reports whether the new version's mean response time shows that it is slow.
-func (v Versions) isSlow() bool {
+func (v Comparison) isSlow() bool {
 	if v.New.Answers < minResponsesForMean {
 		return false
 	}
--- a/internal/state/rollout/phase.go
+++ b/internal/state/rollout/phase.go
@@ -18,11 +18,11 @@
 	// Unknown means that this process has just received the Rollout and does not know its
 	// phase. The new version gets no requests.
 	Unknown Phase = iota
-	// Trial means that the new version gets a share of the requests.
-	Trial
-	// Moving means that the new version gets all new requests while those at old targets
+	// Canary means that the new version gets a share of the requests.
+	Canary
+	// Draining means that the new version gets all new requests while those at old targets
 	// finish.
-	Moving
+	Draining
 	// Completed means that the old version is no longer needed.
 	Completed
 	// RolledBack means that the old version gets all requests again.
@@ -51,7 +51,7 @@
 	case hookhall.RolloutRolledBack:
 		return RolledBack
 	}
-	return Trial
+	return Canary
 }
 
 // Join returns the phase of a process in phase p that receives the phase of another process:
@@ -83,32 +83,32 @@
 	minOldResponses = 60
 )
 
-// Share returns the probability with which a request is sent to a canary. bound is the
+// CanaryShare returns the probability with which a request is sent to a canary. bound is the
 // maximum share of all requests that the canary may get, from 0 to 1.
-func Share(bound float64) float64 { return boundShare * bound }
+func CanaryShare(bound float64) float64 { return boundShare * bound }
 
-// TrialTargets returns the number of targets of the new version that are used as canaries,
+// CanaryTargets returns the number of targets of the new version that are used as canaries,
 // at least 1: as many as handle its share if each gets the same load as one of the old
 // targets, so that the version is judged under load.
-func TrialTargets(bound float64, old int) int {
-	return max(int(math.Ceil(Share(bound)*float64(old))), 1)
+func CanaryTargets(bound float64, old int) int {
+	return max(int(math.Ceil(CanaryShare(bound)*float64(old))), 1)
 }
 
-// Situation is the state of a Rollout as its owner knows it.
-type Situation struct {
-	Phase Phase
-	Age   time.Duration // since operators ordered the Rollout
-	Time  time.Duration // limit that operators set for the Rollout
-	// Moved is how long all requests have gone to the new version.
-	Moved time.Duration
-	// AtOld is the number of requests that run at old targets.
-	AtOld    int
-	Evidence Evidence
+// Progress is the state of a Rollout as its owner knows it.
+type Progress struct {
+	Phase     Phase
+	Age       time.Duration // since operators ordered the Rollout
+	TimeLimit time.Duration // limit that operators set for the Rollout
+	// DrainingTime is how long all requests have gone to the new version.
+	DrainingTime time.Duration
+	// ActiveAtOld is the number of requests that run at old targets.
+	ActiveAtOld int
+	Evidence    Evidence
 }
 
 // Next returns the phase that follows, and why. It returns the present phase and "" if
 // nothing changes.
-func (p Situation) Next() (Phase, string) {
+func (p Progress) Next() (Phase, string) {
 	if p.Phase.Final() {
 		return p.Phase, ""
 	}
@@ -117,12 +117,12 @@
 	}
 	switch p.Phase {
 	case Unknown:
-		return Trial, "rollout is new"
-	case Trial:
+		return Canary, "rollout is new"
+	case Canary:
 		return p.endCanary()
 	}
-	oldIdle := p.AtOld == 0 && p.Moved >= minDrainingTime
-	if oldIdle || p.Age >= p.Time-completionMargin {
+	oldIdle := p.ActiveAtOld == 0 && p.DrainingTime >= minDrainingTime
+	if oldIdle || p.Age >= p.TimeLimit-completionMargin {
 		return Completed, "new version serves all requests"
 	}
 	return p.Phase, ""
@@ -130,13 +130,13 @@
 
 // endCanary returns the phase that follows the canary, and why, once canaryTimeShare of the
 // time has passed.
-func (p Situation) endCanary() (Phase, string) {
-	if p.Age < time.Duration(canaryTimeShare*float64(p.Time)) {
+func (p Progress) endCanary() (Phase, string) {
+	if p.Age < time.Duration(canaryTimeShare*float64(p.TimeLimit)) {
 		return p.Phase, ""
 	}
 	total := p.Evidence.total()
 	if total.New.Answers == 0 && total.Old.Answers >= minOldResponses {
 		return RolledBack, "new version has not responded"
 	}
-	return Moving, "no regression found"
+	return Draining, "no regression found"
 }
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -44,7 +44,7 @@
 			route = "b"
 		}
 		v := e[route]
-		if r.Float64() < Share(0.1) {
+		if r.Float64() < CanaryShare(0.1) {
 			v.New.add(candidate.respond(r, v.New.Answers))
 		} else {
 			v.Old.add(old.respond(r, v.Old.Answers))
@@ -88,7 +88,7 @@
 			foundLate := 0
 			for seed := range 200 {
 				n := simulate(rand.New(rand.NewPCG(uint64(seed), 2)), c.old, c.candidate, 4000)
-				responses := float64(n)*Share(0.1) - float64(2*c.candidate.faultAfter)
+				responses := float64(n)*CanaryShare(0.1) - float64(2*c.candidate.faultAfter)
 				if n < 0 || responses > 80 {
 					foundLate++
 				}
@@ -109,7 +109,7 @@
 		requests := rapid.IntRange(1, 20000).Draw(t, "requests")
 		canaryRequests := 0
 		for range requests {
-			if r.Float64() < Share(bound) {
+			if r.Float64() < CanaryShare(bound) {
 				canaryRequests++
 			}
 		}
@@ -127,22 +127,22 @@
 	oneRoute := Evidence{"a": good["a"], "b": {Old: Tally{Answers: 50}, New: Tally{Answers: 12, Bad: 6}}}
 	for _, c := range []struct {
 		name string
-		p    Situation
+		p    Progress
 		want Phase
 	}{
-		{"new rollout", Situation{Phase: Unknown, Time: timeLimit}, Trial},
-		{"canary, time not over", Situation{Phase: Trial, Age: 8 * time.Second, Time: timeLimit, Evidence: good}, Trial},
-		{"no regression for long enough", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit, Evidence: good}, Moving},
-		{"failures", Situation{Phase: Trial, Age: 2 * time.Second, Time: timeLimit, Evidence: failing}, RolledBack},
-		{"failures on one route", Situation{Phase: Trial, Age: 2 * time.Second, Time: timeLimit, Evidence: oneRoute}, RolledBack},
-		{"failures while it gets all requests", Situation{Phase: Moving, Age: 10 * time.Second, Time: timeLimit, Evidence: failing}, RolledBack},
-		{"no response although there are requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit, Evidence: Evidence{"a": {Old: Tally{Answers: 300}}}}, RolledBack},
-		{"no requests", Situation{Phase: Trial, Age: 9 * time.Second, Time: timeLimit}, Moving},
-		{"requests run at old targets", Situation{Phase: Moving, Moved: 3 * time.Second, AtOld: 2, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Moving},
-		{"no requests run at old targets", Situation{Phase: Moving, Moved: 3 * time.Second, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Completed},
-		{"no requests run at old targets, too early", Situation{Phase: Moving, Moved: time.Millisecond, Age: 12 * time.Second, Time: timeLimit, Evidence: good}, Moving},
-		{"time limit reached", Situation{Phase: Moving, Moved: time.Second, AtOld: 2, Age: timeLimit - time.Millisecond, Time: timeLimit, Evidence: good}, Completed},
-		{"completed", Situation{Phase: Completed, Age: timeLimit, Time: timeLimit, Evidence: failing}, Completed},
+		{"new rollout", Progress{Phase: Unknown, TimeLimit: timeLimit}, Canary},
+		{"canary, time not over", Progress{Phase: Canary, Age: 8 * time.Second, TimeLimit: timeLimit, Evidence: good}, Canary},
+		{"no regression for long enough", Progress{Phase: Canary, Age: 9 * time.Second, TimeLimit: timeLimit, Evidence: good}, Draining},
+		{"failures", Progress{Phase: Canary, Age: 2 * time.Second, TimeLimit: timeLimit, Evidence: failing}, RolledBack},
+		{"failures on one route", Progress{Phase: Canary, Age: 2 * time.Second, TimeLimit: timeLimit, Evidence: oneRoute}, RolledBack},
+		{"failures while it gets all requests", Progress{Phase: Draining, Age: 10 * time.Second, TimeLimit: timeLimit, Evidence: failing}, RolledBack},
+		{"no response although there are requests", Progress{Phase: Canary, Age: 9 * time.Second, TimeLimit: timeLimit, Evidence: Evidence{"a": {Old: Tally{Answers: 300}}}}, RolledBack},
+		{"no requests", Progress{Phase: Canary, Age: 9 * time.Second, TimeLimit: timeLimit}, Draining},
+		{"requests run at old targets", Progress{Phase: Draining, DrainingTime: 3 * time.Second, ActiveAtOld: 2, Age: 12 * time.Second, TimeLimit: timeLimit, Evidence: good}, Draining},
+		{"no requests run at old targets", Progress{Phase: Draining, DrainingTime: 3 * time.Second, Age: 12 * time.Second, TimeLimit: timeLimit, Evidence: good}, Completed},
+		{"no requests run at old targets, too early", Progress{Phase: Draining, DrainingTime: time.Millisecond, Age: 12 * time.Second, TimeLimit: timeLimit, Evidence: good}, Draining},
+		{"time limit reached", Progress{Phase: Draining, DrainingTime: time.Second, ActiveAtOld: 2, Age: timeLimit - time.Millisecond, TimeLimit: timeLimit, Evidence: good}, Completed},
+		{"completed", Progress{Phase: Completed, Age: timeLimit, TimeLimit: timeLimit, Evidence: failing}, Completed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got, reason := c.p.Next(); got != c.want {
--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -200,9 +200,9 @@
 	return best
 }
 
-// Earn adds the share of one call, retryShare, to the retry budget. It is called
+// EarnRetryShare adds the share of one call, retryShare, to the retry budget. It is called
 // once per call.
-func (p *Pool) Earn() {
+func (p *Pool) EarnRetryShare() {
 	if p.retryBudget.Load() < retryBurst*1000 {
 		p.retryBudget.Add(int64(retryShare * 1000))
 	}
--- a/internal/state/routing/routing_test.go
+++ b/internal/state/routing/routing_test.go
@@ -38,7 +38,7 @@
 		})
 		Convey("gives no new call to a target that is leaving by its refusal or by the list", func() {
 			p := poolOf(2)
-			p.Targets()[0].Refused(now)
+			p.Targets()[0].MarkLeaving(now)
 			for range 50 {
 				So(p.Pick(0, nil, now).ID, ShouldEqual, "t001")
 			}
@@ -81,7 +81,7 @@
 				}
 			}
 			So(p.Pick(0, nil, now), ShouldNotBeNil)
-			p.Targets()[0].Refused(now)
+			p.Targets()[0].MarkLeaving(now)
 			for range 20 {
 				So(p.Pick(0, nil, now).ID, ShouldEqual, "t001")
 			}
@@ -90,7 +90,7 @@
 			p := poolOf(2)
 			p.Targets()[0].observeLatency(10 * time.Millisecond)
 			p.Targets()[1].Begin(now)
-			p.Targets()[1].Late(time.Second)
+			p.Targets()[1].EndAtDeadline(time.Second)
 			So(p.Pick(0, nil, now).ID, ShouldEqual, "t000")
 		})
 		Convey("prefers the target with less load or lower latency", func() {
@@ -146,7 +146,7 @@
 			}
 			retries := 0
 			for range 1000 {
-				p.Earn()
+				p.EarnRetryShare()
 				if p.SpendRetry() {
 					retries++
 				}
@@ -164,7 +164,7 @@
 			p.Update(targets(n))
 			now := time.Now()
 			for _, t := range p.Targets() {
-				t.Report(hookhall.LoadReport{Running: 3, Capacity: 8}, now)
+				t.RecordReport(hookhall.LoadReport{Running: 3, Capacity: 8}, now)
 			}
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
--- a/internal/state/routing/target.go
+++ b/internal/state/routing/target.go
@@ -81,10 +81,10 @@
 // Cancel counts the end of a call whose outcome says nothing of the target's health.
 func (t *Target) Cancel() { t.inflight.Add(-1) }
 
-// Late counts the end of a call that was cut off at its deadline after took. The
+// EndAtDeadline counts the end of a call that was cut off at its deadline after took. The
 // duration goes into the average latency, although the call would have taken longer
 // still, so that a slow target does not look idle.
-func (t *Target) Late(took time.Duration) {
+func (t *Target) EndAtDeadline(took time.Duration) {
 	t.inflight.Add(-1)
 	t.observeLatency(took)
 }
@@ -104,27 +104,27 @@
 	}
 }
 
-// Report stores a load report by the target itself. An empty report is ignored.
-func (t *Target) Report(r hookhall.LoadReport, now time.Time) {
+// RecordReport stores a load report by the target itself. An empty report is ignored.
+func (t *Target) RecordReport(r hookhall.LoadReport, now time.Time) {
 	if r.Capacity == 0 && r.Running == 0 && !r.Leaving {
 		return // the answer carried no report
 	}
 	t.report.Store(&r)
 	t.reportedAt.Store(clock.Stamp(now))
 	if r.Leaving {
-		t.Refused(now)
+		t.MarkLeaving(now)
 	}
 }
 
-// HeardWithin reports whether a load report was received, with an answer or by a
+// ReportedWithin reports whether a load report was received, with an answer or by a
 // poll, less than d before now.
-func (t *Target) HeardWithin(d time.Duration, now time.Time) bool {
+func (t *Target) ReportedWithin(d time.Duration, now time.Time) bool {
 	return clock.Stamp(now)-t.reportedAt.Load() < int64(d)
 }
 
-// Refused records that the target refused a call because it is leaving, or reported
+// MarkLeaving records that the target refused a call because it is leaving, or reported
 // so. This holds for leavingTTL.
-func (t *Target) Refused(now time.Time) { t.leavingUntil.Store(clock.Stamp(now.Add(leavingTTL))) }
+func (t *Target) MarkLeaving(now time.Time) { t.leavingUntil.Store(clock.Stamp(now.Add(leavingTTL))) }
 
 // IsLeaving reports whether the target is leaving, by the instance list, a refusal or the
 // target's report.
--- a/internal/state/share/allocation.go
+++ b/internal/state/share/allocation.go
@@ -119,10 +119,10 @@
 
 // Want returns what to ask the owner of the account for: the demand of leaseAhead, and
 // at least one unit of each limit that the account has.
-func (p *Allocation) Want(a *hookhall.Account, now time.Time) hookhall.Want {
+func (p *Allocation) Want(a *hookhall.Account, now time.Time) hookhall.ShareDemand {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	want := hookhall.Want{Account: a.Name}
+	want := hookhall.ShareDemand{Account: a.Name}
 	if a.Rate > 0 {
 		want.Rate = int64(max(1, math.Ceil(p.demand*leaseAhead.Seconds())))
 	}
@@ -135,9 +135,9 @@
 	return want
 }
 
-// Fill adds the rate units of a lease and replaces the concurrency units. If the lease
+// ApplyLease adds the rate units of a lease and replaces the concurrency units. If the lease
 // has a retry delay and lacks units, requests are denied for up to shortRetryDelay.
-func (p *Allocation) Fill(lease hookhall.ShareLease, now time.Time) {
+func (p *Allocation) ApplyLease(lease hookhall.ShareLease, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !lease.Limited {
@@ -157,10 +157,10 @@
 	}
 }
 
-// Fallback decides on a request without the owner, by an even share of the limits
+// SpendWithoutOwner decides on a request without the owner, by an even share of the limits
 // among members. If it returns true, the caller must call Done when the request ends;
 // otherwise the duration is the retry delay.
-func (p *Allocation) Fallback(a *hookhall.Account, members int, now time.Time) (bool, time.Duration) {
+func (p *Allocation) SpendWithoutOwner(a *hookhall.Account, members int, now time.Time) (bool, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	memberCount := float64(max(members, 1))
@@ -181,11 +181,11 @@
 	return true, 0
 }
 
-// Renewals returns the names of accounts whose leased concurrency is in use or not
+// DueRenewals returns the names of accounts whose leased concurrency is in use or not
 // expired, and has less than three quarters of LeaseTime left. It also removes
 // allocations without requests in progress whose demand window began more than
 // idleTimeout ago.
-func (s *Allocations) Renewals(now time.Time) []string {
+func (s *Allocations) DueRenewals(now time.Time) []string {
 	var names []string
 	s.byAccount.Range(func(k, v any) bool {
 		p := v.(*Allocation)
--- a/internal/state/share/grants.go
+++ b/internal/state/share/grants.go
@@ -49,7 +49,7 @@
 // Lease grants the entry from what it wants of the limits of a, as far as they allow,
 // and sets RetryAfter if it grants less. The lease is not limited if a is nil or has
 // no limits. members is the number of members of the fleet.
-func (g *Grants) Lease(a *hookhall.Account, from string, want hookhall.Want, members int, now time.Time) hookhall.ShareLease {
+func (g *Grants) Lease(a *hookhall.Account, from string, want hookhall.ShareDemand, members int, now time.Time) hookhall.ShareLease {
 	lease := hookhall.ShareLease{Account: want.Account}
 	if a == nil || a.Rate == 0 && a.Concurrency == 0 {
 		return lease
@@ -97,7 +97,7 @@
 
 // leaseUnits grants an entry its max-min fair share of the free concurrency units and
 // returns their number. It replaces the entry's previous grant.
-func (a *account) leaseUnits(limit int64, from string, want hookhall.Want, members int, now time.Time) int64 {
+func (a *account) leaseUnits(limit int64, from string, want hookhall.ShareDemand, members int, now time.Time) int64 {
 	a.dropExpired(now)
 	if want.Concurrency <= 0 {
 		delete(a.grants, from)
--- a/internal/state/share/share_test.go
+++ b/internal/state/share/share_test.go
@@ -17,44 +17,44 @@
 func TestGrants(t *testing.T) {
 	start := time.Unix(1e9, 0)
 	later := start.Add(2 * LeaseTime) // leases of a previous owner have expired by then
-	lease := func(g *Grants, a *hookhall.Account, from string, want hookhall.Want, now time.Time) hookhall.ShareLease {
+	lease := func(g *Grants, a *hookhall.Account, from string, want hookhall.ShareDemand, now time.Time) hookhall.ShareLease {
 		want.Account = a.Name
 		return g.Lease(a, from, want, 9, now)
 	}
 	Convey("An owner", t, func() {
 		g := &Grants{}
 		Convey("reports an account without limits as not limited", func() {
-			So(lease(g, &hookhall.Account{Name: "free"}, "e1", hookhall.Want{Rate: 5}, start).Limited, ShouldBeFalse)
+			So(lease(g, &hookhall.Account{Name: "free"}, "e1", hookhall.ShareDemand{Rate: 5}, start).Limited, ShouldBeFalse)
 		})
 		Convey("grants a small account its full rate through any entry", func() {
 			a := &hookhall.Account{Name: "small", Rate: 2}
 			granted := int64(0)
 			for i := range 100 { // ten seconds, from nine entries in turn
-				granted += lease(g, a, fmt.Sprintf("e%d", i%9), hookhall.Want{Rate: 1}, start.Add(time.Duration(i)*100*time.Millisecond)).Rate
+				granted += lease(g, a, fmt.Sprintf("e%d", i%9), hookhall.ShareDemand{Rate: 1}, start.Add(time.Duration(i)*100*time.Millisecond)).Rate
 			}
 			So(granted, ShouldBeBetweenOrEqual, 20, 21)
 		})
 		Convey("returns the time until the next unit", func() {
 			a := &hookhall.Account{Name: "slow", Rate: 0.5}
-			So(lease(g, a, "e1", hookhall.Want{Rate: 1}, start).Rate, ShouldEqual, 1)
-			reply := lease(g, a, "e1", hookhall.Want{Rate: 1}, start)
+			So(lease(g, a, "e1", hookhall.ShareDemand{Rate: 1}, start).Rate, ShouldEqual, 1)
+			reply := lease(g, a, "e1", hookhall.ShareDemand{Rate: 1}, start)
 			So(reply.Rate, ShouldEqual, 0)
 			So(reply.RetryAfter, ShouldBeBetween, 1900*time.Millisecond, 2100*time.Millisecond)
 		})
 		Convey("applies a changed rate", func() {
 			before := &hookhall.Account{Name: "changed", Rate: 1}
-			lease(g, before, "e1", hookhall.Want{Rate: 1}, start)
+			lease(g, before, "e1", hookhall.ShareDemand{Rate: 1}, start)
 			after := &hookhall.Account{Name: "changed", Rate: 100}
-			lease(g, after, "e1", hookhall.Want{Rate: 1}, start)
-			So(lease(g, after, "e1", hookhall.Want{Rate: 40}, start.Add(time.Second)).Rate, ShouldEqual, 40)
+			lease(g, after, "e1", hookhall.ShareDemand{Rate: 1}, start)
+			So(lease(g, after, "e1", hookhall.ShareDemand{Rate: 40}, start.Add(time.Second)).Rate, ShouldEqual, 40)
 		})
 		Convey("never leases more units than the limit", func() {
 			a := &hookhall.Account{Name: "units", Concurrency: 10}
-			lease(g, a, "e0", hookhall.Want{Concurrency: 1}, start)
+			lease(g, a, "e0", hookhall.ShareDemand{Concurrency: 1}, start)
 			held := map[string]int64{}
 			for i := range 60 {
 				from := fmt.Sprintf("e%d", i%5)
-				held[from] = lease(g, a, from, hookhall.Want{Concurrency: int64(i % 9), Held: held[from]}, later.Add(time.Duration(i)*time.Millisecond)).Concurrency
+				held[from] = lease(g, a, from, hookhall.ShareDemand{Concurrency: int64(i % 9), Held: held[from]}, later.Add(time.Duration(i)*time.Millisecond)).Concurrency
 				sum := int64(0)
 				for _, n := range held {
 					sum += n
@@ -64,28 +64,28 @@
 		})
 		Convey("leases units to other entries once they expire", func() {
 			a := &hookhall.Account{Name: "lapse", Concurrency: 4}
-			lease(g, a, "e1", hookhall.Want{Concurrency: 1}, start)
-			So(lease(g, a, "e1", hookhall.Want{Concurrency: 4, Held: 1}, later).Concurrency, ShouldEqual, 4)
-			So(lease(g, a, "e2", hookhall.Want{Concurrency: 4}, later).Concurrency, ShouldEqual, 0)
-			So(lease(g, a, "e2", hookhall.Want{Concurrency: 4}, later.Add(2*LeaseTime)).Concurrency, ShouldEqual, 4)
+			lease(g, a, "e1", hookhall.ShareDemand{Concurrency: 1}, start)
+			So(lease(g, a, "e1", hookhall.ShareDemand{Concurrency: 4, Held: 1}, later).Concurrency, ShouldEqual, 4)
+			So(lease(g, a, "e2", hookhall.ShareDemand{Concurrency: 4}, later).Concurrency, ShouldEqual, 0)
+			So(lease(g, a, "e2", hookhall.ShareDemand{Concurrency: 4}, later.Add(2*LeaseTime)).Concurrency, ShouldEqual, 4)
 		})
 		Convey("divides scarce units by max-min fairness", func() {
 			a := &hookhall.Account{Name: "short", Concurrency: 10}
-			lease(g, a, "small", hookhall.Want{Concurrency: 2}, start)
+			lease(g, a, "small", hookhall.ShareDemand{Concurrency: 2}, start)
 			for i := range 5 {
 				now := later.Add(time.Duration(i) * time.Millisecond)
-				lease(g, a, "small", hookhall.Want{Concurrency: 2}, now)
-				lease(g, a, "big", hookhall.Want{Concurrency: 50}, now)
-				lease(g, a, "bigger", hookhall.Want{Concurrency: 90}, now)
+				lease(g, a, "small", hookhall.ShareDemand{Concurrency: 2}, now)
+				lease(g, a, "big", hookhall.ShareDemand{Concurrency: 50}, now)
+				lease(g, a, "bigger", hookhall.ShareDemand{Concurrency: 90}, now)
 			}
 			now := later.Add(10 * time.Millisecond)
-			So(lease(g, a, "small", hookhall.Want{Concurrency: 2}, now).Concurrency, ShouldEqual, 2)
-			So(lease(g, a, "big", hookhall.Want{Concurrency: 50}, now).Concurrency, ShouldEqual, 4)
+			So(lease(g, a, "small", hookhall.ShareDemand{Concurrency: 2}, now).Concurrency, ShouldEqual, 2)
+			So(lease(g, a, "big", hookhall.ShareDemand{Concurrency: 50}, now).Concurrency, ShouldEqual, 4)
 		})
 		Convey("grants held units and even shares while it is new", func() {
 			a := &hookhall.Account{Name: "new", Concurrency: 18}
-			So(lease(g, a, "e1", hookhall.Want{Concurrency: 9, Held: 7}, start).Concurrency, ShouldEqual, 7)
-			So(lease(g, a, "e2", hookhall.Want{Concurrency: 9}, start).Concurrency, ShouldEqual, 2)
+			So(lease(g, a, "e1", hookhall.ShareDemand{Concurrency: 9, Held: 7}, start).Concurrency, ShouldEqual, 7)
+			So(lease(g, a, "e2", hookhall.ShareDemand{Concurrency: 9}, start).Concurrency, ShouldEqual, 2)
 		})
 	})
 }
@@ -100,32 +100,32 @@
 		spend := func(at time.Time) Decision { d, _ := p.Spend(a, at); return d }
 		Convey("asks the owner first, spends the lease, and asks again", func() {
 			So(spend(now), ShouldEqual, Ask)
-			p.Fill(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
+			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Ask)
 		})
 		Convey("does not spend expired units", func() {
-			p.Fill(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
+			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
 			So(spend(now.Add(2*LeaseTime)), ShouldEqual, Ask)
 		})
 		Convey("does not exceed its concurrency units", func() {
-			p.Fill(hookhall.ShareLease{Limited: true, Rate: 9, Concurrency: 1}, now)
+			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 9, Concurrency: 1}, now)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Ask)
 			p.Done()
 			So(spend(now), ShouldEqual, Pass)
 		})
 		Convey("denies requests after a refusal and returns the time until units are available", func() {
-			p.Fill(hookhall.ShareLease{Limited: true, RetryAfter: time.Second}, now)
+			p.ApplyLease(hookhall.ShareLease{Limited: true, RetryAfter: time.Second}, now)
 			d, after := p.Spend(a, now)
 			So(d, ShouldEqual, Deny)
 			So(after, ShouldEqual, time.Second)
 		})
 		Convey("falls back to an even share without the owner", func() {
-			ok, _ := p.Fallback(a, 2, now)
+			ok, _ := p.SpendWithoutOwner(a, 2, now)
 			So(ok, ShouldBeTrue)
-			ok, after := p.Fallback(a, 2, now)
+			ok, after := p.SpendWithoutOwner(a, 2, now)
 			So(ok, ShouldBeFalse)
 			So(after, ShouldBeGreaterThan, 0)
 		})
@@ -135,7 +135,7 @@
 // BenchmarkSpend measures concurrent spending from one account.
 func BenchmarkSpend(b *testing.B) {
 	allocations, a := &Allocations{}, &hookhall.Account{Name: "a", Concurrency: 1 << 40}
-	allocations.Allocation("a").Fill(hookhall.ShareLease{Limited: true, Concurrency: 1 << 40}, time.Now().Add(time.Hour))
+	allocations.Allocation("a").ApplyLease(hookhall.ShareLease{Limited: true, Concurrency: 1 << 40}, time.Now().Add(time.Hour))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		now := time.Now()
--- a/internal/state/table/document.go
+++ b/internal/state/table/document.go
@@ -29,9 +29,9 @@
 // reader of an older root still finds its chunks.
 const retiredVersions = 32
 
-// EditMark records the ID of an edit request that took effect, and the version that it
+// AppliedEdit records the ID of an edit request that took effect, and the version that it
 // made.
-type EditMark struct {
+type AppliedEdit struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
@@ -44,7 +44,7 @@
 	// Retired has the chunks that newer versions replaced, to be deleted later.
 	Retired []Retired `json:"retired,omitempty"`
 	// Edits has the newest edit requests that took effect, oldest first.
-	Edits []EditMark `json:"edits,omitempty"`
+	Edits []AppliedEdit `json:"edits,omitempty"`
 }
 
 // Retired is the name of a chunk and the version whose root no longer lists it.
@@ -103,17 +103,17 @@
 	if len(chunk) == 0 {
 		return ""
 	}
-	return HashOf(chunk) + "." + strconv.FormatUint(version, 10)
+	return ContentHash(chunk) + "." + strconv.FormatUint(version, 10)
 }
 
-// HashIn returns the content hash that a chunk's name contains.
-func HashIn(name string) string {
+// HashFromName returns the content hash that a chunk's name contains.
+func HashFromName(name string) string {
 	hash, _, _ := strings.Cut(name, ".")
 	return hash
 }
 
-// VersionIn returns the version that a chunk's name contains, 0 when it has none.
-func VersionIn(name string) uint64 {
+// VersionFromName returns the version that a chunk's name contains, 0 when it has none.
+func VersionFromName(name string) uint64 {
 	_, version, _ := strings.Cut(name, ".")
 	n, err := strconv.ParseUint(version, 10, 64)
 	if err != nil {
@@ -122,8 +122,8 @@
 	return n
 }
 
-// HashOf returns the hash of a chunk's content: the first 16 bytes of its SHA-256, in hex.
-func HashOf(chunk []byte) string {
+// ContentHash returns the hash of a chunk's content: the first 16 bytes of its SHA-256, in hex.
+func ContentHash(chunk []byte) string {
 	sum := sha256.Sum256(chunk)
 	return hex.EncodeToString(sum[:16])
 }
@@ -138,7 +138,7 @@
 			continue
 		}
 		b := chunk(name)
-		if HashOf(b) != HashIn(name) {
+		if ContentHash(b) != HashFromName(name) {
 			return nil, errors.Errorf("table version %d: chunk %d is missing or damaged", r.Version, i)
 		}
 		var rows []hookhall.Row
@@ -169,9 +169,9 @@
 	return row, ok
 }
 
-// Applied returns the version that the edit request with this ID made, 0 when the root
+// AppliedVersion returns the version that the edit request with this ID made, 0 when the root
 // doesn't list it.
-func (r Root) Applied(id string) uint64 {
+func (r Root) AppliedVersion(id string) uint64 {
 	for _, e := range r.Edits {
 		if e.ID == id {
 			return e.Version
@@ -202,7 +202,7 @@
 	}
 	next.Root.Version++
 	next.Root.Retired = recentlyRetired(d.Root.Retired, next.Root.Version)
-	next.Root.Edits = appendEdit(d.Root.Edits, EditMark{ID: id, Version: next.Root.Version})
+	next.Root.Edits = appendEdit(d.Root.Edits, AppliedEdit{ID: id, Version: next.Root.Version})
 	next.encodeChunks(touched)
 	if _, err := Compile(next); err != nil {
 		return nil, err
@@ -213,7 +213,7 @@
 // checkEdits returns a list of *CellError, one for each invalid edit, nil when there are
 // none.
 func checkEdits(edits []hookhall.Edit) error {
-	var invalid Errors
+	var invalid CellErrors
 	for _, e := range edits {
 		if e.Delete && e.Column == "" {
 			continue
@@ -309,9 +309,9 @@
 	return kept
 }
 
-// Obsolete returns the names of the retired chunks of d that its successor next no longer
+// ObsoleteChunks returns the names of the retired chunks of d that its successor next no longer
 // lists. They can be deleted.
-func (d *Document) Obsolete(next *Document) []string {
+func (d *Document) ObsoleteChunks(next *Document) []string {
 	kept := map[string]bool{}
 	for _, r := range next.Root.Retired {
 		kept[r.Name] = true
@@ -327,11 +327,11 @@
 
 // appendEdit returns a copy of old with m appended, without the oldest entries above
 // maxAppliedEdits.
-func appendEdit(old []EditMark, m EditMark) []EditMark {
+func appendEdit(old []AppliedEdit, m AppliedEdit) []AppliedEdit {
 	if len(old) >= maxAppliedEdits {
 		old = old[len(old)-maxAppliedEdits+1:]
 	}
-	return append(append([]EditMark(nil), old...), m)
+	return append(append([]AppliedEdit(nil), old...), m)
 }
 
 // rowKey returns the key of a row in Document.rowsByKey, as in accounts/acme.
--- a/internal/state/table/errors.go
+++ b/internal/state/table/errors.go
@@ -46,11 +46,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Errors is the error of a table or an edit request with at least one invalid cell.
-type Errors []*CellError
+// CellErrors is the error of a table or an edit request with at least one invalid cell.
+type CellErrors []*CellError
 
 // Error returns one line for each cell.
-func (e Errors) Error() string {
+func (e CellErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, x := range e {
 		lines[i] = x.Error()
--- a/internal/state/table/snapshot.go
+++ b/internal/state/table/snapshot.go
@@ -45,7 +45,7 @@
 		Leaving:           map[string]bool{},
 		accountsByKeyHash: map[string]*hookhall.Account{},
 	}
-	var invalid Errors
+	var invalid CellErrors
 	stages := map[string][]hookhall.Row{}
 	for _, row := range d.Rows() {
 		switch row.Sheet {
@@ -71,7 +71,7 @@
 
 // addAccount adds the account of a row; it returns a list of *CellError when another
 // account has the same key.
-func (s *Snapshot) addAccount(row hookhall.Row) Errors {
+func (s *Snapshot) addAccount(row hookhall.Row) CellErrors {
 	a := &hookhall.Account{
 		Name:        row.Name,
 		KeyHash:     row.Cells["key_sha256"],
@@ -86,7 +86,7 @@
 		return nil
 	}
 	if other := s.accountsByKeyHash[a.KeyHash]; other != nil {
-		return Errors{{row.Sheet, row.Name, "key_sha256", "account " + other.Name + " has the same key"}}
+		return CellErrors{{row.Sheet, row.Name, "key_sha256", "account " + other.Name + " has the same key"}}
 	}
 	s.accountsByKeyHash[a.KeyHash] = a
 	return nil
--- a/internal/state/table/table_test.go
+++ b/internal/state/table/table_test.go
@@ -28,7 +28,7 @@
 		Convey("applies an edit whose base matches the cell", func() {
 			n, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "rate", "6", "5")})
 			So(err, ShouldBeNil)
-			So(n.Root.Applied("two"), ShouldEqual, 2)
+			So(n.Root.AppliedVersion("two"), ShouldEqual, 2)
 			account, _ := d.Row(hookhall.SheetAccounts, "acme")
 			So(account.Cells["rate"], ShouldEqual, "5") // the older document is unchanged
 		})
@@ -41,7 +41,7 @@
 		})
 		Convey("refuses invalid cells, and lists all of them", func() {
 			_, err := d.Apply("two", []hookhall.Edit{newEdit("acme", "rate", "fast", "5"), newEdit("acme", "tint", "x", ""), newEdit("a b", "rate", "1", "")})
-			var invalid Errors
+			var invalid CellErrors
 			So(errors.As(err, &invalid), ShouldBeTrue)
 			So(invalid, ShouldHaveLength, 3)
 			So(invalid[0].Error(), ShouldEqual, `accounts/acme:rate: "fast" is not accepted; it must be requests a second, from 0 (no limit) to 1000000`)
@@ -61,7 +61,7 @@
 			for i := 0; i < retiredVersions; i++ {
 				next, err := n.Apply("more", []hookhall.Edit{newEdit("acme", "rate", string(rune('1'+i%9)), n.cellValue("acme", "rate"))})
 				So(err, ShouldBeNil)
-				if obsolete := n.Obsolete(next); len(obsolete) > 0 {
+				if obsolete := n.ObsoleteChunks(next); len(obsolete) > 0 {
 					So(i, ShouldBeGreaterThanOrEqualTo, retiredVersions-2)
 				}
 				n = next
--- a/internal/state/view/view.go
+++ b/internal/state/view/view.go
@@ -200,9 +200,9 @@
 	return n
 }
 
-// At returns the members of v's epoch or an earlier one, sorted by ID. It returns false
+// MembersAt returns the members of v's epoch or an earlier one, sorted by ID. It returns false
 // for later epochs and for those that v's list of changes doesn't reach back to.
-func At(v *hookhall.View, epoch uint64) ([]hookhall.Member, bool) {
+func MembersAt(v *hookhall.View, epoch uint64) ([]hookhall.Member, bool) {
 	if epoch > v.Epoch {
 		return nil, false
 	}
@@ -222,7 +222,7 @@
 }
 
 // revertChange returns the members before the change c.
-func revertChange(members []hookhall.Member, c hookhall.Change) []hookhall.Member {
+func revertChange(members []hookhall.Member, c hookhall.MembershipChange) []hookhall.Member {
 	for _, j := range c.Joined {
 		members, _ = partition(members, func(x hookhall.Member) bool { return x.ID != j.ID })
 	}
@@ -234,7 +234,7 @@
 	n := *v
 	n.Members = append([]hookhall.Member(nil), v.Members...)
 	n.Unfenced = append([]hookhall.Member(nil), v.Unfenced...)
-	n.Changes = append([]hookhall.Change(nil), v.Changes...)
+	n.Changes = append([]hookhall.MembershipChange(nil), v.Changes...)
 	return &n
 }
 
@@ -244,7 +244,7 @@
 	sortMembers(n.Members)
 	n.Epoch++
 	n.Revision++
-	n.Changes = append(n.Changes, hookhall.Change{Epoch: n.Epoch, Joined: joined, Left: left})
+	n.Changes = append(n.Changes, hookhall.MembershipChange{Epoch: n.Epoch, Joined: joined, Left: left})
 	if len(n.Changes) > maxChanges {
 		n.Changes = n.Changes[len(n.Changes)-maxChanges:]
 	}
--- a/internal/state/view/view_test.go
+++ b/internal/state/view/view_test.go
@@ -32,11 +32,11 @@
 		Convey("counts its changes, and gives the members of earlier epochs", func() {
 			So(v.Epoch, ShouldEqual, 9)
 			for k := uint64(1); k <= 9; k++ {
-				members, ok := At(v, k)
+				members, ok := MembersAt(v, k)
 				So(ok, ShouldBeTrue)
 				So(members, ShouldHaveLength, int(k))
 			}
-			_, ok := At(v, 10)
+			_, ok := MembersAt(v, 10)
 			So(ok, ShouldBeFalse)
 		})
 		Convey("does not change when a member joins twice or a non-member leaves", func() {
@@ -53,7 +53,7 @@
 		Convey("replaces an older incarnation in one change", func() {
 			n := Join(v, member(3, 2))
 			So(n.Members, ShouldHaveLength, 9)
-			before, _ := At(n, n.Epoch-1)
+			before, _ := MembersAt(n, n.Epoch-1)
 			So(before, ShouldResemble, v.Members)
 		})
 		Convey("is refused when it lists a member twice", func() {
@@ -66,7 +66,7 @@
 				v = Join(v, member(0, i+2))
 			}
 			So(v.Changes, ShouldHaveLength, maxChanges)
-			_, ok := At(v, 3)
+			_, ok := MembersAt(v, 3)
 			So(ok, ShouldBeFalse)
 		})
 	})
--- a/internal/transport/backend/backend.go
+++ b/internal/transport/backend/backend.go
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	req.ContentLength = int64(len(c.Input))
-	wire.SetCall(req.Header, c, clock.Now())
+	wire.SetCallHeaders(req.Header, c, clock.Now())
 	return req, nil
 }
 
@@ -158,8 +158,8 @@
 		return result, hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseTruncated, "the answer has %d bytes and should have %d", len(result.Output), end.Length)
 	}
 	result.Tokens = end.Tokens
-	result.Queue = time.Duration(end.QueueMS * float64(time.Millisecond))
-	result.Busy = time.Duration(end.BusyMS * float64(time.Millisecond))
+	result.QueueTime = time.Duration(end.QueueMS * float64(time.Millisecond))
+	result.BusyTime = time.Duration(end.BusyMS * float64(time.Millisecond))
 	result.Load = end.Load
 	return result, nil
 }
--- a/internal/transport/callers/callers.go
+++ b/internal/transport/callers/callers.go
@@ -100,7 +100,7 @@
 	if r.Method != http.MethodPost {
 		return nil, nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "use POST")
 	}
-	key := r.Header.Get(wire.HeaderKey)
+	key := r.Header.Get(wire.HeaderIdempotencyKey)
 	if ok, cause := h.service.Accepting(); !ok {
 		return nil, nil, notAccepting(key, cause)
 	}
@@ -132,7 +132,7 @@
 	if key != "" {
 		verdict = hookhall.MayHaveRun
 	}
-	return hookhall.Errorf(verdict, cause, "this entry takes no new work").After(stopRetryDelay)
+	return hookhall.Errorf(verdict, cause, "this entry takes no new work").WithRetryAfter(stopRetryDelay)
 }
 
 // authenticate returns the account whose key the request presents as bearer token.
--- a/internal/transport/fleet/advisories.go
+++ b/internal/transport/fleet/advisories.go
@@ -42,7 +42,7 @@
 	out := make([]*pb.TargetAdvisory, 0, len(list))
 	for _, r := range list {
 		out = append(out, &pb.TargetAdvisory{
-			Target: r.Target.ID, Born: r.Target.Born, Service: r.Target.Pool, Leaving: r.Leaving,
+			Target: r.Target.ID, Born: r.Target.Start, Service: r.Target.Pool, Leaving: r.Leaving,
 			Limited: r.Limit.Named, Limit: r.Limit.Rate, AgeMs: limitAgeMS(r.Limit, now),
 		})
 	}
@@ -64,7 +64,7 @@
 func readAdvisories(list []*pb.TargetAdvisory, receivedAt time.Time) []advisory.Report {
 	out := make([]advisory.Report, 0, len(list))
 	for _, a := range list {
-		r := advisory.Report{Target: hookhall.Target{ID: a.GetTarget(), Born: a.GetBorn(), Pool: a.GetService()}, Leaving: a.GetLeaving()}
+		r := advisory.Report{Target: hookhall.Target{ID: a.GetTarget(), Start: a.GetBorn(), Pool: a.GetService()}, Leaving: a.GetLeaving()}
 		if a.GetAgeMs() >= 0 {
 			r.Limit = advisory.Limit{Named: a.GetLimited(), Rate: max(a.GetLimit(), 0), Heard: receivedAt.Add(-milliseconds(a.GetAgeMs()))}
 		}
--- a/internal/transport/fleet/bootstrap.go
+++ b/internal/transport/fleet/bootstrap.go
@@ -26,30 +26,30 @@
 	askTimeout = 2 * time.Second
 )
 
-// Meeter accepts the members that a peer listed.
-type Meeter interface {
-	// Meet adds the members of a peer's list until the store's own list replaces them.
-	Meet(list []hookhall.Member)
+// MemberList accepts the members that a peer listed.
+type MemberList interface {
+	// AddFromPeer adds the members of a peer's list until the store's own list replaces them.
+	AddFromPeer(list []hookhall.Member)
 }
 
-// Starter lets a process start while the store is unavailable: it fetches the state
+// Bootstrapper lets a process start while the store is unavailable: it fetches the state
 // of the peers that its settings name, with its age. What the store returns later
 // replaces that state. The fields are set before the first call.
-type Starter struct {
+type Bootstrapper struct {
 	Clients *Clients
 	Catalog *catalog.Catalog
-	Members Meeter
-	Ends    Ends
+	Members MemberList
+	Crashes Crashes
 	// Advisories stores the advisories that peers received from targets.
 	Advisories Advisories
 	Log        *log.Logger
-	// Began is when the process started.
-	Began time.Time
+	// StartedAt is when the process started.
+	StartedAt time.Time
 }
 
 // Run asks the peers at the addresses in seeds in turn, until the catalog has a table
 // and targets or ctx ends.
-func (s *Starter) Run(ctx context.Context, seeds []string) {
+func (s *Bootstrapper) Run(ctx context.Context, seeds []string) {
 	retry.Sleep(ctx, storeTimeout)
 	for i := 0; len(seeds) > 0 && ctx.Err() == nil && !s.Catalog.Ready(); i++ {
 		s.Ask(ctx, seeds[i%len(seeds)])
@@ -59,8 +59,8 @@
 
 // Ask fetches the state of the peer at an address. It does nothing within storeTimeout
 // of the start, while the store may still answer, and once the catalog is ready.
-func (s *Starter) Ask(ctx context.Context, peer string) {
-	if clock.Since(s.Began) < storeTimeout || s.Catalog.Ready() {
+func (s *Bootstrapper) Ask(ctx context.Context, peer string) {
+	if clock.Since(s.StartedAt) < storeTimeout || s.Catalog.Ready() {
 		return
 	}
 	if err := s.fetchState(ctx, peer); err != nil {
@@ -71,26 +71,26 @@
 }
 
 // fetchState fetches and applies the state of the peer at seed.
-func (s *Starter) fetchState(ctx context.Context, seed string) error {
+func (s *Bootstrapper) fetchState(ctx context.Context, seed string) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	began := clock.Now()
-	b, err := s.Clients.Client(seed).Beliefs(ctx)
+	b, err := s.Clients.Client(seed).FetchState(ctx)
 	if err != nil {
 		return err
 	}
 	if b.GetHallsRevision() > 0 {
-		s.Catalog.LearnHalls(catalog.Halls{Revision: hookhall.Revision(b.GetHallsRevision()), Evacuated: b.GetEvacuated()}, hostOf(seed))
+		s.Catalog.ApplyHalls(catalog.Halls{Revision: hookhall.Revision(b.GetHallsRevision()), Evacuated: b.GetEvacuated()}, hostOf(seed))
 	}
-	s.Ends.Learn(readCrashes(b.GetEnds().GetEnds(), clock.Now()), hostOf(seed))
+	s.Crashes.Merge(readCrashes(b.GetEnds().GetEnds(), clock.Now()), hostOf(seed))
 	s.Advisories.Merge(readAdvisories(b.GetAdvisories(), began), hostOf(seed))
-	s.Catalog.LearnPacked(b.GetTable().GetPacked(), hookhall.Revision(b.GetTable().GetRevision()), hostOf(seed), began)
+	s.Catalog.ApplyPackedTable(b.GetTable().GetPacked(), hookhall.Revision(b.GetTable().GetRevision()), hostOf(seed), began)
 	r := catalog.Reading{Revision: hookhall.Revision(b.GetTargetsRevision()), Began: began.Add(-milliseconds(b.GetAgeMs()))}
 	if r.Items, _, err = unpackBulk(b.GetTargets()); err != nil {
 		return err
 	}
-	s.Catalog.Learn(r, hostOf(seed))
-	s.Members.Meet(readMembers(b.GetMembers()))
+	s.Catalog.ApplyReading(r, hostOf(seed))
+	s.Members.AddFromPeer(readMembers(b.GetMembers()))
 	return nil
 }
 
@@ -120,7 +120,7 @@
 	}
 	h := b.Catalog.Halls()
 	out.HallsRevision, out.Evacuated = uint64(h.Revision), h.Evacuated
-	out.Ends = &pb.Ends{Ends: wireCrashes(b.Ends.All(), clock.Now())}
+	out.Ends = &pb.Ends{Ends: wireCrashes(b.Crashes.All(), clock.Now())}
 	out.Advisories = wireAdvisories(b.Advisories.All(), clock.Now())
 	var err error
 	if out.Targets, err = packBulk(r.Items, nil); err != nil {
@@ -134,8 +134,8 @@
 	return out, nil
 }
 
-// Beliefs reads the complete state that the peer knows.
-func (c *Client) Beliefs(ctx context.Context) (*pb.Beliefs, error) {
+// FetchState reads the complete state that the peer knows.
+func (c *Client) FetchState(ctx context.Context) (*pb.Beliefs, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
--- a/internal/transport/fleet/clients.go
+++ b/internal/transport/fleet/clients.go
@@ -64,8 +64,8 @@
 	return p
 }
 
-// Keep closes the connections to all addresses for which inUse returns false.
-func (c *Clients) Keep(inUse func(address string) bool) {
+// CloseUnused closes the connections to all addresses for which inUse returns false.
+func (c *Clients) CloseUnused(inUse func(address string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, p := range c.byAddress {
--- a/internal/transport/fleet/clients_test.go
+++ b/internal/transport/fleet/clients_test.go
@@ -54,7 +54,7 @@
 // to a peer that does not answer on a new connection either, and one of a closed
 // client, is kept.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	w, err := standin.NewWire(startPingServer(t))
+	w, err := standin.NewStallingProxy(startPingServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,12 +64,12 @@
 	pingUntilAnswered(t, c)
 	t.Run("unresponsive connection", func(t *testing.T) {
 		for range 2 {
-			w.Silence()
+			w.Stall()
 			if took := pingUntilAnswered(t, c); took > 3*time.Second {
 				t.Errorf("the peer answers again only after %v", took)
 			}
 		}
-		if n := w.Opened(); n > 4 {
+		if n := w.OpenedCount(); n > 4 {
 			t.Errorf("%d connections were opened, want 4 at most", n)
 		}
 	})
@@ -88,7 +88,7 @@
 	})
 	t.Run("closed client", func(t *testing.T) {
 		old := c.link.Load()
-		clients.Keep(func(string) bool { return false })
+		clients.CloseUnused(func(string) bool { return false })
 		c.replaceIfSilent(old)
 		if c.link.Load() != old {
 			t.Error("a closed client got a new connection")
@@ -127,7 +127,7 @@
 		end  func(cancel func())
 		gone bool // whether the client has gone
 	}{
-		"the connection is closed": {func(func()) { clients.Keep(func(string) bool { return false }) }, false},
+		"the connection is closed": {func(func()) { clients.CloseUnused(func(string) bool { return false }) }, false},
 		"the client has gone":      {func(cancel func()) { cancel() }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 			defer cancel()
 			failed := make(chan error, 1)
 			go func() {
-				_, err := clients.Client(l.Addr().String()).Run(ctx, stages.Work{Service: "s", Pieces: 1, End: time.Now().Add(time.Minute)})
+				_, err := clients.Client(l.Addr().String()).Run(ctx, stages.Work{Service: "s", PieceCount: 1, Deadline: time.Now().Add(time.Minute)})
 				failed <- err
 			}()
 			<-peer.begun
