--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -21,20 +21,20 @@
 	comparePause = 5 * time.Second
 )
 
-// Ends stores the crashes of targets under requests.
-type Ends interface {
-	// Learn adds the crashes that a peer reported and returns those that were new; from
+// Crashes stores the crashes of targets under requests.
+type Crashes interface {
+	// Merge adds the crashes that a peer reported and returns those that were new; from
 	// names the peer in logs.
-	Learn(list []crashes.End, from string) (fresh []crashes.End)
+	Merge(list []crashes.Crash, from string) (fresh []crashes.Crash)
 	// All returns all crashes.
-	All() []crashes.End
+	All() []crashes.Crash
 	// Sum returns a checksum of all crashes, 0 for none.
 	Sum(now time.Time) uint64
 }
 
-// Report sends crashes that this process found to all other gateways, without
+// ReportCrashes sends crashes that this process found to all other gateways, without
 // waiting for them.
-func (s *Broadcaster) Report(list []crashes.End) {
+func (s *Broadcaster) ReportCrashes(list []crashes.Crash) {
 	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(list, clock.Now())}, clock.Now())
 }
 
@@ -51,14 +51,14 @@
 func (s *Broadcaster) sendCrashes(address string, m *pb.Ends) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	return s.Clients.Client(address).Report(ctx, m) == nil
+	return s.Clients.Client(address).SendCrashes(ctx, m) == nil
 }
 
-// TakeEnds adds the crashes that a peer reported and forwards the message if any
+// HandleCrashes adds the crashes that a peer reported and forwards the message if any
 // was new. It does not forward the result of a comparison, which has no reporter.
-func (s *Broadcaster) TakeEnds(m *pb.Ends) {
+func (s *Broadcaster) HandleCrashes(m *pb.Ends) {
 	receivedAt := clock.Now()
-	if len(s.Ends.Learn(readCrashes(m.GetEnds(), receivedAt), hostOf(m.GetReporter()))) > 0 && m.GetReporter() != "" {
+	if len(s.Crashes.Merge(readCrashes(m.GetEnds(), receivedAt), hostOf(m.GetReporter()))) > 0 && m.GetReporter() != "" {
 		s.relayCrashes(m, receivedAt)
 	}
 }
@@ -66,7 +66,7 @@
 // compareCrashes starts a comparison with the sender of update m if the checksums of their
 // crashes differ. Only one comparison runs at a time.
 func (s *Broadcaster) compareCrashes(m *pb.News, now time.Time) {
-	if m.GetFrom() == "" || m.GetEndsSum() == s.Ends.Sum(now) || clock.Stamp(now) < s.nextComparison.Load() {
+	if m.GetFrom() == "" || m.GetEndsSum() == s.Crashes.Sum(now) || clock.Stamp(now) < s.nextComparison.Load() {
 		return
 	}
 	if !s.comparing.CompareAndSwap(false, true) {
@@ -85,14 +85,14 @@
 func (s *Broadcaster) exchangeCrashes(peer string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), compareTimeout)
 	defer cancel()
-	theirs, err := s.Clients.Client(peer).Ends(ctx)
+	theirs, err := s.Clients.Client(peer).FetchCrashes(ctx)
 	if err != nil {
 		return true // the next update starts another comparison
 	}
 	now := clock.Now()
 	list := readCrashes(theirs.GetEnds(), now)
-	fresh := s.Ends.Learn(list, hostOf(peer))
-	missing := missingFrom(s.Ends.All(), list)
+	fresh := s.Crashes.Merge(list, hostOf(peer))
+	missing := missingFrom(s.Crashes.All(), list)
 	if len(missing) > 0 {
 		s.sendCrashes(peer, &pb.Ends{Ends: wireCrashes(missing, now)})
 	}
@@ -100,19 +100,19 @@
 }
 
 // missingFrom returns the crashes of own that are not in theirs, or are cleared only in own.
-func missingFrom(own, theirs []crashes.End) []crashes.End {
+func missingFrom(own, theirs []crashes.Crash) []crashes.Crash {
 	type key struct {
 		content     crashes.Digest
-		incarnation hookhall.Life
+		incarnation hookhall.Incarnation
 		cleared     bool
 	}
 	known := map[key]bool{}
 	for _, e := range theirs {
-		known[key{e.Content, e.Life, e.Cleared}] = true
+		known[key{e.Content, e.Incarnation, e.Cleared}] = true
 	}
-	var missing []crashes.End
+	var missing []crashes.Crash
 	for _, e := range own {
-		if !known[key{e.Content, e.Life, e.Cleared}] && !known[key{e.Content, e.Life, true}] {
+		if !known[key{e.Content, e.Incarnation, e.Cleared}] && !known[key{e.Content, e.Incarnation, true}] {
 			missing = append(missing, e)
 		}
 	}
@@ -120,12 +120,12 @@
 }
 
 // wireCrashes converts crashes for a message that is sent at now.
-func wireCrashes(list []crashes.End, now time.Time) []*pb.End {
+func wireCrashes(list []crashes.Crash, now time.Time) []*pb.End {
 	out := make([]*pb.End, 0, len(list))
 	for _, e := range list {
 		out = append(out, &pb.End{
-			Content: e.Content[:], Account: e.Account, Target: e.Life.ID, Born: e.Life.Born, Software: e.Software,
-			Served: e.Served, Cleared: e.Cleared, AgeMs: ageMS(now.Sub(e.At)),
+			Content: e.Content[:], Account: e.Account, Target: e.Incarnation.ID, Born: e.Incarnation.Start, Software: e.Software,
+			Served: e.RecentlyServed, Cleared: e.Cleared, AgeMs: ageMS(now.Sub(e.ReportedAt)),
 		})
 	}
 	return out
@@ -142,15 +142,15 @@
 
 // readCrashes converts the crashes of a message that was received at a time. It omits
 // those whose digest has a wrong length, and treats negative ages as 0.
-func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.End {
-	var out []crashes.End
+func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.Crash {
+	var out []crashes.Crash
 	for _, e := range list {
 		if len(e.GetContent()) != len(crashes.Digest{}) {
 			continue
 		}
-		out = append(out, crashes.End{
-			Content: crashes.Digest(e.GetContent()), Account: e.GetAccount(), Life: hookhall.Life{ID: e.GetTarget(), Born: e.GetBorn()},
-			Software: e.GetSoftware(), Served: e.GetServed(), Cleared: e.GetCleared(), At: receivedAt.Add(-milliseconds(max(e.GetAgeMs(), 0))),
+		out = append(out, crashes.Crash{
+			Content: crashes.Digest(e.GetContent()), Account: e.GetAccount(), Incarnation: hookhall.Incarnation{ID: e.GetTarget(), Start: e.GetBorn()},
+			Software: e.GetSoftware(), RecentlyServed: e.GetServed(), Cleared: e.GetCleared(), ReportedAt: receivedAt.Add(-milliseconds(max(e.GetAgeMs(), 0))),
 		})
 	}
 	return out
@@ -170,17 +170,17 @@
 
 // Report implements pb.FleetServer.
 func (s *Server) Report(_ context.Context, m *pb.Ends) (*pb.EndsReply, error) {
-	s.Broadcaster.TakeEnds(m)
+	s.Broadcaster.HandleCrashes(m)
 	return &pb.EndsReply{}, nil
 }
 
 // GetEnds implements pb.FleetServer.
 func (s *Server) GetEnds(context.Context, *pb.EndsRequest) (*pb.Ends, error) {
-	return &pb.Ends{Ends: wireCrashes(s.Broadcaster.Ends.All(), clock.Now())}, nil
+	return &pb.Ends{Ends: wireCrashes(s.Broadcaster.Crashes.All(), clock.Now())}, nil
 }
 
-// Report sends crashes to the peer.
-func (c *Client) Report(ctx context.Context, m *pb.Ends) error {
+// SendCrashes sends crashes to the peer.
+func (c *Client) SendCrashes(ctx context.Context, m *pb.Ends) error {
 	if c.err != nil {
 		return c.err
 	}
@@ -189,8 +189,8 @@
 	return err
 }
 
-// Ends reads all crashes that the peer knows.
-func (c *Client) Ends(ctx context.Context) (*pb.Ends, error) {
+// FetchCrashes reads all crashes that the peer knows.
+func (c *Client) FetchCrashes(ctx context.Context) (*pb.Ends, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
--- a/internal/transport/fleet/fleet.go
+++ b/internal/transport/fleet/fleet.go
@@ -51,8 +51,8 @@
 	pb.UnimplementedFleetServer
 	// Broker runs stages at the targets of the services that this process is broker of.
 	Broker *stages.Broker
-	// Placer chooses targets for the services whose placement this process owns.
-	Placer *placement.Placer
+	// PlacementOwner chooses targets for the services whose placement this process owns.
+	PlacementOwner *placement.Owner
 	// Broadcaster has the catalog and the other state that peers read and update.
 	Broadcaster *Broadcaster
 }
@@ -79,10 +79,10 @@
 func (s *Server) runStage(ctx context.Context, r *pb.StageRequest, inputsRead func()) *pb.StageReply {
 	now := clock.Now()
 	handles, err := s.Broker.Run(ctx, stages.Work{
-		Service: r.GetService(), Call: r.GetRequest(), Stage: int(r.GetStage()), Pieces: int(r.GetPieces()),
-		Key: r.GetKey(), Inputs: r.GetInputs(), Bytes: r.GetPieceBytes(),
-		Due: now.Add(milliseconds(r.GetDueMs())), End: now.Add(milliseconds(r.GetRemainingMs())),
-		Urgency: int(r.GetUrgency()), Hall: r.GetHall(), Cross: r.GetCrossBytes(), InputsRead: inputsRead,
+		Service: r.GetService(), RequestID: r.GetRequest(), Stage: int(r.GetStage()), PieceCount: int(r.GetPieces()),
+		PieceKey: r.GetKey(), Inputs: r.GetInputs(), ResultBytes: r.GetPieceBytes(),
+		LatestStart: now.Add(milliseconds(r.GetDueMs())), Deadline: now.Add(milliseconds(r.GetRemainingMs())),
+		Urgency: int(r.GetUrgency()), Hall: r.GetHall(), CrossHallBytes: r.GetCrossBytes(), OnInputsRead: inputsRead,
 		Content: readDigest(r.GetContent()), Account: r.GetAccount(),
 	})
 	if err != nil {
@@ -95,7 +95,7 @@
 // Free implements pb.FleetServer.
 func (s *Server) Free(_ context.Context, r *pb.FreeRequest) (*pb.FreeReply, error) {
 	if r.GetIfCrowded() {
-		s.Broker.FreeIfCrowded(r.GetService(), r.GetHandles())
+		s.Broker.FreeIfMemoryConstrained(r.GetService(), r.GetHandles())
 	} else {
 		s.Broker.Free(r.GetService(), r.GetHandles())
 	}
@@ -104,16 +104,16 @@
 
 // Place implements pb.FleetServer.
 func (s *Server) Place(_ context.Context, r *pb.PlaceRequest) (*pb.PlaceReply, error) {
-	w := balance.Wish{
-		Engine: !r.GetPlain(), Halls: r.GetHalls(), Shared: r.GetShared(), SharedTokens: int(r.GetSharedTokens()), OwnTokens: int(r.GetOwnTokens()),
-		Parts: r.GetParts(), Near: r.GetNear(), Slack: milliseconds(r.GetSlackMs()), OutTokens: int(r.GetOutTokens()), Exclude: map[string]bool{},
-		Versions: balance.Versions{Only: r.GetOnlyVersion(), Not: r.GetNotVersion(), Among: int(r.GetAmong())},
+	w := balance.Criteria{
+		IsEngineCall: !r.GetPlain(), Halls: r.GetHalls(), SharedPart: r.GetShared(), SharedTokens: int(r.GetSharedTokens()), OwnTokens: int(r.GetOwnTokens()),
+		Parts: r.GetParts(), BytesByHall: r.GetNear(), LatencyBudget: milliseconds(r.GetSlackMs()), MaxOutputTokens: int(r.GetOutTokens()), ExcludedTargets: map[string]bool{},
+		Versions: balance.Versions{Only: r.GetOnlyVersion(), Not: r.GetNotVersion(), MaxTargets: int(r.GetAmong())},
 	}
 	for _, id := range r.GetExclude() {
-		w.Exclude[id] = true
+		w.ExcludedTargets[id] = true
 	}
 	s.Broadcaster.Advisories.Merge(readAdvisories(r.GetLimits(), clock.Now()), "request")
-	c := s.Placer.Place(r.GetTicket(), r.GetService(), w)
+	c := s.PlacementOwner.Place(r.GetTicket(), r.GetService(), w)
 	return &pb.PlaceReply{Target: c.Target, WaitUs: c.Wait.Microseconds(), RetryAfterUs: c.RetryAfter.Microseconds()}, nil
 }
 
@@ -127,7 +127,7 @@
 			}
 		}
 	}
-	s.Placer.Take(notes)
+	s.PlacementOwner.ProcessNotes(notes)
 	return &pb.NoteReply{}, nil
 }
 
@@ -138,7 +138,7 @@
 
 // Share implements pb.FleetServer.
 func (s *Server) Share(_ context.Context, n *pb.News) (*pb.NewsReply, error) {
-	s.Broadcaster.Take(n)
+	s.Broadcaster.HandleUpdate(n)
 	return &pb.NewsReply{}, nil
 }
 
@@ -158,15 +158,15 @@
 // Run implements stages.Remote.
 func (c *Client) Run(ctx context.Context, w stages.Work) ([]string, error) {
 	if c.err != nil {
-		return nil, stages.ErrSilent(c.err)
+		return nil, stages.WrapUnreachable(c.err)
 	}
 	now := clock.Now()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	replies, err := c.rpc().RunStage(ctx, &pb.StageRequest{
-		Request: w.Call, Stage: int32(w.Stage), Pieces: int32(w.Pieces), Service: w.Service, Key: w.Key, Inputs: w.Inputs,
-		PieceBytes: w.Bytes, DueMs: w.Due.Sub(now).Milliseconds(), RemainingMs: w.End.Sub(now).Milliseconds(),
-		Urgency: int32(w.Urgency), Hall: w.Hall, CrossBytes: w.Cross,
+		Request: w.RequestID, Stage: int32(w.Stage), Pieces: int32(w.PieceCount), Service: w.Service, Key: w.PieceKey, Inputs: w.Inputs,
+		PieceBytes: w.ResultBytes, DueMs: w.LatestStart.Sub(now).Milliseconds(), RemainingMs: w.Deadline.Sub(now).Milliseconds(),
+		Urgency: int32(w.Urgency), Hall: w.Hall, CrossBytes: w.CrossHallBytes,
 		Content: w.Content[:], Account: w.Account,
 	})
 	if err != nil {
@@ -174,13 +174,13 @@
 	}
 	reply, err := replies.Recv()
 	for err == nil && reply.GetInputsRead() {
-		w.InputsRead()
+		w.OnInputsRead()
 		reply, err = replies.Recv()
 	}
 	if err != nil {
 		return nil, transportError(ctx, err)
 	}
-	if reply.GetReason() != "" || len(reply.GetHandles()) != w.Pieces {
+	if reply.GetReason() != "" || len(reply.GetHandles()) != w.PieceCount {
 		return nil, hookhall.Errorf(hookhall.NotRun, replyCause(reply), "%s", reply.GetReason())
 	}
 	return reply.GetHandles(), nil
@@ -205,7 +205,7 @@
 	if ctx.Err() != nil {
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "%v", err)
 	}
-	return stages.ErrSilent(err)
+	return stages.WrapUnreachable(err)
 }
 
 // Free implements stages.Remote.
@@ -228,18 +228,18 @@
 }
 
 // Place implements placement.Remote.
-func (c *Client) Place(ctx context.Context, ticket, service string, w balance.Wish, limits []advisory.Report) (placement.Choice, error) {
+func (c *Client) Place(ctx context.Context, ticket, service string, w balance.Criteria, limits []advisory.Report) (placement.Choice, error) {
 	if c.err != nil {
 		return placement.Choice{}, c.err
 	}
 	request := &pb.PlaceRequest{
-		Ticket: ticket, Service: service, Shared: w.Shared, SharedTokens: int64(w.SharedTokens), OwnTokens: int64(w.OwnTokens),
-		Parts: w.Parts, Near: w.Near, SlackMs: w.Slack.Milliseconds(),
-		OutTokens: int64(w.OutTokens), Plain: !w.Engine, Halls: w.Halls,
-		OnlyVersion: w.Only, NotVersion: w.Not, Among: int32(w.Among),
+		Ticket: ticket, Service: service, Shared: w.SharedPart, SharedTokens: int64(w.SharedTokens), OwnTokens: int64(w.OwnTokens),
+		Parts: w.Parts, Near: w.BytesByHall, SlackMs: w.LatencyBudget.Milliseconds(),
+		OutTokens: int64(w.MaxOutputTokens), Plain: !w.IsEngineCall, Halls: w.Halls,
+		OnlyVersion: w.Only, NotVersion: w.Not, Among: int32(w.MaxTargets),
 		Limits: wireAdvisories(limits, clock.Now()),
 	}
-	for id := range w.Exclude {
+	for id := range w.ExcludedTargets {
 		request.Exclude = append(request.Exclude, id)
 	}
 	reply, err := c.rpc().Place(ctx, request)
@@ -251,9 +251,9 @@
 }
 
 // wireNoteKinds maps the kinds of notes to those of the protocol.
-var wireNoteKinds = map[placement.Kind]pb.NoteKind{
-	placement.Read: pb.NoteKind_NOTE_READ, placement.Ended: pb.NoteKind_NOTE_ENDED,
-	placement.Failed: pb.NoteKind_NOTE_FAILED, placement.Full: pb.NoteKind_NOTE_FULL,
+var wireNoteKinds = map[placement.NoteKind]pb.NoteKind{
+	placement.PromptRead: pb.NoteKind_NOTE_READ, placement.Ended: pb.NoteKind_NOTE_ENDED,
+	placement.Failed: pb.NoteKind_NOTE_FAILED, placement.AtCapacity: pb.NoteKind_NOTE_FULL,
 }
 
 // Note implements placement.Remote.
@@ -270,8 +270,8 @@
 	return err
 }
 
-// Share sends update n to the peer.
-func (c *Client) Share(ctx context.Context, n *pb.News) error {
+// SendUpdate sends update n to the peer.
+func (c *Client) SendUpdate(ctx context.Context, n *pb.News) error {
 	if c.err != nil {
 		return c.err
 	}
@@ -280,8 +280,8 @@
 	return err
 }
 
-// Table reads the operators' table that the peer has in force.
-func (c *Client) Table(ctx context.Context) (*pb.Table, error) {
+// FetchTable reads the operators' table that the peer has in force.
+func (c *Client) FetchTable(ctx context.Context) (*pb.Table, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
--- a/internal/transport/fleet/lostpeers.go
+++ b/internal/transport/fleet/lostpeers.go
@@ -23,7 +23,7 @@
 	leafPosition = 1 << 24
 )
 
-// Inviter sends updates to gateways that can't learn of the fleet from the store.
+// LostPeerNotifier sends updates to gateways that can't learn of the fleet from the store.
 // A process that starts while the store is unavailable, or refuses it, knows no peers. But
 // it starts at its previous address, which other gateways still know, and their update
 // makes it fetch the state of the sender.
@@ -32,14 +32,14 @@
 // answer this process, from all gateways, and else from those that were listed within
 // the last minute and are not listed now. For example, while the store is unavailable, a
 // restarted process of a fleet of nine receives an update within about half a second.
-type Inviter struct {
+type LostPeerNotifier struct {
 	Broadcaster *Broadcaster
 
 	lastListed map[string]time.Time // address to when it was last listed
 }
 
 // Run sends updates until ctx ends.
-func (v *Inviter) Run(ctx context.Context) {
+func (v *LostPeerNotifier) Run(ctx context.Context) {
 	v.lastListed = map[string]time.Time{}
 	for retry.Sleep(ctx, retry.Jitter(notifyInterval)) {
 		if list := v.lostAddresses(clock.Now()); len(list) > 0 {
@@ -50,7 +50,7 @@
 
 // lostAddresses returns the addresses of gateways that may know no peers. It is called
 // only by Run's goroutine.
-func (v *Inviter) lostAddresses(now time.Time) []string {
+func (v *LostPeerNotifier) lostAddresses(now time.Time) []string {
 	b := v.Broadcaster
 	for _, m := range b.Peers.All() {
 		v.lastListed[m.Address] = now
@@ -81,13 +81,13 @@
 // bootstrap handles an update at a process that has no state to apply it to: it fetches
 // the complete state of the sender.
 func (s *Broadcaster) bootstrap(m *pb.News) {
-	if s.Start == nil || m.GetFrom() == "" || !s.starting.CompareAndSwap(false, true) {
+	if s.Bootstrapper == nil || m.GetFrom() == "" || !s.starting.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer s.starting.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
-		s.Start.Ask(ctx, m.GetFrom())
+		s.Bootstrapper.Ask(ctx, m.GetFrom())
 	}()
 }
--- a/internal/transport/fleet/lostpeers_test.go
+++ b/internal/transport/fleet/lostpeers_test.go
@@ -59,10 +59,10 @@
 	return p
 }
 
-func (p *fixedPeers) Self() hookhall.Member             { return p.list[0] }
-func (p *fixedPeers) All() []hookhall.Member            { return p.list }
-func (p *fixedPeers) News(time.Time) members.News       { return members.News{} }
-func (p *fixedPeers) LearnNews(members.News, time.Time) {}
+func (p *fixedPeers) Self() hookhall.Member                   { return p.list[0] }
+func (p *fixedPeers) All() []hookhall.Member                  { return p.list }
+func (p *fixedPeers) OutgoingUpdate(time.Time) members.Update { return members.Update{} }
+func (p *fixedPeers) ApplyUpdate(members.Update, time.Time)   {}
 
 func newCatalog() *catalog.Catalog {
 	return catalog.New(silentStore{}, jsonPlatform{}, log.New(io.Discard))
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.LearnTable(b, 1, "test", time.Now())
-	c.Learn(catalog.Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a"}}, Began: time.Now()}, "test")
+	c.ApplyTable(b, 1, "test", time.Now())
+	c.ApplyReading(catalog.Reading{Revision: 1, Items: []hookhall.Item{{Key: "t/a"}}, Began: time.Now()}, "test")
 	if !c.Ready() {
 		t.Fatal("the catalog is not ready")
 	}
@@ -88,8 +88,8 @@
 // them updates, and against updates without need. Addresses count as lost for lostRetention
 // after they left the list, or while the store does not answer.
 func TestLostAddresses(t *testing.T) {
-	inviter := func(p *fixedPeers, c *catalog.Catalog) *Inviter {
-		return &Inviter{Broadcaster: &Broadcaster{Peers: p, Catalog: c}, lastListed: map[string]time.Time{}}
+	inviter := func(p *fixedPeers, c *catalog.Catalog) *LostPeerNotifier {
+		return &LostPeerNotifier{Broadcaster: &Broadcaster{Peers: p, Catalog: c}, lastListed: map[string]time.Time{}}
 	}
 	now := time.Now()
 	t.Run("none while all are listed", func(t *testing.T) {
--- a/internal/transport/fleet/repair.go
+++ b/internal/transport/fleet/repair.go
@@ -30,7 +30,7 @@
 		defer cancel()
 		own := s.Catalog.Digests()
 		askedAt := clock.Now()
-		t, err := s.Clients.Client(peer).Targets(ctx, own)
+		t, err := s.Clients.Client(peer).FetchTargets(ctx, own)
 		if err != nil {
 			return // the store or the next update will provide it
 		}
@@ -43,7 +43,7 @@
 		for _, b := range t.GetBuckets() {
 			r.Buckets = append(r.Buckets, int(b))
 		}
-		s.Catalog.LearnRepair(r, hostOf(peer))
+		s.Catalog.ApplyRepair(r, hostOf(peer))
 	}()
 }
 
@@ -51,7 +51,7 @@
 func (s *Server) GetTargets(_ context.Context, r *pb.TargetsRequest) (*pb.Targets, error) {
 	var theirs catalog.Digests
 	copy(theirs[:], r.GetDigests())
-	d := s.Broadcaster.Catalog.Differing(theirs)
+	d := s.Broadcaster.Catalog.DifferingBuckets(theirs)
 	if d.Revision == 0 {
 		return nil, errNoState
 	}
@@ -66,8 +66,8 @@
 	return out, nil
 }
 
-// Targets reads the peer's targets in the buckets whose digests differ from own.
-func (c *Client) Targets(ctx context.Context, own catalog.Digests) (*pb.Targets, error) {
+// FetchTargets reads the peer's targets in the buckets whose digests differ from own.
+func (c *Client) FetchTargets(ctx context.Context, own catalog.Digests) (*pb.Targets, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
--- a/internal/transport/fleet/repair_test.go
+++ b/internal/transport/fleet/repair_test.go
@@ -23,13 +23,13 @@
 // returns its broadcaster and address.
 func startServer(t *testing.T, n int, revision hookhall.Revision) (*Broadcaster, string) {
 	t.Helper()
-	b := &Broadcaster{Peers: newFixedPeers(1), Clients: NewClients(log.New(io.Discard)), Catalog: readyCatalog(t), Ends: quarantine.New(nil, nil, nil, log.New(io.Discard)), Rollouts: &rollouts.Rollouts{}}
+	b := &Broadcaster{Peers: newFixedPeers(1), Clients: NewClients(log.New(io.Discard)), Catalog: readyCatalog(t), Crashes: quarantine.New(nil, nil, nil, log.New(io.Discard)), Rollouts: &rollouts.Rollouts{}}
 	r := catalog.Reading{Revision: revision, Began: time.Now()}
 	for i := range n {
 		value := fmt.Sprintf(`{"service":"pool","address":"10.0.%d.%d:80","state":"ready"}`, i/250, i%250)
 		r.Items = append(r.Items, hookhall.Item{Key: fmt.Sprint("t/target-", i), Value: []byte(value)})
 	}
-	b.Catalog.Learn(r, "store")
+	b.Catalog.ApplyReading(r, "store")
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -50,9 +50,9 @@
 	now := time.Now()
 	m := sender.currentUpdate(now)
 	m.From, m.Bulk, m.ConfigRevision = address, nil, 0
-	other.Take(m)
-	want := sender.Catalog.Picture().Digest
-	for end := now.Add(10 * time.Second); other.Catalog.Picture().Digest != want; time.Sleep(time.Millisecond) {
+	other.HandleUpdate(m)
+	want := sender.Catalog.Snapshot().Digest
+	for end := now.Add(10 * time.Second); other.Catalog.Snapshot().Digest != want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the gap was not repaired within 10 s")
 		}
--- a/internal/transport/fleet/rollouts.go
+++ b/internal/transport/fleet/rollouts.go
@@ -15,13 +15,13 @@
 
 // Rollouts stores the rollouts that operators ordered.
 type Rollouts interface {
-	// Orders returns all known orders, with the store's revision at which they were read.
-	Orders() rollouts.Orders
-	// Learn applies the orders that a peer knows; from names the peer in logs.
-	Learn(o rollouts.Orders, from string)
-	// Take adds the counts of a process, at the owner of the rollouts, and returns the
+	// Snapshot returns all known orders, with the store's revision at which they were read.
+	Snapshot() rollouts.Snapshot
+	// ApplySnapshot applies the orders that a peer knows; from names the peer in logs.
+	ApplySnapshot(o rollouts.Snapshot, from string)
+	// MergeReport adds the counts of a process, at the owner of the rollouts, and returns the
 	// state of the rollouts that they are for.
-	Take(r rollouts.Report) []rollouts.Standing
+	MergeReport(r rollouts.Report) []rollouts.Progress
 }
 
 // Tally implements pb.FleetServer.
@@ -30,11 +30,11 @@
 	for _, t := range r.GetTallies() {
 		report.Tallies = append(report.Tallies, readTally(t))
 	}
-	return &pb.RolloutReply{Orders: wireOrders(s.Broadcaster.Rollouts.Take(report))}, nil
+	return &pb.RolloutReply{Orders: wireOrders(s.Broadcaster.Rollouts.MergeReport(report))}, nil
 }
 
 // Tally implements rollouts.Remote.
-func (c *Client) Tally(ctx context.Context, r rollouts.Report) ([]rollouts.Standing, error) {
+func (c *Client) Tally(ctx context.Context, r rollouts.Report) ([]rollouts.Progress, error) {
 	if c.err != nil {
 		return nil, c.err
 	}
@@ -51,7 +51,7 @@
 }
 
 // wireOrders converts orders for a message.
-func wireOrders(list []rollouts.Standing) []*pb.RolloutOrder {
+func wireOrders(list []rollouts.Progress) []*pb.RolloutOrder {
 	var out []*pb.RolloutOrder
 	for _, s := range list {
 		out = append(out, &pb.RolloutOrder{
@@ -62,8 +62,8 @@
 	return out
 }
 
-func readOrders(list []*pb.RolloutOrder) []rollouts.Standing {
-	var out []rollouts.Standing
+func readOrders(list []*pb.RolloutOrder) []rollouts.Progress {
+	var out []rollouts.Progress
 	for _, o := range list {
 		out = append(out, readOrder(o))
 	}
@@ -72,8 +72,8 @@
 
 // readOrder converts an order of a message. It limits the phase and the age to valid
 // values.
-func readOrder(o *pb.RolloutOrder) rollouts.Standing {
-	return rollouts.Standing{
+func readOrder(o *pb.RolloutOrder) rollouts.Progress {
+	return rollouts.Progress{
 		Rollout: hookhall.Rollout{
 			Service: o.GetService(), Version: o.GetVersion(), Time: milliseconds(o.GetTimeMs()), Revision: hookhall.Revision(o.GetRevision()),
 		},
@@ -84,7 +84,7 @@
 
 // wireTally converts a tally for a message.
 func wireTally(t rollouts.Tally) *pb.RolloutTally {
-	out := &pb.RolloutTally{Order: wireOrders([]rollouts.Standing{t.Standing})[0], AtOld: int64(t.AtOld)}
+	out := &pb.RolloutTally{Order: wireOrders([]rollouts.Progress{t.Progress})[0], AtOld: int64(t.InFlightAtOld)}
 	for route, v := range t.Evidence {
 		out.Routes = append(out.Routes, &pb.RouteTally{Route: route, Old: wireVersion(v.Old), New: wireVersion(v.New)})
 	}
@@ -97,9 +97,9 @@
 
 // readTally is the inverse of wireTally.
 func readTally(t *pb.RolloutTally) rollouts.Tally {
-	out := rollouts.Tally{Standing: readOrder(t.GetOrder()), AtOld: int(t.GetAtOld()), Evidence: rollout.Evidence{}}
+	out := rollouts.Tally{Progress: readOrder(t.GetOrder()), InFlightAtOld: int(t.GetAtOld()), Evidence: rollout.Evidence{}}
 	for _, v := range t.GetRoutes() {
-		out.Evidence[v.GetRoute()] = rollout.Versions{Old: readVersion(v.GetOld()), New: readVersion(v.GetNew())}
+		out.Evidence[v.GetRoute()] = rollout.Comparison{Old: readVersion(v.GetOld()), New: readVersion(v.GetNew())}
 	}
 	return out
 }
--- a/internal/transport/fleet/updates.go
+++ b/internal/transport/fleet/updates.go
@@ -38,11 +38,11 @@
 	Self() hookhall.Member
 	// All returns all gateways, including this process, sorted by address.
 	All() []hookhall.Member
-	// News returns the recent changes of the list that this process read from the store,
+	// OutgoingUpdate returns the recent changes of the list that this process read from the store,
 	// or the zero value if another process reads the list.
-	News(now time.Time) members.News
-	// LearnNews applies the changes that a peer read.
-	LearnNews(n members.News, now time.Time)
+	OutgoingUpdate(now time.Time) members.Update
+	// ApplyUpdate applies the changes that a peer read.
+	ApplyUpdate(n members.Update, now time.Time)
 }
 
 // Broadcaster forwards what this process or a peer has read from the store, so that
@@ -57,19 +57,19 @@
 	Peers   Peers
 	Clients *Clients
 	Catalog *catalog.Catalog
-	// Ends stores the crashes of targets under requests.
-	Ends Ends
+	// Crashes stores the crashes of targets under requests.
+	Crashes Crashes
 	// Rollouts stores the rollouts that operators ordered.
 	Rollouts Rollouts
 	// Advisories stores the advisories of targets.
 	Advisories Advisories
-	// Start fetches the state of a peer while this process has none; nil
+	// Bootstrapper fetches the state of a peer while this process has none; nil
 	// disables that.
-	Start *Starter
-	// Heard is called for each update that is newer than the known state, with
+	Bootstrapper *Bootstrapper
+	// OnUpdate is called for each update that is newer than the known state, with
 	// the time at which the read of the store began that it comes from; nil
 	// disables that.
-	Heard func(began time.Time)
+	OnUpdate func(began time.Time)
 
 	repairing         atomic.Bool  // whether a gap in the targets is being repaired
 	starting          atomic.Bool  // whether the state of a peer is being fetched
@@ -98,7 +98,7 @@
 
 // currentUpdate returns the most recent update that this process knows.
 func (s *Broadcaster) currentUpdate(now time.Time) *pb.News {
-	targets := s.Catalog.News(now)
+	targets := s.Catalog.RecentUpdate(now)
 	revision, age := s.Catalog.TableAge(now)
 	m := &pb.News{
 		Reader: s.Peers.Self().Address, TargetsRevision: uint64(targets.Revision), Digest: targets.Digest, Gone: targets.Gone,
@@ -106,10 +106,10 @@
 	}
 	halls := s.Catalog.Halls()
 	m.HallsRevision, m.Evacuated = uint64(halls.Revision), halls.Evacuated
-	m.EndsSum = s.Ends.Sum(now)
-	orders := s.Rollouts.Orders()
+	m.EndsSum = s.Crashes.Sum(now)
+	orders := s.Rollouts.Snapshot()
 	m.RolloutsRevision, m.Rollouts = uint64(orders.Revision), wireOrders(orders.List)
-	peers := s.Peers.News(now)
+	peers := s.Peers.OutgoingUpdate(now)
 	m.MembersRevision, m.MembersDigest, m.MembersGone = uint64(peers.Revision), peers.Digest, peers.Gone
 	var err error
 	if m.Bulk, err = packBulk(targets.Changed, peers.Changed); err != nil {
@@ -186,14 +186,14 @@
 func (s *Broadcaster) sendUpdate(address string, n *pb.News) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	return s.Clients.Client(address).Share(ctx, n) == nil
+	return s.Clients.Client(address).SendUpdate(ctx, n) == nil
 }
 
-// Take applies an update of a peer and forwards it if it was newer than the
+// HandleUpdate applies an update of a peer and forwards it if it was newer than the
 // known state. A process without state fetches the sender's state instead.
-func (s *Broadcaster) Take(m *pb.News) {
+func (s *Broadcaster) HandleUpdate(m *pb.News) {
 	receivedAt := clock.Now()
-	if s.Catalog.Picture() == nil {
+	if s.Catalog.Snapshot() == nil {
 		s.bootstrap(m)
 		return
 	}
@@ -202,25 +202,25 @@
 		s.Clients.Log.Error("peer update not readable", "peer", m.GetFrom(), "error", err.Error())
 		return
 	}
-	s.Peers.LearnNews(members.News{
+	s.Peers.ApplyUpdate(members.Update{
 		Revision: hookhall.Revision(m.GetMembersRevision()), Digest: m.GetMembersDigest(), Changed: changed, Gone: m.GetMembersGone(),
 	}, receivedAt)
-	n := catalog.News{
+	n := catalog.Update{
 		Revision: hookhall.Revision(m.GetTargetsRevision()), Began: receivedAt.Add(-milliseconds(m.GetAgeMs())), Digest: m.GetDigest(),
 		Changed: targets, Gone: m.GetGone(),
 	}
 	from := hostOf(m.GetReader())
 	// The halls come before the table, so that a table isn't confirmed while the halls
 	// of the same update are unknown.
-	hallsChanged := m.GetHallsRevision() > 0 && s.Catalog.LearnHalls(catalog.Halls{Revision: hookhall.Revision(m.GetHallsRevision()), Evacuated: m.GetEvacuated()}, from)
-	s.Rollouts.Learn(rollouts.Orders{Revision: hookhall.Revision(m.GetRolloutsRevision()), List: readOrders(m.GetRollouts())}, from)
+	hallsChanged := m.GetHallsRevision() > 0 && s.Catalog.ApplyHalls(catalog.Halls{Revision: hookhall.Revision(m.GetHallsRevision()), Evacuated: m.GetEvacuated()}, from)
+	s.Rollouts.ApplySnapshot(rollouts.Snapshot{Revision: hookhall.Revision(m.GetRolloutsRevision()), List: readOrders(m.GetRollouts())}, from)
 	s.compareCrashes(m, receivedAt)
-	fresh, gap := s.Catalog.LearnNews(n, from)
+	fresh, gap := s.Catalog.ApplyUpdate(n, from)
 	if gap && m.GetFrom() != "" {
 		s.repairTargets(m.GetFrom())
 	}
-	if fresh && s.Heard != nil {
-		s.Heard(n.Began)
+	if fresh && s.OnUpdate != nil {
+		s.OnUpdate(n.Began)
 	}
 	configRevision := hookhall.Revision(m.GetConfigRevision())
 	if configRevision > 0 && !s.Catalog.ConfirmTable(configRevision, receivedAt.Add(-milliseconds(m.GetConfigAgeMs()))) {
@@ -248,11 +248,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), tableFetchTimeout)
 	defer cancel()
 	began := clock.Now()
-	t, err := s.Clients.Client(m.GetFrom()).Table(ctx)
+	t, err := s.Clients.Client(m.GetFrom()).FetchTable(ctx)
 	if err != nil {
 		return // the store or the next update will provide it
 	}
-	if s.Catalog.LearnPacked(t.GetPacked(), hookhall.Revision(t.GetRevision()), hostOf(m.GetFrom()), began) {
+	if s.Catalog.ApplyPackedTable(t.GetPacked(), hookhall.Revision(t.GetRevision()), hostOf(m.GetFrom()), began) {
 		revision, age := s.Catalog.TableAge(clock.Now())
 		m.ConfigRevision, m.ConfigAgeMs = uint64(revision), ageMS(age)
 		m.AgeMs += ageMS(clock.Since(receivedAt))
--- a/internal/transport/front/drain.go
+++ b/internal/transport/front/drain.go
@@ -61,7 +61,7 @@
 	// The request is counted before refusing is read: if refusing is set and no
 	// request is in flight, no further request can be passed on.
 	if d.refusing.Load() {
-		d.refuse(w, hookhall.Errorf(hookhall.NotRun, hookhall.CauseStopping, "this instance stops").After(stopRetryDelay))
+		d.refuse(w, hookhall.Errorf(hookhall.NotRun, hookhall.CauseStopping, "this instance stops").WithRetryAfter(stopRetryDelay))
 		return
 	}
 	ctx, cancel := context.WithCancelCause(r.Context())
@@ -71,22 +71,22 @@
 	d.next.ServeHTTP(w, r.WithContext(ctx))
 }
 
-// Close makes all further answers carry Connection: close, so that clients
+// DisableKeepAlives makes all further answers carry Connection: close, so that clients
 // close their connections after them. It does not wait.
-func (d *Drain) Close() { d.keepAlivesDisabled.Store(true) }
+func (d *Drain) DisableKeepAlives() { d.keepAlivesDisabled.Store(true) }
 
-// Finish refuses all further requests and waits until none is in progress or
+// RefuseAndWait refuses all further requests and waits until none is in progress or
 // ctx ends. It returns the number of requests still in progress.
-func (d *Drain) Finish(ctx context.Context) int64 {
+func (d *Drain) RefuseAndWait(ctx context.Context) int64 {
 	d.refusing.Store(true)
 	return d.waitIdle(ctx)
 }
 
-// End cancels the requests in progress with hookhall.ErrStopping, so that
+// CancelAndWait cancels the requests in progress with hookhall.ErrStopping, so that
 // those whose answer has not begun are answered now: a request that still waits has not
 // run, and its client can retry elsewhere. It waits until none is in progress or ctx ends,
 // and returns the number of requests still in progress.
-func (d *Drain) End(ctx context.Context) int64 {
+func (d *Drain) CancelAndWait(ctx context.Context) int64 {
 	d.cancelAbort()
 	return d.waitIdle(ctx)
 }
--- a/internal/transport/front/drain_state_test.go
+++ b/internal/transport/front/drain_state_test.go
@@ -66,7 +66,7 @@
 			}
 			time.Sleep(refuseAt)
 			ctx, cancel := context.WithTimeout(context.Background(), grace)
-			remaining := drain.Finish(ctx)
+			remaining := drain.RefuseAndWait(ctx)
 			cancel()
 			running := int64(0)
 			now := time.Since(start)
--- a/internal/transport/front/drain_test.go
+++ b/internal/transport/front/drain_test.go
@@ -32,7 +32,7 @@
 
 func (plainDialect) EndToEnd(string) bool { return false }
 
-func (plainDialect) Refusal(h http.Header, after time.Duration) {
+func (plainDialect) SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", after.String())
 }
 
@@ -94,7 +94,7 @@
 	}
 	server := &http.Server{Handler: drain}
 	go func() {
-		_ = server.Serve(eventListener{listener, func() { drain.Close(); listener.StopAccepting() }}) // ends with the test
+		_ = server.Serve(eventListener{listener, func() { drain.DisableKeepAlives(); listener.StopAccepting() }}) // ends with the test
 	}()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -117,7 +117,7 @@
 			t.Fatal("the answer has no Connection: close")
 		}
 	}
-	if left := drain.Finish(t.Context()); left != 0 {
+	if left := drain.RefuseAndWait(t.Context()); left != 0 {
 		t.Fatalf("%d requests still in progress", left)
 	}
 	if err := server.Close(); err != nil {
@@ -136,7 +136,7 @@
 	drain := NewDrain(handler, handler.Refuse)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	drain.Finish(ctx)
+	drain.RefuseAndWait(ctx)
 	w := newRecorder()
 	r, _ := http.NewRequest(http.MethodGet, "/", http.NoBody)
 	drain.ServeHTTP(w, r)
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -105,7 +105,7 @@
 	case err != nil:
 		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, "the body did not come whole: %v", err)
 	case bufferFull:
-		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload, "no room is left for the body").After(bodyRetryDelay)
+		return nil, hookhall.Errorf(hookhall.NotRun, hookhall.CauseOverload, "no room is left for the body").WithRetryAfter(bodyRetryDelay)
 	}
 	info, err := h.dialect.Read(r.Header)
 	if err != nil {
@@ -127,7 +127,7 @@
 // target.
 func (h *Handler) Refuse(w http.ResponseWriter, e *hookhall.Error) {
 	if e.RetryAfter > 0 {
-		h.dialect.Refusal(w.Header(), e.RetryAfter)
+		h.dialect.SetRetryAfter(w.Header(), e.RetryAfter)
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(Status(e))
--- a/internal/transport/instances/instances.go
+++ b/internal/transport/instances/instances.go
@@ -92,5 +92,5 @@
 	return list, nil
 }
 
-// Bytes returns the total size of all lists read, in bytes.
-func (c *Client) Bytes() int64 { return c.bytesRead.Load() }
+// BytesRead returns the total size of all lists read, in bytes.
+func (c *Client) BytesRead() int64 { return c.bytesRead.Load() }
--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -15,7 +15,7 @@
 //
 //   - Any failure without an answer is hookhall.ErrUnavailable: a write may
 //     have taken effect.
-//   - A value larger than MaxValue is refused before it is sent.
+//   - A value larger than MaxValueBytes is refused before it is sent.
 package keyvalue
 
 import (
@@ -36,8 +36,8 @@
 	"golang.org/x/time/rate"
 )
 
-// MaxValue is the maximum size of a value at the service, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the maximum size of a value at the service, in bytes.
+const MaxValueBytes = 1 << 20
 
 const (
 	// callTimeout bounds one call other than a watch.
@@ -71,9 +71,9 @@
 // Calls returns the number of HTTP calls made so far, failed ones included.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Bytes returns the total size of the answers read and the values written,
+// BytesTransferred returns the total size of the answers read and the values written,
 // in bytes.
-func (c *Client) Bytes() int64 { return c.bytesTransferred.Load() }
+func (c *Client) BytesTransferred() int64 { return c.bytesTransferred.Load() }
 
 // pair is an entry as the service encodes it.
 type pair struct {
@@ -82,13 +82,13 @@
 }
 
 // Get implements hookhall.KeyValue.
-func (c *Client) Get(ctx context.Context, key string) (hookhall.Entry, error) {
+func (c *Client) Get(ctx context.Context, key string) (hookhall.KeyValueEntry, error) {
 	return c.readPair(ctx, key, nil, callTimeout)
 }
 
 // Watch implements hookhall.KeyValue. With index 0, a key that exists is returned at
 // once.
-func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.Entry, error) {
+func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (hookhall.KeyValueEntry, error) {
 	if index == 0 {
 		entry, err := c.Get(ctx, key)
 		if err != nil || entry.Index > 0 {
@@ -100,23 +100,23 @@
 }
 
 // readPair reads a key. A missing key is a zero Entry.
-func (c *Client) readPair(ctx context.Context, key string, query url.Values, timeout time.Duration) (hookhall.Entry, error) {
+func (c *Client) readPair(ctx context.Context, key string, query url.Values, timeout time.Duration) (hookhall.KeyValueEntry, error) {
 	status, body, err := c.call(ctx, http.MethodGet, key, query, nil, timeout)
 	if err != nil || status == http.StatusNotFound {
-		return hookhall.Entry{}, err
+		return hookhall.KeyValueEntry{}, err
 	}
 	var pairs []pair
 	if err := json.Unmarshal(body, &pairs); err != nil || len(pairs) != 1 {
-		return hookhall.Entry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: not a pair", key)
+		return hookhall.KeyValueEntry{}, errors.Wrapf(hookhall.ErrUnavailable, "key %s: not a pair", key)
 	}
-	return hookhall.Entry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
+	return hookhall.KeyValueEntry{Value: pairs[0].Value, Index: pairs[0].ModifyIndex}, nil
 }
 
-// CompareAndSwap implements hookhall.KeyValue. A value larger than MaxValue is an
+// CompareAndSwap implements hookhall.KeyValue. A value larger than MaxValueBytes is an
 // error, without a call.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
-	if len(value) > MaxValue {
-		return false, errors.Errorf("key %s: %d bytes are more than the service holds (%d)", key, len(value), MaxValue)
+	if len(value) > MaxValueBytes {
+		return false, errors.Errorf("key %s: %d bytes are more than the service holds (%d)", key, len(value), MaxValueBytes)
 	}
 	query := url.Values{"cas": {strconv.FormatUint(index, 10)}}
 	_, body, err := c.call(ctx, http.MethodPut, key, query, value, callTimeout)
@@ -151,7 +151,7 @@
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: %v", method, key, err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxValue))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxValueBytes))
 	if err != nil {
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: %v", method, key, err)
 	}
--- a/internal/transport/operators/operators.go
+++ b/internal/transport/operators/operators.go
@@ -58,21 +58,21 @@
 type EditFailure struct {
 	Detail string `json:"detail"`
 	// Verdict is not-run if nothing was changed, else may-have-run.
-	Verdict   string          `json:"verdict"`
-	Conflicts table.Conflicts `json:"conflicts,omitempty"`
-	Cells     table.Errors    `json:"cells,omitempty"`
+	Verdict   string           `json:"verdict"`
+	Conflicts table.Conflicts  `json:"conflicts,omitempty"`
+	Cells     table.CellErrors `json:"cells,omitempty"`
 }
 
 // TableAnswer is the body of GET /v1/table.
 type TableAnswer struct {
-	Version uint64           `json:"version"`
-	Rows    []hookhall.Row   `json:"rows"`
-	Edits   []table.EditMark `json:"edits"`
+	Version uint64              `json:"version"`
+	Rows    []hookhall.Row      `json:"rows"`
+	Edits   []table.AppliedEdit `json:"edits"`
 }
 
-// Guard returns a handler that passes requests with the operators' token to
+// RequireToken returns a handler that passes requests with the operators' token to
 // next and refuses others.
-func Guard(token string, next http.HandlerFunc) http.HandlerFunc {
+func RequireToken(token string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if !ok || subtle.ConstantTimeCompare([]byte(given), []byte(token)) != 1 {
@@ -94,18 +94,20 @@
 	}
 }
 
-// Tables serves the requests that read and edit the table.
-type Tables struct {
+// TableHandler serves the requests that read and edit the table.
+type TableHandler struct {
 	editor  *tables.Editor
 	timeout time.Duration
 }
 
-// NewTables returns a handler that reads and edits the table by editor. timeout
+// NewTableHandler returns a handler that reads and edits the table by editor. timeout
 // bounds each read and each edit.
-func NewTables(editor *tables.Editor, timeout time.Duration) *Tables { return &Tables{editor, timeout} }
+func NewTableHandler(editor *tables.Editor, timeout time.Duration) *TableHandler {
+	return &TableHandler{editor, timeout}
+}
 
 // Get serves GET /v1/table?sheet=SHEET; without a sheet, it returns the rows of all.
-func (t *Tables) Get(w http.ResponseWriter, r *http.Request) {
+func (t *TableHandler) Get(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), t.timeout)
 	defer cancel()
 	document, _, err := t.editor.Read(ctx)
@@ -124,7 +126,7 @@
 }
 
 // Edit serves POST /v1/table/edits. An edit continues if its client disconnects.
-func (t *Tables) Edit(w http.ResponseWriter, r *http.Request) {
+func (t *TableHandler) Edit(w http.ResponseWriter, r *http.Request) {
 	var request EditRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEditBytes))
 	decoder.DisallowUnknownFields()
@@ -158,7 +160,7 @@
 		status = http.StatusConflict
 	case errors.As(err, &failure.Cells):
 		status = http.StatusUnprocessableEntity
-	case errors.Is(err, tables.ErrUnsettled):
+	case errors.Is(err, tables.ErrOutcomeUnknown):
 		failure.Verdict = hookhall.MayHaveRun.String()
 	}
 	wire.WriteJSON(w, status, failure)
--- a/internal/transport/peers/client.go
+++ b/internal/transport/peers/client.go
@@ -8,7 +8,7 @@
 //
 // Every call carries the protocol version and the fleet's secret. The server
 // refuses a call with other values before it processes the message. A message is
-// at most MaxMessage long. Clients keeps one connection per address and opens it
+// at most MaxMessageBytes long. Clients keeps one connection per address and opens it
 // on first use.
 //
 // # Invariants
@@ -35,11 +35,11 @@
 )
 
 const (
-	// Version is the version that each call carries. The server refuses calls
+	// ProtocolVersion is the version that each call carries. The server refuses calls
 	// of another version.
-	Version = "1"
-	// MaxMessage is the largest size of a message in bytes.
-	MaxMessage = 16 << 20
+	ProtocolVersion = "1"
+	// MaxMessageBytes is the largest size of a message in bytes.
+	MaxMessageBytes = 16 << 20
 
 	// idleTimeout is how long a connection stays open without a call. An entry calls
 	// few of its peers continuously and the others occasionally, so that most
@@ -85,8 +85,8 @@
 	return p
 }
 
-// Keep closes the connections to all addresses for which inUse returns false.
-func (c *Clients) Keep(inUse func(address string) bool) {
+// CloseUnused closes the connections to all addresses for which inUse returns false.
+func (c *Clients) CloseUnused(inUse func(address string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, p := range c.byAddress {
@@ -98,11 +98,11 @@
 }
 
 // Close closes all connections.
-func (c *Clients) Close() { c.Keep(func(string) bool { return false }) }
+func (c *Clients) Close() { c.CloseUnused(func(string) bool { return false }) }
 
-// Bytes returns the number of bytes sent and received over all connections
+// TransferredBytes returns the number of bytes sent and received over all connections
 // since NewClients, without TCP and IP headers.
-func (c *Clients) Bytes() int64 { return c.bytes.Load() }
+func (c *Clients) TransferredBytes() int64 { return c.bytes.Load() }
 
 // countingConn adds the bytes read and written on a connection to a counter.
 type countingConn struct {
@@ -142,7 +142,7 @@
 		grpc.WithDisableRetry(),
 		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(MaxMessageBytes)),
 		grpc.WithUnaryInterceptor(c.addCredentials),
 	)
 	return &client{conn: conn, err: err, rpc: pb.NewPeerClient(conn)}
@@ -151,7 +151,7 @@
 // addCredentials is the interceptor that adds the protocol version and the secret to
 // each call.
 func (c *Clients) addCredentials(ctx context.Context, method string, req, reply any, conn *grpc.ClientConn, invoke grpc.UnaryInvoker, opts ...grpc.CallOption) error {
-	ctx = metadata.AppendToOutgoingContext(ctx, versionMetadataKey, Version, secretMetadataKey, c.secret)
+	ctx = metadata.AppendToOutgoingContext(ctx, versionMetadataKey, ProtocolVersion, secretMetadataKey, c.secret)
 	return invoke(ctx, method, req, reply, conn, opts...)
 }
 
@@ -170,11 +170,11 @@
 
 // Probe implements hookhall.Peer.
 func (c *client) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
-	r, err := c.rpc.Probe(ctx, &pb.ProbeRequest{From: p.From, Epoch: p.Epoch, TableVersion: p.TableVersion, View: p.View, Leaving: p.Leaving})
+	r, err := c.rpc.Probe(ctx, &pb.ProbeRequest{From: p.From, Epoch: p.Epoch, TableVersion: p.TableVersion, View: p.View, Leaving: p.LeavingTargets})
 	if err != nil {
 		return hookhall.ProbeReply{}, err
 	}
-	return hookhall.ProbeReply{ID: r.Id, Epoch: r.Epoch, TableVersion: r.TableVersion, View: r.View, Leaving: r.Leaving}, nil
+	return hookhall.ProbeReply{ID: r.Id, Epoch: r.Epoch, TableVersion: r.TableVersion, View: r.View, LeavingTargets: r.Leaving}, nil
 }
 
 // ProbeFor implements hookhall.Peer.
@@ -213,17 +213,17 @@
 	return convert.FromFetchReply(r, clock.Now()), nil
 }
 
-// Whole implements hookhall.Peer.
-func (c *client) Whole(ctx context.Context, epoch uint64) (bool, error) {
+// IsComplete implements hookhall.Peer.
+func (c *client) IsComplete(ctx context.Context, epoch uint64) (bool, error) {
 	r, err := c.rpc.Whole(ctx, &pb.WholeRequest{Epoch: epoch})
 	return r.GetWhole(), err
 }
 
-// Take implements hookhall.Peer.
-func (c *client) Take(ctx context.Context, t hookhall.TakeRequest) (hookhall.TakeReply, error) {
+// LeaseShares implements hookhall.Peer.
+func (c *client) LeaseShares(ctx context.Context, t hookhall.ShareRequest) (hookhall.ShareReply, error) {
 	r, err := c.rpc.Take(ctx, convert.TakeRequest(t))
 	if err != nil {
-		return hookhall.TakeReply{}, err
+		return hookhall.ShareReply{}, err
 	}
 	return convert.FromTakeReply(r), nil
 }
--- a/internal/transport/peers/server.go
+++ b/internal/transport/peers/server.go
@@ -39,10 +39,10 @@
 	HandleCopy(epoch uint64, r hookhall.Record) hookhall.CopyReply
 	HandleSettle(context.Context, hookhall.Settlement) hookhall.CopyReply
 	HandleFetch(hookhall.FetchRequest) hookhall.FetchReply
-	// HandleWhole reports whether this member holds all records of its slots in epoch.
-	HandleWhole(epoch uint64) bool
-	// HandleTake leases shares of accounts' limits.
-	HandleTake(hookhall.TakeRequest) hookhall.TakeReply
+	// HandleIsComplete reports whether this member holds all records of its slots in epoch.
+	HandleIsComplete(epoch uint64) bool
+	// HandleLeaseShares leases shares of accounts' limits.
+	HandleLeaseShares(hookhall.ShareRequest) hookhall.ShareReply
 	// HandleTable returns the table in force, or only its version unless that is newer
 	// than have.
 	HandleTable(have uint64) hookhall.TableDocument
@@ -67,15 +67,15 @@
 // Register adds the service to g.
 func (s *Server) Register(g grpc.ServiceRegistrar) { pb.RegisterPeerServer(g, s) }
 
-// Refused returns the number of refused calls since the start.
-func (s *Server) Refused() int64 { return s.refused.Load() }
+// RefusedCalls returns the number of refused calls since the start.
+func (s *Server) RefusedCalls() int64 { return s.refused.Load() }
 
-// Check is the interceptor that refuses calls with another protocol version
+// Authenticate is the interceptor that refuses calls with another protocol version
 // or secret.
-func (s *Server) Check(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
+func (s *Server) Authenticate(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := firstValue(md, versionMetadataKey); v != Version {
-		return nil, s.refuse(codes.FailedPrecondition, "protocol version "+v+" instead of "+Version)
+	if v := firstValue(md, versionMetadataKey); v != ProtocolVersion {
+		return nil, s.refuse(codes.FailedPrecondition, "protocol version "+v+" instead of "+ProtocolVersion)
 	}
 	if subtle.ConstantTimeCompare([]byte(firstValue(md, secretMetadataKey)), []byte(s.secret)) != 1 {
 		return nil, s.refuse(codes.Unauthenticated, "wrong fleet secret")
@@ -102,8 +102,8 @@
 
 // Probe implements pb.PeerServer.
 func (s *Server) Probe(ctx context.Context, q *pb.ProbeRequest) (*pb.ProbeReply, error) {
-	r := s.handler.HandleProbe(ctx, hookhall.Probe{From: q.From, Epoch: q.Epoch, TableVersion: q.TableVersion, View: q.View, Leaving: q.Leaving})
-	return &pb.ProbeReply{Id: r.ID, Epoch: r.Epoch, TableVersion: r.TableVersion, View: r.View, Leaving: r.Leaving}, nil
+	r := s.handler.HandleProbe(ctx, hookhall.Probe{From: q.From, Epoch: q.Epoch, TableVersion: q.TableVersion, View: q.View, LeavingTargets: q.Leaving})
+	return &pb.ProbeReply{Id: r.ID, Epoch: r.Epoch, TableVersion: r.TableVersion, View: r.View, Leaving: r.LeavingTargets}, nil
 }
 
 // ProbeFor implements pb.PeerServer.
@@ -147,12 +147,12 @@
 
 // Whole implements pb.PeerServer.
 func (s *Server) Whole(_ context.Context, q *pb.WholeRequest) (*pb.WholeReply, error) {
-	return &pb.WholeReply{Whole: s.handler.HandleWhole(q.Epoch)}, nil
+	return &pb.WholeReply{Whole: s.handler.HandleIsComplete(q.Epoch)}, nil
 }
 
 // Take implements pb.PeerServer.
 func (s *Server) Take(_ context.Context, q *pb.TakeRequest) (*pb.TakeReply, error) {
-	return convert.TakeReply(s.handler.HandleTake(convert.FromTakeRequest(q))), nil
+	return convert.TakeReply(s.handler.HandleLeaseShares(convert.FromTakeRequest(q))), nil
 }
 
 // Table implements pb.PeerServer.
--- a/internal/transport/upstream/conn_test.go
+++ b/internal/transport/upstream/conn_test.go
@@ -91,7 +91,7 @@
 func newTestRequest(id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{callField: {id}},
-		Belongs: func(_ int, h http.Header) bool { return h.Get(callField) == id },
+		Matches: func(_ int, h http.Header) bool { return h.Get(callField) == id },
 	}
 }
 
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -46,10 +46,10 @@
 // Pool holds the connections of one process to targets. Its methods may be called
 // concurrently.
 type Pool struct {
-	// Resting returns how many idle connections to an address this process may keep, up
+	// MaxIdle returns how many idle connections to an address this process may keep, up
 	// to maxIdlePerAddress, because a target limits the connections of all processes
 	// together. nil means no other limit. It must be set before the first request.
-	Resting func(address string) int
+	MaxIdle func(address string) int
 
 	mu                 sync.Mutex
 	idleByAddress      map[string][]*conn
@@ -74,11 +74,11 @@
 	Host    string // value of the header field Host
 	Header  http.Header
 	Body    []byte
-	// Belongs reports whether an answer is the one to this request; nil accepts
+	// Matches reports whether an answer is the one to this request; nil accepts
 	// any answer.
-	Belongs func(status int, h http.Header) bool
-	// Fresh requires a new connection instead of a kept one.
-	Fresh bool
+	Matches func(status int, h http.Header) bool
+	// NewConnection requires a new connection instead of a kept one.
+	NewConnection bool
 }
 
 // Response is an answer whose head has been received.
@@ -125,8 +125,8 @@
 func (p *Pool) putIdle(c *conn, now time.Time) {
 	c.idleSince = now
 	limit := maxIdlePerAddress
-	if p.Resting != nil {
-		limit = min(limit, p.Resting(c.address))
+	if p.MaxIdle != nil {
+		limit = min(limit, p.MaxIdle(c.address))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,9 +137,9 @@
 	p.idleByAddress[c.address] = append(p.idleByAddress[c.address], c)
 }
 
-// Forget closes the idle connections to an address. It is called after a kept
+// CloseIdle closes the idle connections to an address. It is called after a kept
 // connection has failed, because the cause may affect all others of its age.
-func (p *Pool) Forget(address string) {
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.idleByAddress[address] {
@@ -231,7 +231,7 @@
 // *hookhall.Error, whose verdict is NotRun only if not a byte was written.
 func (p *Pool) Do(ctx context.Context, r Request) (*Response, error) {
 	var c *conn
-	if !r.Fresh {
+	if !r.NewConnection {
 		c = p.takeIdle(r.Address, clock.Now())
 	}
 	if c == nil {
@@ -255,7 +255,7 @@
 	} else {
 		go func() { writeResult <- writeRequest(c, &r) }()
 	}
-	head, err := readHead(c, parseRequest, r.Belongs)
+	head, err := readHead(c, parseRequest, r.Matches)
 	if err != nil {
 		stop()
 		_ = c.Close()
@@ -263,8 +263,8 @@
 		if c.idleSince.IsZero() && errors.Is(err, syscall.ECONNRESET) {
 			p.recordReset(r.Address, clock.Now())
 		}
-		if !r.Fresh && !errors.Is(ctx.Err(), context.Canceled) {
-			p.Forget(r.Address)
+		if !r.NewConnection && !errors.Is(ctx.Err(), context.Canceled) {
+			p.CloseIdle(r.Address)
 		}
 		return nil, headError(ctx, c, err)
 	}
@@ -276,7 +276,7 @@
 			return
 		}
 		now := clock.Now()
-		if r.Fresh && !p.recentlyTaken(r.Address, now) {
+		if r.NewConnection && !p.recentlyTaken(r.Address, now) {
 			_ = c.Close()
 			return
 		}
--- a/internal/transport/upstream/resets_test.go
+++ b/internal/transport/upstream/resets_test.go
@@ -81,7 +81,7 @@
 func send(t *testing.T, p *Pool, address, id string, newConnection bool) error {
 	t.Helper()
 	r := newTestRequest(id)
-	r.Address, r.Fresh = address, newConnection
+	r.Address, r.NewConnection = address, newConnection
 	resp, err := p.Do(t.Context(), r)
 	if err != nil {
 		return err
@@ -104,9 +104,9 @@
 	running := make(chan struct{}, 40) // requests in progress, of all gateways
 	var wg sync.WaitGroup
 	for rank := range gateways {
-		sharers := quota.Sharers{Count: gateways, Place: rank}
+		sharers := quota.Position{Count: gateways, Index: rank}
 		pool := NewPool()
-		pool.Resting = func(address string) int { return sharers.Part(maxConns/2, address) }
+		pool.MaxIdle = func(address string) int { return sharers.Share(maxConns/2, address) }
 		t.Cleanup(func() { pool.Sweep(time.Now().Add(time.Hour)) })
 		for burst := range bursts {
 			for n := range requestsPerTarget * len(targets) {
@@ -181,7 +181,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			target := newLimitedTarget(t, 100)
 			p := NewPool()
-			p.Resting = func(string) int { return test.part }
+			p.MaxIdle = func(string) int { return test.part }
 			defer p.Sweep(time.Now().Add(time.Hour))
 			for i, newConnection := range test.newConnection {
 				if err := send(t, p, target.address, fmt.Sprint(i), newConnection); err != nil {
--- a/peer.go
+++ b/peer.go
@@ -13,8 +13,8 @@
 	// View is the encoded view. It is set when the receiver is known to have an
 	// older one.
 	View []byte
-	// Leaving lists the IDs of targets that the sender itself observed to be leaving.
-	Leaving []string
+	// LeavingTargets lists the IDs of targets that the sender itself observed to be leaving.
+	LeavingTargets []string
 }
 
 // ProbeReply answers a Probe.
@@ -24,8 +24,8 @@
 	TableVersion uint64
 	// View is the encoded view of the receiver, set when it is newer than the sender's.
 	View []byte
-	// Leaving lists the IDs of targets that the receiver itself observed to be leaving.
-	Leaving []string
+	// LeavingTargets lists the IDs of targets that the receiver itself observed to be leaving.
+	LeavingTargets []string
 }
 
 // RecordState is the state of a claim.
@@ -132,11 +132,11 @@
 // SlotRecords are a member's records of one slot.
 type SlotRecords struct {
 	Slot uint32
-	// Through is the epoch up to which Records has every grant.
-	Through uint64
-	// Layers lists single later epochs of which Records has every grant.
-	Layers  []uint64
-	Records []Record
+	// CompleteThrough is the epoch up to which Records has every grant.
+	CompleteThrough uint64
+	// CompleteEpochs lists single later epochs of which Records has every grant.
+	CompleteEpochs []uint64
+	Records        []Record
 }
 
 // FetchReply answers a FetchRequest.
@@ -145,8 +145,8 @@
 	Slots []SlotRecords
 }
 
-// Want is an entry's demand for units of one account's limits.
-type Want struct {
+// ShareDemand is an entry's demand for units of one account's limits.
+type ShareDemand struct {
 	Account string
 	// Rate is the number of requests demanded from the rate limit.
 	Rate int64
@@ -156,7 +156,7 @@
 	Concurrency int64
 }
 
-// ShareLease is what an account's owner granted in reply to a TakeRequest.
+// ShareLease is what an account's owner granted in reply to a ShareRequest.
 type ShareLease struct {
 	Account string
 	// Rate is the number of requests granted from the rate limit.
@@ -168,15 +168,15 @@
 	Limited bool
 }
 
-// TakeRequest asks an owner for shares of several accounts' limits.
-type TakeRequest struct {
-	From  string // member ID of the sender
-	Epoch uint64
-	Wants []Want
+// ShareRequest asks an owner for shares of several accounts' limits.
+type ShareRequest struct {
+	From    string // member ID of the sender
+	Epoch   uint64
+	Demands []ShareDemand
 }
 
-// TakeReply answers a TakeRequest, with one lease per account in the same order.
-type TakeReply struct {
+// ShareReply answers a ShareRequest, with one lease per account in the same order.
+type ShareReply struct {
 	Epoch  uint64
 	Leases []ShareLease
 }
--- a/request.go
+++ b/request.go
@@ -47,8 +47,8 @@
 	Cost []StageCost `json:"cost"`
 	// Replayed is set when this is the stored answer of an earlier run.
 	Replayed bool `json:"replayed,omitempty"`
-	// FirstToken is the time from admission to the first streamed chunk.
-	FirstToken time.Duration `json:"first_token_ns,omitempty"`
+	// TimeToFirstToken is the time from admission to the first streamed chunk.
+	TimeToFirstToken time.Duration `json:"first_token_ns,omitempty"`
 }
 
 // StageCall is one call of one stage to one target.
@@ -72,18 +72,18 @@
 	// Epoch and Token fence the call at targets that check them.
 	Epoch uint64
 	Token uint64
-	// Once forbids a second attempt unless the verdict on the first was NotRun.
-	Once bool
+	// AtMostOnce forbids a second attempt unless the verdict on the first was NotRun.
+	AtMostOnce bool
 }
 
 // StageResult is what a target returned for one call.
 type StageResult struct {
 	Output []byte
 	Tokens int
-	// Queue is the time that the call was queued at the target, as reported by the target.
-	Queue time.Duration
-	// Busy is the time that the call ran, as reported by the target.
-	Busy time.Duration
+	// QueueTime is the time that the call was queued at the target, as reported by the target.
+	QueueTime time.Duration
+	// BusyTime is the time that the call ran, as reported by the target.
+	BusyTime time.Duration
 	// Load is the load report that came with the answer.
 	Load LoadReport
 }
--- a/revision.go
+++ b/revision.go
@@ -25,13 +25,13 @@
 	maxCount = 1<<countBits - 1
 )
 
-// ErrRevision is returned for an era or a number of changes that is too large.
-var ErrRevision = errors.New("era or count of changes out of range")
+// ErrRevisionRange is returned for an era or a number of changes that is too large.
+var ErrRevisionRange = errors.New("era or count of changes out of range")
 
-// NewRevision returns the Revision for a number of changes in an era, or ErrRevision (wrapped).
+// NewRevision returns the Revision for a number of changes in an era, or ErrRevisionRange (wrapped).
 func NewRevision(era, count uint64) (Revision, error) {
 	if era > maxEra || count > maxCount {
-		return 0, errors.Wrapf(ErrRevision, "era %d, count %d", era, count)
+		return 0, errors.Wrapf(ErrRevisionRange, "era %d, count %d", era, count)
 	}
 	return Revision(era<<countBits | count), nil
 }
--- a/revision_test.go
+++ b/revision_test.go
@@ -37,7 +37,7 @@
 // another, valid revision instead of an error.
 func TestRevisionRange(t *testing.T) {
 	for _, c := range [][2]uint64{{1 << 16, 0}, {0, 1 << 48}, {1<<64 - 1, 1<<64 - 1}} {
-		if r, err := hookhall.NewRevision(c[0], c[1]); !errors.Is(err, hookhall.ErrRevision) || r != 0 {
+		if r, err := hookhall.NewRevision(c[0], c[1]); !errors.Is(err, hookhall.ErrRevisionRange) || r != 0 {
 			t.Errorf("%d/%d resulted in %v: %v", c[0], c[1], r, err)
 		}
 	}
--- a/rollout.go
+++ b/rollout.go
@@ -36,9 +36,9 @@
 	State   RolloutState
 }
 
-// RolloutKeys defines the keys of Rollouts in a store, and how their values are decoded
+// RolloutSchema defines the keys of Rollouts in a store, and how their values are decoded
 // and encoded.
-type RolloutKeys interface {
+type RolloutSchema interface {
 	// Rollout decodes an order, without its Revision. ok is false if the key is not that
 	// of an order.
 	Rollout(key string, value []byte) (order Rollout, ok bool, err error)
--- a/routing.go
+++ b/routing.go
@@ -40,14 +40,14 @@
 	Kind   RouteKind
 	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
-	// Objective is the latency up to which an answer has its full value: the time
+	// LatencyObjective is the latency up to which an answer has its full value: the time
 	// until the answer, or until its first event on a streaming route.
-	Objective time.Duration
-	// Patience is how long a client waits for the first event or for the next one before it
+	LatencyObjective time.Duration
+	// StallTimeout is how long a client waits for the first event or for the next one before it
 	// gives up; 0 if it waits for as long as for the complete answer.
-	Patience time.Duration
-	// Gap is the longest pause between events that meets the objective; 0 when none is set.
-	Gap time.Duration
+	StallTimeout time.Duration
+	// MaxEventGap is the longest pause between events that meets the objective; 0 when none is set.
+	MaxEventGap time.Duration
 	// Priority is the rank of the route; 0 is the most urgent.
 	Priority int
 	// Backends are the services that run the request, chosen by weight.
@@ -79,10 +79,10 @@
 // on earlier ones.
 type StageSpec struct {
 	Service string
-	// After lists the numbers of the stages whose results this one reads.
-	After []int
-	// Bytes is the approximate size of the result of one piece.
-	Bytes float64
+	// InputStages lists the numbers of the stages whose results this one reads.
+	InputStages []int
+	// ResultBytes is the approximate size of the result of one piece.
+	ResultBytes float64
 }
 
 // Service is a pool of targets of the same kind.
@@ -102,19 +102,19 @@
 
 // EngineSpec describes the targets of a model engine, as configured by the operators.
 type EngineSpec struct {
-	Slots  int // requests in one batch
-	Memory int // tokens held by running requests and cached prompt parts
+	Slots        int // requests in one batch
+	MemoryTokens int // tokens held by running requests and cached prompt parts
 }
 
 // PoolSpec describes the targets of a stage pool, as configured by the operators.
 type PoolSpec struct {
-	Slots    int           // calls that run at the same time
-	Queue    int           // calls that may be queued
-	Batch    int           // maximum number of pieces in a call
-	CallTime time.Duration // fixed duration of a call, to which ItemTime is added per piece
-	ItemTime time.Duration // approximate duration of a piece
-	Room     float64       // memory for results, in bytes
-	Keep     time.Duration // how long the target keeps an unclaimed result
+	Slots           int           // calls that run at the same time
+	MaxQueued       int           // calls that may be queued
+	MaxBatch        int           // maximum number of pieces in a call
+	CallTime        time.Duration // fixed duration of a call, to which PieceTime is added per piece
+	PieceTime       time.Duration // approximate duration of a piece
+	ResultMemory    float64       // memory for results, in bytes
+	ResultRetention time.Duration // how long the target keeps an unclaimed result
 }
 
 // AccountKeys is a client account with its credentials.
--- a/store.go
+++ b/store.go
@@ -17,8 +17,8 @@
 	// Revision is the store's revision at the last change of this key; 0 when the key
 	// does not exist.
 	Revision Revision
-	// Gone is set in events that report the removal of the key.
-	Gone bool
+	// Deleted is set in events that report the removal of the key.
+	Deleted bool
 }
 
 // Errors of a Store, beside ErrUnavailable.
@@ -62,9 +62,9 @@
 	Revoke(ctx context.Context, lease Lease) error
 }
 
-// Platform defines the keys of the operators and of the targets in a store, and how their
+// StoreSchema defines the keys of the operators and of the targets in a store, and how their
 // values are decoded.
-type Platform interface {
+type StoreSchema interface {
 	// OperatorPrefix returns the prefix of all keys that operators write.
 	OperatorPrefix() string
 	// RoutingKey returns the key of the operators' table.
--- a/target.go
+++ b/target.go
@@ -21,12 +21,12 @@
 	// Slots is the number of calls that the target runs at the same time, 0 when it
 	// doesn't state it.
 	Slots int `json:"slots,omitempty"`
-	// Born distinguishes the incarnations of a target that restarts under the same ID.
+	// Start distinguishes the incarnations of a target that restarts under the same ID.
 	// It is the time of its start by its own clock, in Unix milliseconds, and 0 when it
 	// doesn't state it. A target has no state of its earlier incarnations.
-	Born int64 `json:"born,omitempty"`
-	// Beat is the number of the target's own heartbeats, 0 when it has none.
-	Beat uint64 `json:"beat,omitempty"`
+	Start int64 `json:"born,omitempty"`
+	// HeartbeatCount is the number of the target's own heartbeats, 0 when it has none.
+	HeartbeatCount uint64 `json:"beat,omitempty"`
 	// ColdLeft is how long the target would remain cold when it last wrote its key, as
 	// reported by the target. A cold target works, but fails under more than its
 	// service's ColdRate.
@@ -39,18 +39,18 @@
 // Cold reports whether the target is cold at now.
 func (t Target) Cold(now time.Time) bool { return now.Before(t.ColdUntil) }
 
-// Life identifies one run of a target, from the start of its process to its end.
+// Incarnation identifies one run of a target, from the start of its process to its end.
 // State that is kept about a target is valid for one run only: the next one has no
 // knowledge of what the earlier one held, did or reported.
-type Life struct {
-	ID   string
-	Born int64 // Target.Born
+type Incarnation struct {
+	ID    string
+	Start int64 // Target.Start
 }
 
-// Life identifies the target's current incarnation. Two incarnations of an ID differ in
-// Target.Born, which doesn't order them, since the clocks of targets jump. The later one is
+// Incarnation identifies the target's current incarnation. Two incarnations of an ID differ in
+// Target.Start, which doesn't order them, since the clocks of targets jump. The later one is
 // that which was listed at the higher revision of the store.
-func (t Target) Life() Life { return Life{t.ID, t.Born} }
+func (t Target) Incarnation() Incarnation { return Incarnation{t.ID, t.Start} }
 
 // Software returns the target's service and the version of its software.
 func (t Target) Software() string { return t.Pool + " " + t.Version }
@@ -81,12 +81,12 @@
 
 // Instance is one row of the platform's instance list.
 type Instance struct {
-	ID      string        `json:"id"`
-	Role    string        `json:"role"`
-	Hall    string        `json:"hall"`
-	Pool    string        `json:"pool,omitempty"`
-	Address string        `json:"address"`
-	Streams bool          `json:"streams,omitempty"`
-	State   InstanceState `json:"state"`
-	Seen    time.Time     `json:"seen"` // when the instance was last reported to the list
+	ID       string        `json:"id"`
+	Role     string        `json:"role"`
+	Hall     string        `json:"hall"`
+	Pool     string        `json:"pool,omitempty"`
+	Address  string        `json:"address"`
+	Streams  bool          `json:"streams,omitempty"`
+	State    InstanceState `json:"state"`
+	LastSeen time.Time     `json:"seen"` // when the instance was last reported to the list
 }
--- a/test/config_test.go
+++ b/test/config_test.go
@@ -166,7 +166,7 @@
 			So(err, ShouldBeNil)
 			// The replies to three writes are lost: the chunk's, the root's and, on
 			// the retry, the chunk's again.
-			c.kv.SetFaults(standin.KeyValueFaults{LoseWrites: 3})
+			c.kv.SetFaults(standin.KeyValueFaults{LoseWriteAnswers: 3})
 			v, err := c.apply("lost", change("111"))
 			So(err, ShouldBeNil)
 			So(v, ShouldEqual, before.Root.Version+1)
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -119,7 +119,7 @@
 	c.kvAddress, c.listAddress = c.listen("kv", c.kv), c.listen("list", c.list)
 	c.editor = tables.NewEditor(keyvalue.New(c.kvAddress), peers.NewClients(fleetSecret), log.New(os.Stderr))
 	c.startTargets()
-	c.edit(append(o.profile.Edits(), o.extraEdits...))
+	c.edit(append(o.profile.TableEdits(), o.extraEdits...))
 	for i := 0; i < o.entries; i++ {
 		c.entries = append(c.entries, c.newProcess(i))
 	}
@@ -140,16 +140,16 @@
 
 // defaultTargetSettings apply to the targets of pools for which a test sets none.
 // startTargets adds 1 ms per token for pools that stream.
-var defaultTargetSettings = standin.TargetSettings{Capacity: 16, Time: 3 * time.Millisecond}
+var defaultTargetSettings = standin.TargetSettings{Capacity: 16, CallTime: 3 * time.Millisecond}
 
 // startTargets starts targetsPerPool targets for each pool of the profile and lists them.
 func (c *cluster) startTargets() {
-	for pool, streams := range c.options.profile.Pools() {
+	for pool, streams := range c.options.profile.StreamsByPool() {
 		settings, ok := c.options.settingsByPool[pool]
 		if !ok {
 			settings = defaultTargetSettings
 			if streams {
-				settings.Token = time.Millisecond
+				settings.TokenTime = time.Millisecond
 			}
 		}
 		for i := 0; i < c.options.targetsPerPool; i++ {
@@ -264,8 +264,8 @@
 }
 
 // ledger returns the runs that all targets have recorded.
-func (c *cluster) ledger() []standin.Run {
-	var all []standin.Run
+func (c *cluster) ledger() []standin.RunRecord {
+	var all []standin.RunRecord
 	for _, t := range c.targetsByID {
 		all = append(all, t.Ledger()...)
 	}
@@ -285,7 +285,7 @@
 
 // audit compares outcomes with the ledgers of the targets.
 func (c *cluster) audit(outcomes []*load.Outcome) *load.Audit {
-	return load.Check(c.options.profile, outcomes, c.ledger())
+	return load.AuditOutcomes(c.options.profile, outcomes, c.ledger())
 }
 
 // dumpLogs writes the log of every entry to the test's output.
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -36,7 +36,7 @@
 	if key != "" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
-	req.Header.Set(wire.HeaderKey, idempotency)
+	req.Header.Set(wire.HeaderIdempotencyKey, idempotency)
 	response, err := operatorClient.Do(req)
 	c.must(err)
 	defer response.Body.Close()
@@ -82,7 +82,7 @@
 			So(x.name+": "+p.Detail, ShouldContainSubstring, x.detail)
 			So(resp.StatusCode, ShouldEqual, x.status)
 			So(p.Verdict, ShouldEqual, "not-run")
-			So(resp.Header.Get("Content-Type"), ShouldEqual, wire.ContentProblem)
+			So(resp.Header.Get("Content-Type"), ShouldEqual, wire.ProblemMediaType)
 		}
 		So(c.ledger(), ShouldBeEmpty)
 		Convey("and callers can't use the operators' endpoints", func() {
@@ -115,7 +115,7 @@
 			So(o.Problem.Cause, ShouldEqual, "limit")
 			So(o.Problem.Verdict, ShouldEqual, "not-run")
 			So(o.Problem.RetryAfterMS, ShouldBeGreaterThan, 0)
-			t.Logf("refused after %v, retry after %d ms", o.Took, o.Problem.RetryAfterMS)
+			t.Logf("refused after %v, retry after %d ms", o.Latency, o.Problem.RetryAfterMS)
 		}
 		So(refused, ShouldBeGreaterThan, 8)
 	})
@@ -144,8 +144,8 @@
 		Convey("another version, or a wrong secret, is refused", func() {
 			So(status.Code(call("2", fleetSecret)), ShouldEqual, codes.FailedPrecondition)
 			So(status.Code(call("", fleetSecret)), ShouldEqual, codes.FailedPrecondition)
-			So(status.Code(call(peers.Version, "wrong")), ShouldEqual, codes.Unauthenticated)
-			So(call(peers.Version, fleetSecret), ShouldBeNil)
+			So(status.Code(call(peers.ProtocolVersion, "wrong")), ShouldEqual, codes.Unauthenticated)
+			So(call(peers.ProtocolVersion, fleetSecret), ShouldBeNil)
 		})
 		Convey("a flood of refused calls is logged at a bounded rate", func() {
 			for i := 0; i < 300; i++ {
@@ -172,7 +172,7 @@
 				_, err := p.Probe(ctx, hookhall.Probe{From: "stranger", View: v})
 				So(err, ShouldBeNil)
 			}
-			_, err = p.Probe(ctx, hookhall.Probe{From: "stranger", View: make([]byte, peers.MaxMessage+1)})
+			_, err = p.Probe(ctx, hookhall.Probe{From: "stranger", View: make([]byte, peers.MaxMessageBytes+1)})
 			So(status.Code(err), ShouldEqual, codes.ResourceExhausted)
 			_, err = p.Claim(ctx, hookhall.ClaimRequest{Epoch: before.Epoch, Token: 1})
 			So(status.Code(err), ShouldEqual, codes.InvalidArgument)
--- a/test/integrity_test.go
+++ b/test/integrity_test.go
@@ -16,7 +16,7 @@
 // runLoad sends the profile's requests, drawn from a seed, to all entries at rate requests
 // per second for the given duration.
 func (c *cluster) runLoad(rate float64, duration time.Duration, seed uint64) []*load.Outcome {
-	requests := load.Plan{Profile: c.options.profile, Rate: rate, Duration: duration, Seed: seed, Entries: len(c.entries)}.Draw()
+	requests := load.Plan{Profile: c.options.profile, Rate: rate, Duration: duration, Seed: seed, EntryCount: len(c.entries)}.Draw()
 	return load.Run(context.Background(), c.client, c.addresses(), c.options.profile, requests, nil)
 }
 
@@ -29,14 +29,14 @@
 		faults standin.TargetFaults
 	}{
 		{"answers truncated in mid-stream", standin.TargetFaults{Truncate: 0.3}},
-		{"answers lost after the run", standin.TargetFaults{Lose: 0.3}},
+		{"answers lost after the run", standin.TargetFaults{LoseAnswer: 0.3}},
 		{"answers of another request", standin.TargetFaults{Misdirect: 0.3}},
 		{"answers with a changed byte", standin.TargetFaults{Corrupt: 0.3}},
 		{"answers with a doubled word", standin.TargetFaults{Duplicate: 0.3}},
 		{"failures after the run", standin.TargetFaults{FailAfter: 0.3}},
 		{"refusals before the run", standin.TargetFaults{FailBefore: 0.3}},
-		{"answers that are very slow", standin.TargetFaults{Slow: 40}},
-		{"all faults but slowness", standin.TargetFaults{Truncate: 0.1, Lose: 0.1, Misdirect: 0.1, Corrupt: 0.1, FailAfter: 0.1, FailBefore: 0.1, Duplicate: 0.1}},
+		{"answers that are very slow", standin.TargetFaults{SlowFactor: 40}},
+		{"all faults but slowness", standin.TargetFaults{Truncate: 0.1, LoseAnswer: 0.1, Misdirect: 0.1, Corrupt: 0.1, FailAfter: 0.1, FailBefore: 0.1, Duplicate: 0.1}},
 	}
 	Convey("Faulty answers of targets are not delivered, at every stage of every pipeline", t, func() {
 		c := newCluster(t, options{})
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -27,13 +27,15 @@
 			c.listTarget(target, "engines", c.serversByName[target].Address, true, hookhall.InstanceLeaving)
 		}},
 		{"its own report", func(c *cluster) { c.targetsByID[target].SetFaults(standin.TargetFaults{Leaving: true}) }},
-		{"its refusal", func(c *cluster) { c.targetsByID[target].SetFaults(standin.TargetFaults{Leaving: true, Quiet: true}) }},
+		{"its refusal", func(c *cluster) {
+			c.targetsByID[target].SetFaults(standin.TargetFaults{Leaving: true, HideLeaving: true})
+		}},
 		{"the operator's cell", func(c *cluster) { c.edit([]hookhall.Edit{forcedEdit("targets", target, "leaving", "true")}) }},
 	}
 	for _, x := range cases {
 		Convey("A target marked as leaving by "+x.name+", with one entry cut off from the list", t, func() {
 			c := newCluster(t, options{listLag: 300 * time.Millisecond, settingsByPool: map[string]standin.TargetSettings{
-				"engines": {Capacity: 16, Time: 20 * time.Millisecond, Token: 20 * time.Millisecond},
+				"engines": {Capacity: 16, CallTime: 20 * time.Millisecond, TokenTime: 20 * time.Millisecond},
 			}})
 			k := c.kind("recap")
 			k.Tokens = 16
@@ -52,7 +54,7 @@
 			ledger := c.targetsByID[target].Ledger()
 			lastBegin := time.Duration(0)
 			if n := len(ledger); n > 0 {
-				lastBegin = ledger[n-1].Began.Sub(markedAt)
+				lastBegin = ledger[n-1].StartedAt.Sub(markedAt)
 			}
 			t.Logf("last new request %v after the mark", lastBegin.Round(time.Millisecond))
 			// An entry may have chosen the target for a call right before it learned
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -121,7 +121,7 @@
 				for _, p := range c.entries {
 					s, err := p.state()
 					So(err, ShouldBeNil)
-					active += s.Active
+					active += s.ActiveRequests
 				}
 				maxActive = max(maxActive, int(active))
 				time.Sleep(20 * time.Millisecond)
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -19,7 +19,7 @@
 // slowAuthorisation makes the authorisation call take 300 ms, long enough to inject a
 // fault while it runs.
 var slowAuthorisation = map[string]standin.TargetSettings{
-	"authorisation": {Capacity: 64, Time: 300 * time.Millisecond},
+	"authorisation": {Capacity: 64, CallTime: 300 * time.Millisecond},
 }
 
 // approveKind returns the kind of a charge with a deadline of 2 s, which leaves time for a
@@ -275,7 +275,7 @@
 		k := approveKind(c)
 		for id, s := range c.targetsByID {
 			if id == "authorisation-0" || id == "authorisation-1" {
-				s.SetFaults(standin.TargetFaults{Lose: 1})
+				s.SetFaults(standin.TargetFaults{LoseAnswer: 1})
 			}
 		}
 		first := c.send(0, k, "lost", "lost")
@@ -329,7 +329,7 @@
 		setLoseShare := func(share float64) {
 			for id, s := range c.targetsByID {
 				if id == "authorisation-0" || id == "authorisation-1" {
-					s.SetFaults(standin.TargetFaults{Lose: share})
+					s.SetFaults(standin.TargetFaults{LoseAnswer: share})
 				}
 			}
 		}
--- a/test/schedules_test.go
+++ b/test/schedules_test.go
@@ -71,11 +71,11 @@
 		s.undoLater(func() { s.cluster.kv.SetFaults(standin.KeyValueFaults{}) })
 	case 7:
 		s.logEvent("lost and stale replies of the key-value service")
-		s.cluster.kv.SetFaults(standin.KeyValueFaults{LoseWrites: 2, StaleReads: 3, SlowMS: 30})
+		s.cluster.kv.SetFaults(standin.KeyValueFaults{LoseWriteAnswers: 2, StaleReads: 3, SlowMS: 30})
 		s.undoLater(func() { s.cluster.kv.SetFaults(standin.KeyValueFaults{}) })
 	case 8:
 		s.logEvent("faults on all targets")
-		s.setTargetFaults(standin.TargetFaults{Lose: 0.1, Truncate: 0.1, Misdirect: 0.1, FailBefore: 0.1, FailAfter: 0.1})
+		s.setTargetFaults(standin.TargetFaults{LoseAnswer: 0.1, Truncate: 0.1, Misdirect: 0.1, FailBefore: 0.1, FailAfter: 0.1})
 		s.undoLater(func() { s.setTargetFaults(standin.TargetFaults{}) })
 	case 9:
 		s.logEvent("edit")
--- a/verdict.go
+++ b/verdict.go
@@ -111,8 +111,8 @@
 	return &Error{Verdict: v, Cause: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// After sets e.RetryAfter to d and returns e.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter sets e.RetryAfter to d and returns e.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	e.RetryAfter = d
 	return e
 }
--- a/view.go
+++ b/view.go
@@ -12,15 +12,15 @@
 	Hall     string `json:"hall"`
 	// Address is where peers connect to, an IP address and a port.
 	Address string `json:"address"`
-	// Power is the process's capacity of processor and network, relative to that of other
+	// RelativeCapacity is the process's capacity of processor and network, relative to that of other
 	// members; 0 when it doesn't state it.
-	Power float64 `json:"power,omitempty"`
-	// Resting is set while the process lags: it declines the ownership of shared work.
-	Resting bool `json:"resting,omitempty"`
+	RelativeCapacity float64 `json:"power,omitempty"`
+	// DecliningOwnership is set while the process lags: it declines the ownership of shared work.
+	DecliningOwnership bool `json:"resting,omitempty"`
 }
 
-// Change is one membership change: the difference between Epoch and Epoch-1.
-type Change struct {
+// MembershipChange is one membership change: the difference between Epoch and Epoch-1.
+type MembershipChange struct {
 	Epoch  uint64   `json:"epoch"`
 	Joined []Member `json:"joined,omitempty"`
 	Left   []Member `json:"left,omitempty"`
@@ -38,7 +38,7 @@
 	Members []Member `json:"members"`
 	// Changes has the newest changes, oldest first, so that a process can
 	// reconstruct earlier memberships.
-	Changes []Change `json:"changes,omitempty"`
+	Changes []MembershipChange `json:"changes,omitempty"`
 	// Unfenced members were removed on the evidence of peers alone, and may still run
 	// behind a network partition. They remain here until the platform lists them as
 	// gone, a newer incarnation of their instance joins, or they rejoin.
