--- a/advisory.go
+++ b/advisory.go
@@ -21,8 +21,8 @@
 
 // AdvisoryObserver receives the advisories of targets.
 type AdvisoryObserver interface {
-	// HandleAdvisory is called with the advisory of each answer, also with the zero one. t sent
-	// the answer to a call that was sent to it at sent. It must not block.
+	// HandleAdvisory is called for each answer, also with the zero Advisory. t is the target
+	// that answered, sent is when the call was sent to it. It must not block.
 	HandleAdvisory(t Target, a Advisory, sent time.Time)
 }
 
--- a/contract_peer_test.go
+++ b/contract_peer_test.go
@@ -39,9 +39,9 @@
 		Records: []hookhall.Record{{Key: "k", Sequence: 2}}}}}
 }
 func (echo) HandleIsComplete(epoch uint64) bool { return epoch == 4 }
-func (echo) HandleLeaseShares(t hookhall.ShareRequest) hookhall.ShareReply {
-	w := t.Demands[0]
-	return hookhall.ShareReply{Epoch: t.Epoch, Leases: []hookhall.ShareLease{{Account: w.Account, Rate: w.Rate, Concurrency: w.Concurrency + w.Held, Limited: true, RetryAfter: time.Second}}}
+func (echo) HandleLeaseShares(r hookhall.ShareRequest) hookhall.ShareReply {
+	demand := r.Demands[0]
+	return hookhall.ShareReply{Epoch: r.Epoch, Leases: []hookhall.ShareLease{{Account: demand.Account, Rate: demand.Rate, Concurrency: demand.Concurrency + demand.Held, Limited: true, RetryAfter: time.Second}}}
 }
 func (echo) HandleTable(have uint64) hookhall.TableDocument {
 	return hookhall.TableDocument{Version: have + 1, Root: []byte("r"), Chunks: [][]byte{[]byte("c")}}
--- a/forward.go
+++ b/forward.go
@@ -56,9 +56,9 @@
 	Remaining time.Duration // until the deadline of the call
 	Urgency   int           // priority from 0, the most urgent, to 9
 	Inputs    []string      // handles of the results that the target reads
-	// AtMostOnce is set for a call that may run only once. It is sent on a new connection.
-	// A kept one may be dead without a sign, and what was written to it may have run,
-	// while a connection that can't be opened proves that nothing ran.
+	// AtMostOnce is set for a call that may run only once. It is sent on a new connection:
+	// if that can't be opened, the call did not run. An idle connection may have broken
+	// unnoticed, and a call that was written to it may have run.
 	AtMostOnce bool
 	// ResumeAfter is the ID of the last event that the client received, to resume a
 	// stream there; "" starts the stream from its beginning.
@@ -136,9 +136,9 @@
 type Piece struct {
 	Call      string        // ID of the request
 	Stage     int           // number of the stage, from 0
-	Index     int           // of the piece within the stage of the request
-	Key       string        // for stages without inputs
-	Inputs    []string      // handles, for stages with inputs
+	Index     int           // number of the piece in the stage of the request, from 0
+	Key       string        // piece key of the request, for stages without inputs
+	Inputs    []string      // handles of the results to read, for stages with inputs
 	Remaining time.Duration // until the deadline of the piece
 }
 
@@ -165,12 +165,13 @@
 	Failure PieceFailure
 }
 
-// StagePool makes pieces at targets.
+// StagePool calls the targets of stage pools. A piece is made when its result has been computed.
 type StagePool interface {
-	// Make runs one call with pieces at t. The results are in the order of the pieces.
+	// Make runs one call with pieces at t. The results are in the order of the pieces. An
+	// error means that the call as a whole failed.
 	Make(ctx context.Context, t Target, pieces []Piece) ([]PieceResult, error)
 	// Free releases results that are held by the target at address.
 	Free(ctx context.Context, address string, handles []string) error
-	// Holder returns the address of the target that made and holds a result.
+	// Holder returns the address of the target that holds the result of a handle.
 	Holder(handle string) string
 }
--- a/interfaces.go
+++ b/interfaces.go
@@ -23,7 +23,8 @@
 
 // KeyValue is the platform's key-value service.
 type KeyValue interface {
-	// Get reads a key. A missing key is Entry{} without an error.
+	// Get reads a key. A missing key is the zero KeyValueEntry, without
+	// an error.
 	Get(ctx context.Context, key string) (KeyValueEntry, error)
 	// CompareAndSwap writes value if the key still has the index (0: the key must
 	// not exist), and reports whether it did. After an error it is not known
@@ -39,6 +40,7 @@
 // InstanceList is the platform's list of live and leaving instances. It lags
 // behind the actual state.
 type InstanceList interface {
+	// List returns all instances of the list, or ErrUnavailable (wrapped).
 	List(ctx context.Context) ([]Instance, error)
 }
 
@@ -78,13 +80,14 @@
 	// IsComplete reports whether the peer has reached epoch and has all records of its slots.
 	IsComplete(ctx context.Context, epoch uint64) (bool, error)
 	// LeaseShares leases shares of accounts' limits from the peer, their owner.
-	LeaseShares(ctx context.Context, t ShareRequest) (ShareReply, error)
+	LeaseShares(ctx context.Context, r ShareRequest) (ShareReply, error)
 	// Table reads the peer's current table. have is the caller's version: the document
 	// has only chunks that are newer, and neither root nor chunks if the peer's table is not.
 	Table(ctx context.Context, have uint64) (TableDocument, error)
 }
 
-// Peers returns the client of the peer at an address.
+// Peers holds the clients of the other entry processes.
 type Peers interface {
+	// Peer returns the client of the peer at an address.
 	Peer(address string) Peer
 }
--- a/revision.go
+++ b/revision.go
@@ -28,7 +28,8 @@
 // ErrRevisionRange is returned for an era or a number of changes that is too large.
 var ErrRevisionRange = errors.New("era or count of changes out of range")
 
-// NewRevision returns the Revision for a number of changes in an era, or ErrRevisionRange (wrapped).
+// NewRevision returns the Revision for a number of changes in an era, or ErrRevisionRange
+// (wrapped) if one of them is too large.
 func NewRevision(era, count uint64) (Revision, error) {
 	if era > maxEra || count > maxCount {
 		return 0, errors.Wrapf(ErrRevisionRange, "era %d, count %d", era, count)
--- a/rollout.go
+++ b/rollout.go
@@ -5,15 +5,15 @@
 
 import "time"
 
-// Rollout is the operators' order to move the requests of a service to targets of
+// Rollout describes how operators want the requests of a service moved to targets of
 // another version, which run beside the old ones.
 type Rollout struct {
 	Service string
 	Version string // of the new targets' software
-	// Time is how long after the order the rollout should be completed or rolled back.
+	// Time is how long after its creation the rollout should be completed or rolled back.
 	Time time.Duration
-	// Revision is the store's revision at the order. An order with a higher one
-	// replaces this one for the same service.
+	// Revision is the store's revision at the creation of the rollout. A rollout with a
+	// higher one replaces this one for the same service.
 	Revision Revision
 }
 
@@ -39,11 +39,11 @@
 // RolloutSchema defines the keys of Rollouts in a store, and how their values are decoded
 // and encoded.
 type RolloutSchema interface {
-	// Rollout decodes an order, without its Revision. ok is false if the key is not that
-	// of an order.
-	Rollout(key string, value []byte) (order Rollout, ok bool, err error)
-	// RolloutService returns the service of the order with a key. ok is false if the key
-	// is not that of an order.
+	// Rollout decodes a Rollout, without its Revision. ok is false if the key is not that
+	// of a Rollout.
+	Rollout(key string, value []byte) (rollout Rollout, ok bool, err error)
+	// RolloutService returns the service of the Rollout with a key. ok is false if the key
+	// is not that of a Rollout.
 	RolloutService(key string) (service string, ok bool)
 	// StatusKey returns the key of the RolloutStatus of a service.
 	StatusKey(service string) string
--- a/routing.go
+++ b/routing.go
@@ -43,8 +43,8 @@
 	// LatencyObjective is the latency up to which an answer has its full value: the time
 	// until the answer, or until its first event on a streaming route.
 	LatencyObjective time.Duration
-	// StallTimeout is how long a client waits for the first event or for the next one before it
-	// gives up; 0 if it waits for as long as for the complete answer.
+	// StallTimeout is how long a client waits for the first event or for the next one
+	// before it disconnects; 0 if it waits as long as for the complete answer.
 	StallTimeout time.Duration
 	// MaxEventGap is the longest pause between events that meets the objective; 0 when none is set.
 	MaxEventGap time.Duration
--- a/target.go
+++ b/target.go
@@ -13,8 +13,8 @@
 	Address string `json:"address"`
 	// Streams is set for engines, whose answers are streamed in chunks.
 	Streams bool `json:"streams"`
-	// Leaving is set by the list, by the target itself, by its refusal or by the
-	// operator's cell; one of them is enough.
+	// Leaving is set when the instance list, the target itself, a refusal by the target or
+	// the operators' table states that the target is leaving; one of them is enough.
 	Leaving bool `json:"leaving"`
 	// Version is the version of the target's software, "" when it doesn't state it.
 	Version string `json:"version,omitempty"`
--- a/view.go
+++ b/view.go
@@ -12,14 +12,14 @@
 	Hall     string `json:"hall"`
 	// Address is where peers connect to, an IP address and a port.
 	Address string `json:"address"`
-	// RelativeCapacity is the process's capacity of processor and network, relative to that of other
-	// members; 0 when it doesn't state it.
+	// RelativeCapacity is the process's capacity of processor and network, relative to that
+	// of other members; 0 when it doesn't state it.
 	RelativeCapacity float64 `json:"power,omitempty"`
 	// DecliningOwnership is set while the process lags: it declines the ownership of shared work.
 	DecliningOwnership bool `json:"resting,omitempty"`
 }
 
-// MembershipChange is one membership change: the difference between Epoch and Epoch-1.
+// MembershipChange is the difference between the members of Epoch and of Epoch-1.
 type MembershipChange struct {
 	Epoch  uint64   `json:"epoch"`
 	Joined []Member `json:"joined,omitempty"`
