--- a/internal/state/admission/gate.go
+++ b/internal/state/admission/gate.go
@@ -20,7 +20,7 @@
 var ErrTooLate = errors.New("too late to start")
 
 const (
-	// windowShrinkFactor multiplies the window when calls wait at their targets.
+	// windowShrinkFactor multiplies the window when calls wait too long at their targets.
 	windowShrinkFactor = 0.9
 	// rateWindow is the period over which arrival rates are averaged.
 	rateWindow = time.Second
@@ -33,8 +33,8 @@
 	// a priority, however many calls of higher priorities arrive. It keeps estimated
 	// waits finite.
 	minRateShare = 0.02
-	// shedMargin plus 1/shedErrorDivisor of the estimated wait are allowed for error of
-	// the estimate before a waiting call is refused.
+	// shedMargin plus 1/shedErrorDivisor of the estimated wait are allowed for error: a
+	// waiting call is shed only if a wait that is shorter by that would be too long as well.
 	shedMargin       = 20 * time.Millisecond
 	shedErrorDivisor = 5
 	maxRetryDelay    = 30 * time.Second
@@ -63,8 +63,8 @@
 	queue queue
 	// window is the number of calls that may be in progress.
 	window float64
-	// initialWindow is where the window begins, by this entry's even share of the pool.
-	// minWindow and maxWindow bound the window; maxWindow 0 turns it off.
+	// initialWindow is the window at the start, which follows from this entry's even share
+	// of the pool. minWindow and maxWindow bound the window; maxWindow 0 turns it off.
 	initialWindow float64
 	minWindow     float64
 	maxWindow     float64
@@ -178,8 +178,8 @@
 	g.queued.Store(int64(g.queue.length))
 }
 
-// Leave ends a call for which Enter returned nil. took is the time since then; it goes
-// into the average service time.
+// Leave ends a call for which Enter returned nil. took is the time since then, which is
+// added to the average service time.
 func (g *Gate) Leave(took time.Duration) {
 	g.inflight.Add(-1)
 	g.observeServiceTime(took)
--- a/internal/state/admission/gate_test.go
+++ b/internal/state/admission/gate_test.go
@@ -66,7 +66,8 @@
 	})
 }
 
-// TestGateArrivalOrder guards against a baseline that heeds priorities or latest starts.
+// TestGateArrivalOrder guards against an OrderArrival that depends on priorities or latest
+// starts.
 func TestGateArrivalOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, returned := fullGate(OrderArrival), make(chan string, 16)
--- a/internal/state/admission/queue.go
+++ b/internal/state/admission/queue.go
@@ -220,7 +220,7 @@
 	heap.Remove(&c.backlog, f.index)
 	c.totalWeight -= f.weight
 	if f.startTag <= c.virtualTime {
-		delete(c.flowsByAccount, f.account) // it has had no more than its share
+		delete(c.flowsByAccount, f.account) // it was not served ahead of its share
 	}
 	if len(c.backlog) == 0 {
 		c.flowsByAccount = nil // no competitors: earlier service no longer counts
