--- a/internal/state/advisory/doc.go
+++ b/internal/state/advisory/doc.go
@@ -12,9 +12,9 @@
 // instance only. A target that is leaving stays so for the rest of its incarnation.
 //
 // Instances send each other the limits with the age of the response that announced them;
-// the most recent one wins. A limit applies to all instances together: one of them grants
-// the rate to all, from a token bucket (Grants). A request that has to wait reserves a
-// future token if it is due within the request's latency target.
+// the one from the latest response applies. A limit applies to all instances together: one
+// of them grants the rate to all, from a token bucket (Grants). A request that has to wait
+// reserves a future token if it is due within the request's latency target.
 //
 // # Invariants
 //
--- a/internal/state/advisory/registry.go
+++ b/internal/state/advisory/registry.go
@@ -142,7 +142,7 @@
 	return change
 }
 
-// Merge applies a peer's report. Of two limits, the one that was received last wins.
+// Merge applies a peer's report. Of two limits, the one from the later response applies.
 func (r *Registry) Merge(report Report, now time.Time) Change {
 	incarnation := report.Target.Incarnation()
 	if !report.Limit.Named && !report.Leaving && r.find(incarnation) == nil {
@@ -166,10 +166,10 @@
 // taken for the previous one, until this instance learns the key of the new one.
 const maxRestartDetectionDelay = 3 * time.Second
 
-// TransferPause copies the pause of a target's previous incarnation to its new one if the pause was
-// requested at most maxRestartDetectionDelay ago, since the new incarnation may have
-// requested it before it was known here. Limits and leaving are not copied, since each
-// response announces them again.
+// TransferPause copies the pause of a target's previous incarnation to its new one if the
+// pause was requested at most maxRestartDetectionDelay ago, since the new incarnation may
+// have requested it before it was known here. Limits and leaving are not copied, since
+// each response announces them again.
 func (r *Registry) TransferPause(previous, current hookhall.Incarnation, now time.Time) {
 	old := r.Status(previous)
 	if !old.PausedUntil.After(now) || now.Sub(old.PauseHeard) > maxRestartDetectionDelay {
@@ -195,15 +195,15 @@
 }
 
 // Prune removes the entries of incarnations for which isCurrent returns false, and entries
-// that neither restrict requests nor say that the target is leaving.
+// of targets that are neither restricted nor leaving.
 func (r *Registry) Prune(isCurrent func(incarnation hookhall.Incarnation) bool, now time.Time) {
 	r.entries.Range(func(k, v any) bool {
 		e := v.(*entry)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		live := isCurrent(k.(hookhall.Incarnation))
-		r.setRestricted(e, live && e.status.restricted(now))
-		if !live || !(e.restricted || e.status.Leaving) {
+		current := isCurrent(k.(hookhall.Incarnation))
+		r.setRestricted(e, current && e.status.restricted(now))
+		if !current || !(e.restricted || e.status.Leaving) {
 			r.entries.Delete(k)
 		}
 		return true
--- a/internal/state/advisory/registry_test.go
+++ b/internal/state/advisory/registry_test.go
@@ -85,30 +85,30 @@
 	}
 }
 
-// TestKeep guards against entries that are never removed, and against a count of limits and
+// TestPrune guards against entries that are never removed, and against a count of limits and
 // pauses that disagrees with the entries.
-func TestKeep(t *testing.T) {
-	live := func(hookhall.Incarnation) bool { return true }
+func TestPrune(t *testing.T) {
+	allCurrent := func(hookhall.Incarnation) bool { return true }
 	other := hookhall.Incarnation{ID: "other"}
 	r := &advisory.Registry{}
-	check := func(situation string, idle bool) {
+	check := func(situation string, unrestricted bool) {
 		t.Helper()
-		if r.Unrestricted() != idle {
-			t.Errorf("%s: idle is %v", situation, !idle)
+		if r.Unrestricted() != unrestricted {
+			t.Errorf("%s: unrestricted is %v", situation, !unrestricted)
 		}
 	}
 	r.Record(other, hookhall.Advisory{Leaving: true}, at(0), at(0))
 	check("one target is leaving", true)
 	r.Record(currentIncarnation, hookhall.Advisory{Pause: time.Second}, at(0), at(0))
 	check("one target is paused", false)
-	r.Prune(live, at(2*time.Second))
+	r.Prune(allCurrent, at(2*time.Second))
 	check("the pause has ended", true)
 	r.Record(currentIncarnation, limited(1), at(0), at(0))
-	r.Prune(live, at(time.Hour))
+	r.Prune(allCurrent, at(time.Hour))
 	check("one target is limited", false)
 	r.Record(currentIncarnation, hookhall.Advisory{}, at(time.Hour), at(time.Hour))
 	check("the limit has just ended", false)
-	r.Prune(live, at(2*time.Hour))
+	r.Prune(allCurrent, at(2*time.Hour))
 	check("the limit ended long ago", true)
 	if !r.Status(other).Leaving {
 		t.Error("entry of a target that is leaving was removed")
--- a/internal/state/advisory/report.go
+++ b/internal/state/advisory/report.go
@@ -11,7 +11,8 @@
 	"github.com/hookhall/hookhall"
 )
 
-// limitEndReportTime is how long the end of a limit is reported with placement requests.
+// limitEndReportTime is how long the end of a limit is reported with placement requests, so
+// that a placement owner learns of it even if it missed the broadcast.
 const limitEndReportTime = 30 * time.Second
 
 // Report is a target's status as sent to a peer.
@@ -22,7 +23,7 @@
 }
 
 // All returns reports of all targets that are leaving or limited, in no particular order.
-// Only ID and Born are set in their targets.
+// Only ID and Start are set in their targets.
 func (r *Registry) All() []Report {
 	var reports []Report
 	r.entries.Range(func(k, v any) bool {
