--- a/internal/state/balance/cold.go
+++ b/internal/state/balance/cold.go
@@ -16,17 +16,17 @@
 const (
 	// placementOwnerShare is the part of the fleet-wide limit of a cold target that
 	// its placement owner assigns, and directShare the part that all gateways
-	// together send without asking while there is no placement owner. Two placement
-	// owners at once, as when processes disagree on the members, stay within the
-	// limit together with the gateways (2 x 0.4 + 0.15 = 0.95), and a fifth of what
-	// one placement owner sends may arrive a second late.
+	// together send by their own choice while there is no placement owner. Two
+	// placement owners at once, as when processes disagree on the members, stay
+	// within the limit together with the gateways (2 x 0.4 + 0.15 = 0.95). The rest
+	// is for requests that arrive late, in the same second as later ones.
 	placementOwnerShare = 0.4
 	directShare         = 0.15
 )
 
-// ColdLimits bound the requests that a cold target gets from the whole fleet. For a
-// service whose targets bear ColdRate requests a second while cold, the limit in any
-// second is ColdRate times a factor, plus a number of extra requests.
+// ColdLimits bounds the requests that a cold target gets from the whole fleet. For a
+// service whose targets can serve ColdRate requests a second while cold, the limit in
+// any second is ColdRate times RateFactor, plus ExtraRequests.
 type ColdLimits struct {
 	RateFactor    float64 // factor of ColdRate; values below 1 count as 1
 	ExtraRequests float64 // requests in any second
@@ -38,10 +38,10 @@
 	return s.ColdRate*max(l.RateFactor, 1) + l.ExtraRequests
 }
 
-// MaxFromPlacementOwner returns how many requests in any second a cold target of a service may get
-// from its placement owner: placementOwnerShare of the limit, but at least 1 and no
-// more than the target bears continuously. For a service whose targets are never cold
-// it returns 0, which is not used as a limit.
+// MaxFromPlacementOwner returns how many requests in any second a cold target of a
+// service may get from its placement owner: placementOwnerShare of the limit, but at
+// least 1 and no more than ColdRate, which the target can serve continuously. For a
+// service whose targets are never cold it returns 0, which is not used as a limit.
 func (l ColdLimits) MaxFromPlacementOwner(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
@@ -49,9 +49,9 @@
 	return int(max(min(s.ColdRate, placementOwnerShare*l.maxPerSecond(s)), 1))
 }
 
-// MaxDirectSenders returns how many gateways may each send one request a second to a cold target
-// of a service while it has no placement owner. It is at least 1, or 0 for a service
-// whose targets are never cold.
+// MaxDirectSenders returns how many gateways may each send one request a second to a
+// cold target of a service while it has no placement owner. It is at least 1, or 0 for
+// a service whose targets are never cold.
 func (l ColdLimits) MaxDirectSenders(s *hookhall.Service) int {
 	if s == nil || s.ColdRate <= 0 {
 		return 0
@@ -59,8 +59,9 @@
 	return int(max(directShare*l.maxPerSecond(s), 1))
 }
 
-// IsDirectSender reports whether the gateway self is among the first count of all gateways in
-// the order of rendezvous hashing for a target. If all lacks self, it is ranked too.
+// IsDirectSender reports whether the gateway self is among the first count of all
+// gateways in the order of rendezvous hashing for a target. If all lacks self, it is
+// ranked too.
 func IsDirectSender(target, self string, all []string, count int) bool {
 	ownWeight := rendezvousWeight(target, self)
 	rank := 0
--- a/internal/state/balance/cold_test.go
+++ b/internal/state/balance/cold_test.go
@@ -100,21 +100,21 @@
 			all = append(all, fmt.Sprint("g", i))
 		}
 		placementOwners := []*Tracker{NewTracker(), NewTracker()}
-		own := make([]*Tracker, len(all))
-		for i := range own {
-			own[i] = NewTracker()
+		gateways := make([]*Tracker, len(all))
+		for i := range gateways {
+			gateways[i] = NewTracker()
 		}
 		sent := map[string][]time.Time{}
 		for range rapid.IntRange(1, 400).Draw(t, "sends") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
-			by := rapid.IntRange(-2, len(all)-1).Draw(t, "by")
+			sender := rapid.IntRange(-2, len(all)-1).Draw(t, "by")
 			criteria, chooser := Criteria{MaxColdRequests: func(string) int { return limits.MaxFromPlacementOwner(s) }}, placementOwners[0]
-			if by == -1 {
+			if sender == -1 {
 				chooser = placementOwners[1]
-			} else if by >= 0 {
-				chooser = own[by]
+			} else if sender >= 0 {
+				chooser = gateways[sender]
 				criteria.MaxColdRequests = func(id string) int {
-					if IsDirectSender(id, all[by], all, limits.MaxDirectSenders(s)) {
+					if IsDirectSender(id, all[sender], all, limits.MaxDirectSenders(s)) {
 						return 1
 					}
 					return 0
--- a/internal/state/balance/doc.go
+++ b/internal/state/balance/doc.go
@@ -5,10 +5,10 @@
 //
 // # Model
 //
-// A Tracker keeps one record per target that this process has sent calls to: the
-// calls in progress, the prompt tokens sent to it but not read yet, its average
-// latency, its failures, and the prompt parts that it presumably still caches. A
-// choice compares estimates of when each target would begin to answer.
+// A Tracker keeps one record per incarnation of a target: the calls of this process in
+// progress there, the prompt tokens sent to it but not read yet, its average latency,
+// its failures, and the prompt parts that it presumably still caches. A choice compares
+// estimates of when each target would begin to answer.
 //
 // Engines cache the prompts that they have read. Processes agree on the engine for a
 // shared prompt part without communication: rendezvous hashing of the part yields the
@@ -19,7 +19,7 @@
 //
 //   - A target that is leaving, or that the caller has excluded, is not chosen.
 //   - A target that fails is ejected for a pause that grows with each failure. The
-//     pause ends by itself, and the next call serves as the probe. If all targets are
+//     pause ends by itself, and the next call is the probe. If all targets are
 //     ejected, the one whose pause ends first is chosen, so that a service always has
 //     a target.
 package balance
--- a/internal/state/balance/incarnation_test.go
+++ b/internal/state/balance/incarnation_test.go
@@ -33,9 +33,9 @@
 			b.Begin(t, prompt("", 0, 0), now).Refused(now)
 		}, prompt("", 0, 100), true},
 		"a slow pace": {func(b *Tracker, t hookhall.Target) {
-			u := b.Begin(t, Criteria{}, now)
-			u.Succeeded(10 * time.Second)
-			u.End()
+			call := b.Begin(t, Criteria{}, now)
+			call.Succeeded(10 * time.Second)
+			call.End()
 		}, Criteria{}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -44,9 +44,9 @@
 			if c.other {
 				// The other target is a little worse than one without a record.
 				b.Begin(list[1], prompt("", 0, 2000), now)
-				u := b.Begin(list[1], Criteria{}, now)
-				u.Succeeded(100 * time.Millisecond)
-				u.End()
+				call := b.Begin(list[1], Criteria{}, now)
+				call.Succeeded(100 * time.Millisecond)
+				call.End()
 			}
 			c.before(b, list[0])
 			choose := func() string {
@@ -60,9 +60,9 @@
 			if got := choose(); c.other && got != "t0" {
 				t.Errorf("in another incarnation, %s is chosen", got)
 			}
-			u := b.Begin(list[0], prompt("p", 10000, 100), now)
-			if u.unreadTokens != 10100 || u.record.inflight != 1 {
-				t.Errorf("in another incarnation, %d unread tokens and %d calls in progress, want 10100 and 1", u.unreadTokens, u.record.inflight)
+			call := b.Begin(list[0], prompt("p", 10000, 100), now)
+			if call.unreadTokens != 10100 || call.record.inflight != 1 {
+				t.Errorf("in another incarnation, %d unread tokens and %d calls in progress, want 10100 and 1", call.unreadTokens, call.record.inflight)
 			}
 		})
 	}
--- a/internal/state/balance/record.go
+++ b/internal/state/balance/record.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// minEjectionPause is the pause after the first failure that ejects a target. It
-	// doubles with each further failure in a row, up to maxEjectionPause.
+	// minEjectionPause is the pause after a first failure that is hard. It doubles with
+	// each further failure in a row, up to maxEjectionPause, which is also the pause after
+	// softFailureThreshold failures.
 	minEjectionPause = 500 * time.Millisecond
 	maxEjectionPause = 4 * time.Second
-	// softFailureThreshold is how many failures in a row eject a target when each of
+	// softFailureThreshold is how many failures in a row eject a target when the last of
 	// them may have been caused by the call itself.
 	softFailureThreshold = 4
 	// minRefusalPause is how long a target that refused a call is left out, about the
--- a/internal/state/balance/ring.go
+++ b/internal/state/balance/ring.go
@@ -25,11 +25,13 @@
 	entries []ringEntry // sorted by hash, without targets that are leaving
 }
 
+// ringEntry is the position of a target on the ring.
 type ringEntry struct {
 	hash  uint64 // of the target's id
 	index int32  // in ring.targets
 }
 
+// newRing returns the ring of a list of targets, which it retains.
 func newRing(targets []hookhall.Target) *ring {
 	r := &ring{targets: targets, entries: make([]ringEntry, 0, len(targets))}
 	for i := range targets {
@@ -64,8 +66,8 @@
 type rings struct{ byPool sync.Map } // pool name to *ring
 
 // forTargets returns the ring of a non-empty list of targets of one service. It is
-// built anew unless the list is the very slice of the previous call; lists are
-// immutable.
+// built anew unless the list is the same slice as in the previous call for the service;
+// lists are immutable.
 func (r *rings) forTargets(targets []hookhall.Target) *ring {
 	if cached, ok := r.byPool.Load(targets[0].Pool); ok {
 		if latest := cached.(*ring); len(latest.targets) == len(targets) && &latest.targets[0] == &targets[0] {
--- a/internal/state/balance/sample.go
+++ b/internal/state/balance/sample.go
@@ -16,7 +16,7 @@
 const (
 	// maxScannedTargets is the largest number of targets of a service that are all
 	// compared. Scanning more would make each choice slower the larger the fleet is,
-	// at the one process that places calls for all others.
+	// at the placement owner, which chooses targets for all other processes.
 	maxScannedTargets = 256
 	// sampleSize is how many targets of a larger service are drawn for a choice. A
 	// sample of this size contains idle targets in each hall unless nearly all
--- a/internal/state/balance/tracker.go
+++ b/internal/state/balance/tracker.go
@@ -57,19 +57,19 @@
 func NewTracker() *Tracker { return &Tracker{} }
 
 // record returns the record of an incarnation and creates it if necessary.
-func (b *Tracker) record(l hookhall.Incarnation) *record {
-	if r, ok := b.records.Load(l); ok {
+func (b *Tracker) record(incarnation hookhall.Incarnation) *record {
+	if r, ok := b.records.Load(incarnation); ok {
 		return r.(*record)
 	}
-	r, _ := b.records.LoadOrStore(l, &record{})
+	r, _ := b.records.LoadOrStore(incarnation, &record{})
 	return r.(*record)
 }
 
-// Prune removes the records of incarnations for which current returns false, and from
+// Prune removes the records of incarnations for which isCurrent returns false, and from
 // the others the prompt parts that are presumably no longer cached.
-func (b *Tracker) Prune(current func(l hookhall.Incarnation) bool, now time.Time) {
+func (b *Tracker) Prune(isCurrent func(incarnation hookhall.Incarnation) bool, now time.Time) {
 	b.records.Range(func(k, v any) bool {
-		if !current(k.(hookhall.Incarnation)) {
+		if !isCurrent(k.(hookhall.Incarnation)) {
 			b.records.Delete(k)
 			return true
 		}
@@ -81,10 +81,10 @@
 
 // Criteria describes a call and the conditions that its target must meet.
 type Criteria struct {
-	// IsEngineCall is set when the target reads prompts.
+	// IsEngineCall is set for calls to model engines, which read prompts.
 	IsEngineCall bool
-	// SharedPart is the id of the longest part of the prompt that other prompts share, ""
-	// for none.
+	// SharedPart is the id of the longest part of the prompt that other prompts share,
+	// "" for none.
 	SharedPart string
 	// SharedTokens is the number of prompt tokens up to the end of the shared part,
 	// OwnTokens that of the tokens after it.
@@ -97,8 +97,8 @@
 	// Parts are the ids of all parts of the prompt; the target is recorded as caching
 	// them.
 	Parts []string
-	// LatencyBudget is the time left until the latency target, 0 if it has passed or is not
-	// known.
+	// LatencyBudget is the time left until the latency target, 0 if it has passed or is
+	// not known.
 	LatencyBudget time.Duration
 	// BytesByHall holds the number of bytes that the target reads, by the hall that has them.
 	BytesByHall map[string]float64
@@ -106,22 +106,24 @@
 	ExcludedTargets map[string]bool
 	// Halls lists the halls in which the target may be; empty allows all.
 	Halls []string
+	// Versions restricts the versions of the target's software.
 	Versions
-	// MaxColdRequests returns how many requests in any second a cold target may get from this
-	// process, by the target's id; nil excludes cold targets.
+	// MaxColdRequests returns how many requests in any second a cold target may get from
+	// this process, by the target's id; nil excludes cold targets.
 	MaxColdRequests func(target string) int
-	// Limiter enforces the rate limits that targets have named; nil enforces none.
+	// Limiter enforces the rate limits that targets have announced; nil enforces none.
 	Limiter Limiter
 }
 
-// Limiter enforces the rate limits that targets name. Its methods must be safe for
+// Limiter enforces the rate limits that targets announce. Its methods must be safe for
 // concurrent use.
 type Limiter interface {
-	// Due returns how long it takes until a target may get another request, 0 for now.
-	Due(l hookhall.Incarnation, now time.Time) time.Duration
-	// Reserve takes the next request that a target may get, if it is due within maxWait,
-	// and returns how long the request has to wait.
-	Reserve(l hookhall.Incarnation, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool)
+	// Due returns the time until an incarnation of a target may get another request, 0 for
+	// now.
+	Due(incarnation hookhall.Incarnation, now time.Time) time.Duration
+	// Reserve counts a request to an incarnation of a target if it is due within maxWait.
+	// It returns how long the request has to wait, and whether it was counted.
+	Reserve(incarnation hookhall.Incarnation, maxWait time.Duration, now time.Time) (wait time.Duration, ok bool)
 }
 
 // Choose returns the target with the earliest expected answer and counts the request
@@ -151,9 +153,9 @@
 	return ok
 }
 
-// NextLimited returns the rate-limited target that may get a request first and the time until
-// then, for use when Choose finds no target because of rate limits. ok is false if no
-// limited target may get the request at all.
+// NextLimited returns the rate-limited target that may get a request first and the time
+// until then, for use when Choose finds no target because of rate limits. ok is false if
+// no limited target may get the request at all.
 func (b *Tracker) NextLimited(targets []hookhall.Target, criteria Criteria, now time.Time) (next hookhall.Target, wait time.Duration, ok bool) {
 	if criteria.Limiter == nil {
 		return hookhall.Target{}, 0, false
@@ -181,7 +183,7 @@
 		open, refusing, ejected = b.candidates(targets, criteria, now)
 	}
 	if len(open) == 0 {
-		open = refusing // all that work refuse calls, so that their pauses distinguish none
+		open = refusing // all targets that are not ejected are in such a pause: ignore it
 	}
 	if len(open) == 0 {
 		return earliestReadmitted(ejected)
@@ -228,7 +230,7 @@
 }
 
 // hasCapacity reports whether a target may get another request now: a cold target
-// fails under more than a few requests a second, and a target may have named a rate
+// fails under more than a few requests a second, and a target may have announced a rate
 // limit.
 func (b *Tracker) hasCapacity(t hookhall.Target, criteria Criteria, now time.Time) bool {
 	if criteria.Limiter != nil && criteria.Limiter.Due(t.Incarnation(), now) > 0 {
@@ -318,9 +320,9 @@
 	return cost
 }
 
-// PreferredTarget returns the id of the preferred target of a key without targets that are
-// leaving, "" if there is none. It uses rendezvous hashing over all targets, or over a
-// section of the hash ring if the service has more than 256.
+// PreferredTarget returns the id of the preferred target of a key among those that are
+// not leaving, "" if there is none. It uses rendezvous hashing over all targets, or over
+// a section of the hash ring if the service has more than 256 targets.
 func (b *Tracker) PreferredTarget(key string, targets []hookhall.Target) string {
 	if len(targets) > maxScannedTargets {
 		return b.rings.forTargets(targets).preferred(key)
@@ -328,8 +330,8 @@
 	return PreferredTarget(key, targets)
 }
 
-// PreferredTarget returns the id of the target selected by rendezvous hashing of a key, without
-// targets that are leaving; "" if there is none.
+// PreferredTarget returns the id of the target selected by rendezvous hashing of a key
+// among those that are not leaving, "" if there is none.
 func PreferredTarget(key string, targets []hookhall.Target) string {
 	best, maxWeight := "", uint64(0)
 	for _, t := range targets {
@@ -344,7 +346,8 @@
 	return best
 }
 
-// ActiveCall is a call in progress at a target. Read and End must not be called concurrently.
+// ActiveCall is a call in progress at a target. Read and End must not be called
+// concurrently.
 type ActiveCall struct {
 	record       *record
 	unreadTokens int // prompt tokens counted as unread until Read
@@ -357,49 +360,49 @@
 // Begin counts a call to t as in progress. The caller must call End.
 func (b *Tracker) Begin(t hookhall.Target, criteria Criteria, now time.Time) *ActiveCall {
 	r := b.record(t.Incarnation())
-	u := &ActiveCall{record: r, began: now}
+	call := &ActiveCall{record: r, began: now}
 	if criteria.IsEngineCall {
-		u.unreadTokens = criteria.OwnTokens
-		u.heldTokens = criteria.OwnTokens + criteria.MaxOutputTokens
+		call.unreadTokens = criteria.OwnTokens
+		call.heldTokens = criteria.OwnTokens + criteria.MaxOutputTokens
 		if !r.snapshot(criteria.SharedPart, now).holdsPart {
-			u.unreadTokens += criteria.SharedTokens
+			call.unreadTokens += criteria.SharedTokens
 		}
 	}
-	r.begin(u.unreadTokens, u.heldTokens, criteria.Parts, now)
+	r.begin(call.unreadTokens, call.heldTokens, criteria.Parts, now)
 	if criteria.IsEngineCall {
 		b.holders.add(criteria.SharedPart, t.ID, now)
 	}
-	return u
+	return call
 }
 
 // Read counts the prompt as read; call it when the answer begins. Repeated calls have
 // no effect.
-func (u *ActiveCall) Read() {
-	if !u.isRead {
-		u.isRead = true
-		u.record.read(u.unreadTokens)
+func (c *ActiveCall) Read() {
+	if !c.isRead {
+		c.isRead = true
+		c.record.read(c.unreadTokens)
 	}
 }
 
 // End counts the end of the call and, if necessary, its prompt as read. Repeated calls
 // have no effect.
-func (u *ActiveCall) End() {
-	u.Read()
-	if !u.isEnded {
-		u.isEnded = true
-		u.record.end(u.heldTokens)
+func (c *ActiveCall) End() {
+	c.Read()
+	if !c.isEnded {
+		c.isEnded = true
+		c.record.end(c.heldTokens)
 	}
 }
 
 // Succeeded counts an answer whose header arrived after latency.
-func (u *ActiveCall) Succeeded(latency time.Duration) { u.record.succeeded(latency) }
+func (c *ActiveCall) Succeeded(latency time.Duration) { c.record.succeeded(latency) }
 
 // Failed counts a failure. hard is set if the target was unreachable or silent, which
 // the call itself cannot have caused.
-func (u *ActiveCall) Failed(hard bool, now time.Time) { u.record.failed(hard, now) }
+func (c *ActiveCall) Failed(hard bool, now time.Time) { c.record.failed(hard, now) }
 
 // Refused counts a call that the target rejected for lack of a free slot.
-func (u *ActiveCall) Refused(now time.Time) { u.record.refused(now) }
+func (c *ActiveCall) Refused(now time.Time) { c.record.refused(now) }
 
 // Status is the part of a state dump that describes one target.
 type Status struct {
@@ -412,7 +415,7 @@
 }
 
 // Status returns the status of an incarnation of a target.
-func (b *Tracker) Status(l hookhall.Incarnation, now time.Time) Status {
-	s := b.record(l).snapshot("", now)
+func (b *Tracker) Status(incarnation hookhall.Incarnation, now time.Time) Status {
+	s := b.record(incarnation).snapshot("", now)
 	return Status{s.inflight, s.unreadTokens, s.avgLatency / 1e6, s.failureRate, s.ejectedUntil.After(now), s.refusedUntil.After(now)}
 }
--- a/internal/state/balance/tracker_test.go
+++ b/internal/state/balance/tracker_test.go
@@ -133,21 +133,21 @@
 		Convey("a slow target is avoided", func() {
 			for i, latency := range []time.Duration{400 * time.Millisecond, 20 * time.Millisecond} {
 				for range 20 {
-					u := b.Begin(list[i], Criteria{}, now)
-					u.Succeeded(latency)
-					u.End()
+					call := b.Begin(list[i], Criteria{}, now)
+					call.Succeeded(latency)
+					call.End()
 				}
 			}
 			c, _ := b.Choose(list, Criteria{}, now)
 			So(c.ID, ShouldEqual, "t1")
 		})
 		Convey("repeated reports of a call are counted once", func() {
-			u := b.Begin(list[0], prompt("p", 100, 10), now)
+			call := b.Begin(list[0], prompt("p", 100, 10), now)
 			So(b.Status(hookhall.Incarnation{ID: "t0"}, now).Unread, ShouldEqual, 110)
-			u.Read()
-			u.Read()
-			u.End()
-			u.End()
+			call.Read()
+			call.Read()
+			call.End()
+			call.End()
 			So(b.Status(hookhall.Incarnation{ID: "t0"}, now), ShouldResemble, Status{})
 		})
 	})
@@ -158,7 +158,7 @@
 func TestRefusals(t *testing.T) {
 	now := time.Now()
 	list := targets(3)
-	callsToRefusing := func(b *Tracker, ids ...string) (offers int) {
+	callsToRefusing := func(b *Tracker, ids ...string) (calls int) {
 		// Without these answers a target has the default latency, which is higher than
 		// that of the others, and may never be chosen, as expectedCost is partly random.
 		for _, c := range list {
@@ -169,16 +169,16 @@
 			if !ok {
 				t.Fatal("no target was chosen")
 			}
-			u := b.Begin(c, Criteria{}, at)
+			call := b.Begin(c, Criteria{}, at)
 			if slices.Contains(ids, c.ID) {
-				offers++
-				u.Refused(at)
+				calls++
+				call.Refused(at)
 			} else {
-				u.Succeeded(time.Millisecond)
+				call.Succeeded(time.Millisecond)
 			}
-			u.End()
+			call.End()
 		}
-		return offers
+		return calls
 	}
 	t.Run("one", func(t *testing.T) {
 		if n := callsToRefusing(NewTracker(), "t1"); n == 0 || n > 12 {
@@ -193,11 +193,11 @@
 	t.Run("an accepted call ends the pause", func(t *testing.T) {
 		b := NewTracker()
 		callsToRefusing(b, "t0", "t1", "t2")
-		u := b.Begin(list[0], Criteria{}, now)
-		u.Succeeded(time.Millisecond)
-		u.End()
+		call := b.Begin(list[0], Criteria{}, now)
+		call.Succeeded(time.Millisecond)
+		call.End()
 		if b.Status(hookhall.Incarnation{ID: "t0"}, now).Full || !b.Status(hookhall.Incarnation{ID: "t1"}, now).Full {
-			t.Error("t0 should accept calls and t1 be in a pause")
+			t.Error("t0 is in a pause, or t1 is not")
 		}
 	})
 }
