--- a/internal/state/batch/canary.go
+++ b/internal/state/batch/canary.go
@@ -7,10 +7,10 @@
 // the calls. All counts start at 0, so the queue of a new process can't spend a share that
 // the lost queue of its predecessor had already used.
 type canary struct {
-	version     string  // the version limited, "" for none
+	version     string  // the limited version, "" for none
 	share       float64 // 0 to 1
 	totalCalls  int     // calls to all targets since the version was set
-	canaryCalls int     // those of them to targets of the version
+	canaryCalls int     // those of totalCalls to targets of the version
 }
 
 // SetCanary limits the targets of a version to a share (0 to 1) of the calls from now on; the
@@ -22,18 +22,19 @@
 }
 
 // includes reports whether w runs the limited version.
-func (t *canary) includes(w *worker) bool { return t.version != "" && w.Target.Version == t.version }
+func (c *canary) includes(w *worker) bool { return c.version != "" && w.Target.Version == c.version }
 
-// allows reports whether the next call may go to a target of the limited version.
-func (t *canary) allows() bool { return float64(t.canaryCalls+1) <= t.share*float64(t.totalCalls+1) }
+// allows reports whether the next call may go to a target of the limited version without
+// exceeding the share.
+func (c *canary) allows() bool { return float64(c.canaryCalls+1) <= c.share*float64(c.totalCalls+1) }
 
 // countCall counts a call to w.
-func (t *canary) countCall(w *worker) {
-	if t.version == "" {
+func (c *canary) countCall(w *worker) {
+	if c.version == "" {
 		return
 	}
-	t.totalCalls++
-	if t.includes(w) {
-		t.canaryCalls++
+	c.totalCalls++
+	if c.includes(w) {
+		c.canaryCalls++
 	}
 }
--- a/internal/state/batch/fill.go
+++ b/internal/state/batch/fill.go
@@ -15,35 +15,35 @@
 	canary     *canary
 }
 
-func (o *availableWorkers) Len() int      { return len(o.list) }
-func (o *availableWorkers) Swap(i, j int) { o.list[i], o.list[j] = o.list[j], o.list[i] }
-func (o *availableWorkers) Push(w any)    { o.list = append(o.list, w.(*worker)) }
-
-func (o *availableWorkers) Less(i, j int) bool {
-	a, b := o.list[i], o.list[j]
-	if aCanary, bCanary := o.canary.includes(a), o.canary.includes(b); aCanary != bCanary {
-		return aCanary // the canary is below its share of calls
+func (h *availableWorkers) Len() int      { return len(h.list) }
+func (h *availableWorkers) Swap(i, j int) { h.list[i], h.list[j] = h.list[j], h.list[i] }
+func (h *availableWorkers) Push(w any)    { h.list = append(h.list, w.(*worker)) }
+
+func (h *availableWorkers) Less(i, j int) bool {
+	a, b := h.list[i], h.list[j]
+	if aCanary, bCanary := h.canary.includes(a), h.canary.includes(b); aCanary != bCanary {
+		return aCanary // canary targets are listed only while their share allows a call
 	}
-	return isPreferred(a, b, o.mostUrgent)
+	return isPreferred(a, b, h.mostUrgent)
 }
 
-func (o *availableWorkers) Pop() any {
-	last := o.list[len(o.list)-1]
-	o.list = o.list[:len(o.list)-1]
+func (h *availableWorkers) Pop() any {
+	last := h.list[len(h.list)-1]
+	h.list = h.list[:len(h.list)-1]
 	return last
 }
 
 // availableWorkers returns the workers that may get a call at now, and drops their
 // expired results. The heap is not yet initialized.
 func (q *Queue) availableWorkers(now time.Time) *availableWorkers {
-	o := &availableWorkers{mostUrgent: q.mostUrgentJob(), canary: &q.canary}
+	available := &availableWorkers{mostUrgent: q.mostUrgentJob(), canary: &q.canary}
 	for _, w := range q.workerList {
 		if w.isAvailable(q.spec.Slots, now) && (q.canary.allows() || !q.canary.includes(w)) && (q.admits == nil || q.admits(w.Target)) {
 			q.expireResults(w, now)
-			o.list = append(o.list, w)
+			available.list = append(available.list, w)
 		}
 	}
-	return o
+	return available
 }
 
 // expireResults removes the results of w that the pool itself has dropped by now.
@@ -67,7 +67,7 @@
 
 // isPreferred reports whether a should get pieces of j before b.
 func isPreferred(a, b *worker, j *Job) bool {
-	aSlow, bSlow := a.slowdown > minSlow, b.slowdown > minSlow
+	aSlow, bSlow := a.slowdown > slowThreshold, b.slowdown > slowThreshold
 	if aSlow != bSlow {
 		return bSlow
 	}
@@ -126,7 +126,7 @@
 }
 
 // hasMemoryFor reports whether w has memory for all waiting pieces of j that go into a call
-// with freePieces unused slots for pieces. It returns true for jobs that have started, and
+// to which freePieces more can be added. It returns true for jobs that have started, and
 // for those too large for any target: they use whatever memory there is.
 func (q *Queue) hasMemoryFor(w *worker, j *Job, freePieces int) bool {
 	allBytes := float64(len(j.waiting)) * j.ResultBytes
@@ -147,7 +147,7 @@
 	if j.CrossHallBytes >= minCrossHallBytes && j.Hall != w.Target.Hall && q.healthyByHall[j.Hall] > 0 && !j.hasNoSlack(fullCall, now) {
 		return false
 	}
-	if w.slowdown < minSlow || j.isLate(now) {
+	if w.slowdown < slowThreshold || j.isLate(now) {
 		return true
 	}
 	return !now.Add(time.Duration((w.slowdown - 1) * float64(fullCall))).After(j.LatestStart)
@@ -172,9 +172,9 @@
 	}
 }
 
-// MemoryConstrained reports whether targets are short of memory for results: less than a call's
-// fixed time ago, pieces did not fit into the memory of a target with a free call slot,
-// and enough pieces wait to fill a call.
+// MemoryConstrained reports whether targets are short of memory for results: less than a
+// call's fixed time ago, pieces did not fit into the memory of a target with a free call
+// slot, and enough pieces wait to fill a call.
 func (q *Queue) MemoryConstrained(now time.Time) bool {
 	return !q.memoryShortAt.IsZero() && now.Sub(q.memoryShortAt) < q.spec.CallTime && q.Waiting() >= q.spec.MaxBatch
 }
--- a/internal/state/batch/job.go
+++ b/internal/state/batch/job.go
@@ -10,8 +10,9 @@
 	"github.com/hookhall/hookhall/internal/state/crashes"
 )
 
-// urgencyStep is how much earlier one level of urgency puts a job's latest start: about
-// half a call. A step of 400 ms brought no better results.
+// urgencyStep is how much later each level of Job.Urgency puts the job in the order by
+// latest start: about half the duration of a call. A less urgent job goes first only if
+// its latest start is earlier by more than that per level.
 const urgencyStep = 150 * time.Millisecond
 
 // Outcome is the result of a job.
@@ -43,8 +44,8 @@
 	Deadline time.Time
 	// Urgency ranks the request; lower values go first.
 	Urgency int
-	// Hall is where the job's data is or will be read; "" means any. If it is empty, the queue
-	// sets it to the hall of the first target that gets pieces of the job.
+	// Hall is where the job's data is or will be read. If it is "", any target may get the
+	// first pieces, and the queue then sets it to the hall of that target.
 	Hall string
 	// CrossHallBytes is how many bytes cross halls if the job runs in another hall.
 	CrossHallBytes float64
@@ -59,23 +60,25 @@
 	// block or call the queue.
 	InputsRead func()
 
-	handles            []string
-	waiting            []int // indexes of pieces that are in no call
-	unfinishedCount    int   // pieces without a handle
-	failures           int
-	finished           bool
-	inputsReadByPiece  []bool // whether a call has read the inputs of a piece
-	unreadCount        int    // pieces whose inputs no call has read
-	inputsReadReported bool   // InputsRead was called
-	activeCalls        []int  // calls in progress by piece
-	// isolated is set once a target crashed while it made pieces of this job. Its next
-	// calls contain no pieces of other jobs, so that those are served, and their request
-	// contents cleared, while only the content that causes crashes accumulates them.
+	handles            []string // by piece, "" for one without a result
+	waiting            []int    // indexes of pieces that are in no call
+	unfinishedCount    int      // pieces without a handle
+	failures           int      // failed pieces, retries included
+	finished           bool     // Finish was called, or the job was dropped
+	inputsReadByPiece  []bool   // whether a call has read the inputs of a piece
+	unreadCount        int      // pieces whose inputs no call has read
+	inputsReadReported bool     // InputsRead was called
+	activeCalls        []int    // calls in progress by piece
+	// isolated is set once a target crashed while it made pieces of this job. The next calls
+	// with pieces of this job contain none of other jobs, so that only the request content
+	// that causes crashes accumulates them, while the other jobs are served and their contents
+	// cleared.
 	isolated bool
 }
 
 // minCrossHallBytes is the number of bytes between halls from which a job waits for a
-// target in the right hall: half a result of the largest kind that operators described.
+// target in the hall of its data: half a result of the largest kind that operators
+// described.
 const minCrossHallBytes = 500e3
 
 // maxPieceFailures is how many pieces of a job may fail, retries included, before the job
@@ -104,7 +107,9 @@
 // are made as well.
 func (j *Job) isStarted() bool { return j.unfinishedCount < j.PieceCount }
 
-// before reports whether j goes before o into the next call.
+// before reports whether j goes before o into the next call: jobs that have started first,
+// then those that can still meet their latency target, by latest start and urgency, then
+// the others, by urgency and deadline.
 func (j *Job) before(o *Job, now time.Time) bool {
 	if j.isStarted() != o.isStarted() {
 		return j.isStarted()
--- a/internal/state/batch/queue.go
+++ b/internal/state/batch/queue.go
@@ -18,10 +18,11 @@
 	Pieces []hookhall.Piece
 	// Expected is the expected duration of the call.
 	Expected time.Duration
-	// StallTimeout is how long after the start of the call it is overdue, so that its pieces
-	// should be offered to other targets as well.
+	// StallTimeout is how long after the start of the call the call is overdue, so that the
+	// caller should call Queue.MarkOverdue.
 	StallTimeout time.Duration
-	// InputsReadAfter is how long after the start of the call the target has read all inputs.
+	// InputsReadAfter is how long after the start of the call the target has read all inputs,
+	// so that the caller should call Queue.InputsRead.
 	InputsReadAfter time.Duration
 	jobs            []*Job // the job of each piece, in the order of Pieces
 	began           time.Time
@@ -47,8 +48,8 @@
 	spec    hookhall.PoolSpec
 	jobs    []*Job
 	workers map[hookhall.Incarnation]*worker
-	// workerList holds the values of workers in any order. Each call iterates over all of
-	// them, which takes several times as long with a map.
+	// workerList holds the values of workers in any order. Next iterates over all of them,
+	// which takes several times as long with a map.
 	workerList []*worker
 	// workersByHandle holds the worker of each result that is neither released nor expired.
 	workersByHandle map[string]*worker
@@ -58,21 +59,21 @@
 	canary        canary
 	// admits reports whether a target accepts calls now; nil means that all do.
 	admits        func(t hookhall.Target) bool
-	memoryShortAt time.Time // when pieces last did not fit into the memory of a target with a free call slot
+	memoryShortAt time.Time // when pieces last did not fit into the memory of a target
 	// unaccountedUntil is the time until which targets may hold results that this queue
 	// does not know, from an earlier queue of the pool that was lost: a target reported no
 	// memory where the queue counted some as free.
 	unaccountedUntil time.Time
 }
 
-// NewQueue returns an empty queue. Configure must be called before Next.
+// NewQueue returns an empty Queue. Configure must be called before Next.
 func NewQueue() *Queue {
 	return &Queue{workers: map[hookhall.Incarnation]*worker{}, workersByHandle: map[string]*worker{}, healthyByHall: map[string]int{}}
 }
 
 // Configure sets the operators' description of the pool and the targets that may get
-// calls. Targets that are not listed get none; the queue forgets their results once their
-// calls have ended.
+// calls. Targets that are not listed get none; their results are removed once their calls
+// have ended.
 func (q *Queue) Configure(spec hookhall.PoolSpec, targets []hookhall.Target) {
 	q.spec = spec
 	current := map[hookhall.Incarnation]bool{}
@@ -87,12 +88,12 @@
 	}
 	q.workerList = q.workerList[:0]
 	clear(q.healthyByHall)
-	for l, w := range q.workers {
-		if !current[l] && w.activeCalls == 0 {
-			q.removeWorker(l, w)
+	for incarnation, w := range q.workers {
+		if !current[incarnation] && w.activeCalls == 0 {
+			q.removeWorker(incarnation, w)
 			continue
 		}
-		if w.removed = !current[l]; w.removed {
+		if w.removed = !current[incarnation]; w.removed {
 			w.Target.Leaving = true
 		}
 		q.workerList = append(q.workerList, w)
@@ -101,17 +102,17 @@
 	}
 }
 
-// SetAdmission sets the function that reports which targets accept calls now; nil means all. The
-// other targets keep their results.
+// SetAdmission sets the function that reports whether a target accepts calls now; nil means
+// that all do. The other targets keep their results.
 func (q *Queue) SetAdmission(admits func(t hookhall.Target) bool) { q.admits = admits }
 
 // removeWorker removes a worker together with its results, except from workerList.
-func (q *Queue) removeWorker(l hookhall.Incarnation, w *worker) {
+func (q *Queue) removeWorker(incarnation hookhall.Incarnation, w *worker) {
 	for h := range w.results {
 		delete(q.workersByHandle, h)
 	}
 	q.bytes -= w.bytes
-	delete(q.workers, l)
+	delete(q.workers, incarnation)
 }
 
 // updateHealthy adjusts the number of healthy targets in the hall of w.
@@ -166,8 +167,8 @@
 	return n
 }
 
-// expireJobs finishes jobs that can't meet their deadline: a waiting piece takes at least
-// the fixed time of a call.
+// expireJobs finishes, with reason PieceExpired, the jobs that can't meet their deadline: a
+// waiting piece takes at least the fixed time of a call.
 func (q *Queue) expireJobs(now time.Time) {
 	kept := q.jobs[:0]
 	for _, j := range q.jobs {
@@ -198,7 +199,8 @@
 	q.finishWaiting(hookhall.PieceNoTarget, func(j *Job) bool { return j.Deadline.Before(t) })
 }
 
-// refuseJobs finishes the jobs with waiting pieces that every target refuses.
+// refuseJobs finishes, with reason PieceCrashes, the jobs with waiting pieces that may run
+// on no target.
 func (q *Queue) refuseJobs() {
 	q.finishWaiting(hookhall.PieceCrashes, q.refusedByAll)
 }
@@ -232,8 +234,8 @@
 }
 
 // Next returns the calls to make at now, with the most urgent pieces first, and finishes
-// the jobs that can't meet their deadline or that every target refuses. The caller reports
-// the end of each call by Done or Withdraw.
+// the jobs that can't meet their deadline or may run on no target. The caller must call
+// Done or Withdraw at the end of each call.
 func (q *Queue) Next(now time.Time) []*Batch {
 	q.expireJobs(now)
 	q.refuseJobs()
--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -33,10 +33,10 @@
 
 // newJob returns a job whose result is stored in the returned Outcome. latestStart and
 // deadline are in milliseconds after start.
-func newJob(call string, count int, latestStart, deadline int) (*Job, *Outcome) {
+func newJob(requestID string, count int, latestStart, deadline int) (*Job, *Outcome) {
 	o := &Outcome{}
 	return &Job{
-		RequestID: call, PieceCount: count, ResultBytes: 1, LatestStart: at(latestStart), Deadline: at(deadline),
+		RequestID: requestID, PieceCount: count, ResultBytes: 1, LatestStart: at(latestStart), Deadline: at(deadline),
 		Finish: func(got Outcome) { *o = got },
 	}, o
 }
@@ -74,8 +74,8 @@
 	Convey("Given a queue with one target and a batch of four", t, func() {
 		q := NewQueue()
 		q.Configure(spec, targets("a"))
-		add := func(call string, count, latestStart, deadline, urgency int) *Job {
-			j, _ := newJob(call, count, latestStart, deadline)
+		add := func(requestID string, count, latestStart, deadline, urgency int) *Job {
+			j, _ := newJob(requestID, count, latestStart, deadline)
 			j.Urgency = urgency
 			q.Add(j)
 			return j
@@ -163,12 +163,12 @@
 			So(next[0].Target.ID, ShouldNotEqual, first)
 			Convey("that releasing results of the other target doesn't end", func() {
 				q.Done(next[0], successResults(next[0]), at(120))
-				k, _ := newJob("y", 4, 5000, 6000)
-				q.Add(k)
+				second, _ := newJob("y", 4, 5000, 6000)
+				q.Add(second)
 				busy := q.Next(at(10))
 				So(len(busy), ShouldEqual, 1)
-				l, _ := newJob("z", 4, 5000, 6000)
-				q.Add(l)
+				third, _ := newJob("z", 4, 5000, 6000)
+				q.Add(third)
 				q.Free(o.Handles)
 				So(q.Next(at(10)), ShouldBeEmpty)
 			})
@@ -294,9 +294,9 @@
 				}
 			}
 			inProgress = append(inProgress, q.Next(now)...)
-			for _, s := range q.workers {
-				if s.bytes < 0 || s.bytes > spec.ResultMemory {
-					t.Fatalf("%v bytes at %s", s.bytes, s.Target.ID)
+			for _, w := range q.workers {
+				if w.bytes < 0 || w.bytes > spec.ResultMemory {
+					t.Fatalf("%v bytes at %s", w.bytes, w.Target.ID)
 				}
 			}
 		}
@@ -315,8 +315,8 @@
 	now := time.Unix(1000, 0)
 	q := NewQueue()
 	q.Configure(hookhall.PoolSpec{Slots: 1, MaxBatch: 8, CallTime: 100 * time.Millisecond, ResultMemory: 10}, []hookhall.Target{{ID: "a", Hall: "h"}})
-	add := func(call string, count int) *Job {
-		j := &Job{RequestID: call, PieceCount: count, ResultBytes: 1, LatestStart: now.Add(time.Second), Deadline: now.Add(5 * time.Second), Finish: func(Outcome) {}}
+	add := func(requestID string, count int) *Job {
+		j := &Job{RequestID: requestID, PieceCount: count, ResultBytes: 1, LatestStart: now.Add(time.Second), Deadline: now.Add(5 * time.Second), Finish: func(Outcome) {}}
 		q.Add(j)
 		return j
 	}
@@ -346,10 +346,10 @@
 	})
 }
 
-// pieceResults returns the results of n pieces that all succeeded.
-func pieceResults(call string, n int) (list []hookhall.PieceResult) {
+// pieceResults returns the results of n successful pieces of a request.
+func pieceResults(requestID string, n int) (list []hookhall.PieceResult) {
 	for i := range n {
-		list = append(list, hookhall.PieceResult{Handle: fmt.Sprint(call, "-", i)})
+		list = append(list, hookhall.PieceResult{Handle: fmt.Sprint(requestID, "-", i)})
 	}
 	return list
 }
--- a/internal/state/batch/results.go
+++ b/internal/state/batch/results.go
@@ -12,7 +12,7 @@
 
 // InputsRead records that a call which is still in progress has read its inputs. It does
 // nothing while targets may hold results that this queue does not know: pieces may then
-// find no memory and need their inputs again, so Job.InputsRead must not be called.
+// fail for lack of memory and need their inputs again, so Job.InputsRead must not be called.
 func (q *Queue) InputsRead(b *Batch, now time.Time) {
 	if b.inputsRead || b.done || now.Before(q.unaccountedUntil) {
 		return
@@ -23,9 +23,9 @@
 	}
 }
 
-// MarkOverdue makes the unfinished pieces of a call that takes too long wait for another call
-// as well. The result that comes first is used; Done returns the other one as unwanted.
-// MarkOverdue returns false if it was called for b before.
+// MarkOverdue makes the unfinished pieces of a call that takes too long wait for another
+// call as well. The result that comes first is used; Done returns the handle of the other
+// one. MarkOverdue returns false if it was called for b before.
 func (q *Queue) MarkOverdue(b *Batch) bool {
 	if b.overdue {
 		return false
@@ -39,8 +39,8 @@
 	return true
 }
 
-// TargetCrashed records that the target of b crashed during the call. Any of the jobs may have
-// caused the crash, so each is isolated from other jobs from now on.
+// TargetCrashed records that the target of b crashed during the call. Any of the jobs may
+// have caused the crash, so each is isolated from other jobs from now on.
 func (q *Queue) TargetCrashed(b *Batch) {
 	for _, j := range b.jobs {
 		j.isolated = true
@@ -73,8 +73,8 @@
 	return unwanted
 }
 
-// Withdraw returns the pieces of a call that was not made to the queue. It must be called
-// instead of Done.
+// Withdraw ends a call that was not made: its pieces wait again. It must be called instead
+// of Done.
 func (q *Queue) Withdraw(b *Batch) {
 	w := q.endCall(b)
 	defer q.updateAfterCall(w)
@@ -195,6 +195,6 @@
 	return list
 }
 
-// HeldResults returns how many bytes are counted at all targets, including those reserved for
-// calls in progress, and the number of results held there.
+// HeldResults returns how many bytes are counted at all targets, including those reserved
+// for calls in progress, and the number of results held there.
 func (q *Queue) HeldResults() (bytes float64, results int) { return q.bytes, len(q.workersByHandle) }
--- a/internal/state/batch/scale_test.go
+++ b/internal/state/batch/scale_test.go
@@ -31,8 +31,8 @@
 			largeSpec := hookhall.PoolSpec{Slots: 1, MaxBatch: 8, CallTime: 150 * time.Millisecond, PieceTime: 16 * time.Millisecond, ResultMemory: 41e6, ResultRetention: 4 * time.Second}
 			q.Configure(largeSpec, manyTargets(n))
 			now := start
-			add := func(call string) *Batch {
-				j := &Job{RequestID: call, PieceCount: 3, ResultBytes: 3e6, Hall: "hall-1", CrossHallBytes: 3e6, LatestStart: now.Add(time.Second), Deadline: now.Add(time.Hour), Finish: func(Outcome) {}}
+			add := func(requestID string) *Batch {
+				j := &Job{RequestID: requestID, PieceCount: 3, ResultBytes: 3e6, Hall: "hall-1", CrossHallBytes: 3e6, LatestStart: now.Add(time.Second), Deadline: now.Add(time.Hour), Finish: func(Outcome) {}}
 				q.Add(j)
 				calls := q.Next(now)
 				if len(calls) != 1 {
@@ -110,16 +110,16 @@
 	t.Helper()
 	bytes, results := 0.0, 0
 	healthyByHall := map[string]int{}
-	for _, s := range q.workers {
-		bytes += s.bytes
-		results += len(s.results)
-		for h := range s.results {
-			if q.workersByHandle[h] != s {
-				t.Fatalf("result %s is not registered for target %s", h, s.Target.ID)
+	for _, w := range q.workers {
+		bytes += w.bytes
+		results += len(w.results)
+		for h := range w.results {
+			if q.workersByHandle[h] != w {
+				t.Fatalf("result %s is not registered for target %s", h, w.Target.ID)
 			}
 		}
-		if s.healthy() {
-			healthyByHall[s.Target.Hall]++
+		if w.healthy() {
+			healthyByHall[w.Target.Hall]++
 		}
 	}
 	if b, n := q.HeldResults(); b != bytes || n != results {
--- a/internal/state/batch/worker.go
+++ b/internal/state/batch/worker.go
@@ -14,14 +14,14 @@
 	// result there is released before: a tenth of a short call.
 	noMemoryPause = 40 * time.Millisecond
 	// minFailurePause is how long a target gets no calls after a failed one. It doubles with
-	// each consecutive failure. It can be short, since a crashed target is noticed within one
-	// call and a restarted one is back soon.
+	// each consecutive failure. It can be short, since a crashed target is detected within
+	// one call and a restarted one is available soon.
 	minFailurePause = 100 * time.Millisecond
 	// maxFailurePause limits the pause after consecutive failures.
 	maxFailurePause = 2 * time.Second
-	// minSlow is the slowdown from which a target counts as slow: its calls take half as long
-	// again as expected.
-	minSlow = 1.5
+	// slowThreshold is the slowdown from which a target counts as slow: its calls take 1.5 times as
+	// long as expected.
+	slowThreshold = 1.5
 	// overdueFactor times the expected duration, adjusted to the target's slowdown, is how
 	// long a call may take before its pieces are offered to other targets as well.
 	overdueFactor = 1.8
@@ -31,7 +31,7 @@
 	// share in pools whose fixed time is short: it is some 20 round trips between halls.
 	inputsReadShare    = 0.5
 	minInputsReadDelay = 80 * time.Millisecond
-	// maxOverdueSlowdown limits the slowdown that extends the stall timeout of a call.
+	// maxOverdueSlowdown limits the slowdown that extends the time until a call is overdue.
 	maxOverdueSlowdown = 2.0
 )
 
@@ -63,7 +63,9 @@
 }
 
 // healthy reports whether calls to the target are expected to succeed in time.
-func (w *worker) healthy() bool { return !w.Target.Leaving && w.failures == 0 && w.slowdown < minSlow }
+func (w *worker) healthy() bool {
+	return !w.Target.Leaving && w.failures == 0 && w.slowdown < slowThreshold
+}
 
 // isAvailable reports whether the target may get a call at now; slots is the number of
 // calls that it runs at once.
@@ -78,12 +80,14 @@
 	w.pausedUntil = now.Add(pause)
 }
 
-// overdueAfter returns the stall timeout of a call with the given expected duration.
+// overdueAfter returns how long after its start a call with the given expected duration is
+// overdue.
 func (w *worker) overdueAfter(expected time.Duration) time.Duration {
 	return time.Duration(overdueFactor * min(max(w.slowdown, 1), maxOverdueSlowdown) * float64(expected))
 }
 
-// recordCallTime updates the slowdown with the duration of a call.
+// recordCallTime updates the slowdown with the duration of a call, which counts as at most
+// 10 times the expected one.
 func (w *worker) recordCallTime(duration, expected time.Duration) {
 	if expected <= 0 {
 		return
