--- a/internal/state/buffer/buffer.go
+++ b/internal/state/buffer/buffer.go
@@ -7,8 +7,8 @@
 //
 // Responses are read ahead of their callers, so that a request whose response is cut off can
 // be retried, and requests are read completely before they are sent. A Buffer grows within
-// the shared Budget of all buffers, up to a maximum size of its own. What does not fit stays
-// unread, so that the sender has to wait.
+// the shared Budget of all buffers, up to a maximum size of its own. What does not fit is
+// not read, so that the sender has to wait.
 //
 // # Invariants
 //
@@ -33,10 +33,11 @@
 // NewBudget returns a Budget of limit bytes.
 func NewBudget(limit int64) *Budget { return &Budget{limit: limit} }
 
-// Held returns the number of bytes that buffers have reserved beyond minSize each.
+// Held returns the number of bytes that buffers have reserved beyond the minSize that each
+// may hold without a reservation.
 func (b *Budget) Held() int64 { return b.reserved.Load() }
 
-// reserve reserves n bytes, or none if that exceeds the limit, and reports which.
+// reserve reserves n bytes if that doesn't exceed the limit, and reports whether it did.
 func (b *Budget) reserve(n int) bool {
 	if b.reserved.Add(int64(n)) <= b.limit {
 		return true
