--- a/forward.go
+++ b/forward.go
@@ -70,7 +70,7 @@
 type ReplyInfo struct {
 	// ID is the ID of the call that was answered, "" when the answer doesn't state it.
 	ID string
-	// Sealed is set when the answer bears the target's signature.
+	// Sealed is set when the answer has the target's signature.
 	Sealed bool
 	// NotRun is set when the target states that the call did not run.
 	NotRun bool
--- a/internal/state/balance/large_test.go
+++ b/internal/state/balance/large_test.go
@@ -13,7 +13,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-// fleet returns the n targets of one service as catalogs publish them: sorted by id.
+// fleet returns the n targets of one service as catalogs publish them: sorted by ID.
 func fleet(n int) []hookhall.Target {
 	list := targets(n)
 	for i := range list {
--- a/internal/state/balance/ring.go
+++ b/internal/state/balance/ring.go
@@ -18,7 +18,7 @@
 // distance to its neighbour, for some targets several times the mean.
 const ringWindow = 8
 
-// ring orders the targets of a large service by the hashes of their ids, so that the
+// ring orders the targets of a large service by the hashes of their IDs, so that the
 // preferred target of a key is found without scanning all targets. It is immutable.
 type ring struct {
 	targets []hookhall.Target
@@ -27,7 +27,7 @@
 
 // ringEntry is the position of a target on the ring.
 type ringEntry struct {
-	hash  uint64 // of the target's id
+	hash  uint64 // of the target's ID
 	index int32  // in ring.targets
 }
 
@@ -43,7 +43,7 @@
 	return r
 }
 
-// preferred returns the id of the preferred target of a key, "" if the ring is empty:
+// preferred returns the ID of the preferred target of a key, "" if the ring is empty:
 // the one selected by rendezvous hashing among the ringWindow entries that follow the
 // hash of the key. When the targets change, few keys move.
 func (r *ring) preferred(key string) string {
--- a/internal/state/balance/sample.go
+++ b/internal/state/balance/sample.go
@@ -26,7 +26,7 @@
 
 // sample returns a subset of a large service's targets that contains the best one
 // with near certainty: the presumed holders of the shared prompt part, and sampleSize
-// targets at random, possibly repeated. The targets must be sorted by id.
+// targets at random, possibly repeated. The targets must be sorted by ID.
 func (b *Tracker) sample(targets []hookhall.Target, criteria Criteria) []hookhall.Target {
 	sampled := make([]hookhall.Target, 0, sampleSize+ringWindow)
 	add := func(id string) {
@@ -46,7 +46,7 @@
 	return sampled
 }
 
-// find returns the index of a target in a list that is sorted by id, and whether the
+// find returns the index of a target in a list that is sorted by ID, and whether the
 // list contains it.
 func find(targets []hookhall.Target, id string) (int, bool) {
 	return slices.BinarySearchFunc(targets, id, func(t hookhall.Target, id string) int { return strings.Compare(t.ID, id) })
@@ -55,7 +55,7 @@
 // holderIndex records which targets were recently sent which shared prompt part.
 type holderIndex struct {
 	mu       sync.Mutex
-	lastUsed map[string]map[string]time.Time // by part and target id
+	lastUsed map[string]map[string]time.Time // by part and target ID
 }
 
 // add records that a target was sent a part. It ignores the empty part.
@@ -74,7 +74,7 @@
 	x.lastUsed[part][target] = now
 }
 
-// targets returns the ids of the targets that presumably cache a part, unordered.
+// targets returns the IDs of the targets that presumably cache a part, unordered.
 func (x *holderIndex) targets(part string) []string {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/internal/state/balance/tracker.go
+++ b/internal/state/balance/tracker.go
@@ -83,7 +83,7 @@
 type Criteria struct {
 	// IsEngineCall is set for calls to model engines, which read prompts.
 	IsEngineCall bool
-	// SharedPart is the id of the longest part of the prompt that other prompts share,
+	// SharedPart is the ID of the longest part of the prompt that other prompts share,
 	// "" for none.
 	SharedPart string
 	// SharedTokens is the number of prompt tokens up to the end of the shared part,
@@ -94,7 +94,7 @@
 	MaxOutputTokens int
 	// EngineSpec is the configured capacity of the engines, nil if not configured.
 	EngineSpec *hookhall.EngineSpec
-	// Parts are the ids of all parts of the prompt; the target is recorded as caching
+	// Parts are the IDs of all parts of the prompt; the target is recorded as caching
 	// them.
 	Parts []string
 	// LatencyBudget is the time left until the latency target, 0 if it has passed or is
@@ -102,14 +102,14 @@
 	LatencyBudget time.Duration
 	// BytesByHall holds the number of bytes that the target reads, by the hall that has them.
 	BytesByHall map[string]float64
-	// ExcludedTargets holds the ids of targets that were already tried.
+	// ExcludedTargets holds the IDs of targets that were already tried.
 	ExcludedTargets map[string]bool
 	// Halls lists the halls in which the target may be; empty allows all.
 	Halls []string
 	// Versions restricts the versions of the target's software.
 	Versions
 	// MaxColdRequests returns how many requests in any second a cold target may get from
-	// this process, by the target's id; nil excludes cold targets.
+	// this process, by the target's ID; nil excludes cold targets.
 	MaxColdRequests func(target string) int
 	// Limiter enforces the rate limits that targets have announced; nil enforces none.
 	Limiter Limiter
@@ -128,7 +128,7 @@
 
 // Choose returns the target with the earliest expected answer and counts the request
 // against the limits of a cold or rate-limited target. ok is false if no target
-// qualifies. A list of more than 256 targets must be sorted by id.
+// qualifies. A list of more than 256 targets must be sorted by ID.
 func (b *Tracker) Choose(targets []hookhall.Target, criteria Criteria, now time.Time) (t hookhall.Target, ok bool) {
 	for {
 		t, ok = b.pick(targets, criteria, now)
@@ -320,7 +320,7 @@
 	return cost
 }
 
-// PreferredTarget returns the id of the preferred target of a key among those that are
+// PreferredTarget returns the ID of the preferred target of a key among those that are
 // not leaving, "" if there is none. It uses rendezvous hashing over all targets, or over
 // a section of the hash ring if the service has more than 256 targets.
 func (b *Tracker) PreferredTarget(key string, targets []hookhall.Target) string {
@@ -330,7 +330,7 @@
 	return PreferredTarget(key, targets)
 }
 
-// PreferredTarget returns the id of the target selected by rendezvous hashing of a key
+// PreferredTarget returns the ID of the target selected by rendezvous hashing of a key
 // among those that are not leaving, "" if there is none.
 func PreferredTarget(key string, targets []hookhall.Target) string {
 	best, maxWeight := "", uint64(0)
--- a/internal/state/batch/job.go
+++ b/internal/state/batch/job.go
@@ -30,7 +30,7 @@
 // Job is one stage of one request. Its exported fields are set before Queue.Add and not
 // changed by the caller afterwards.
 type Job struct {
-	RequestID  string   // the request's id
+	RequestID  string   // the request's ID
 	Stage      int      // the index of the stage in the request
 	PieceCount int      // the number of pieces
 	Key        string   // for stages without inputs
--- a/internal/state/batch/queue_test.go
+++ b/internal/state/batch/queue_test.go
@@ -59,7 +59,7 @@
 	return list
 }
 
-// pieceNames returns the pieces of a call as request id and index.
+// pieceNames returns the pieces of a call as request ID and index.
 func pieceNames(b *Batch) []string {
 	var list []string
 	for _, p := range b.Pieces {
--- a/rollout.go
+++ b/rollout.go
@@ -30,7 +30,7 @@
 // Final reports whether the Rollout has ended, after which its state does not change.
 func (s RolloutState) Final() bool { return s == RolloutCompleted || s == RolloutRolledBack }
 
-// RolloutStatus is the state of the Rollout to a version.
+// RolloutStatus is the state of a service's Rollout to Version.
 type RolloutStatus struct {
 	Version string
 	State   RolloutState
