--- a/internal/state/balance/ring.go
+++ b/internal/state/balance/ring.go
@@ -18,18 +18,20 @@
 // distance to its neighbour, for some targets several times the mean.
 const ringWindow = 8
 
-// ring orders the targets of a large service by the hashes of their ids, so that the
+// ring orders the targets of a large service by the hashes of their IDs, so that the
 // preferred target of a key is found without scanning all targets. It is immutable.
 type ring struct {
 	targets []hookhall.Target
 	entries []ringEntry // sorted by hash, without targets that are leaving
 }
 
+// ringEntry is the position of a target on the ring.
 type ringEntry struct {
-	hash  uint64 // of the target's id
+	hash  uint64 // of the target's ID
 	index int32  // in ring.targets
 }
 
+// newRing returns the ring of a list of targets, which it retains.
 func newRing(targets []hookhall.Target) *ring {
 	r := &ring{targets: targets, entries: make([]ringEntry, 0, len(targets))}
 	for i := range targets {
@@ -41,7 +43,7 @@
 	return r
 }
 
-// preferred returns the id of the preferred target of a key, "" if the ring is empty:
+// preferred returns the ID of the preferred target of a key, "" if the ring is empty:
 // the one selected by rendezvous hashing among the ringWindow entries that follow the
 // hash of the key. When the targets change, few keys move.
 func (r *ring) preferred(key string) string {
@@ -64,8 +66,8 @@
 type rings struct{ byPool sync.Map } // pool name to *ring
 
 // forTargets returns the ring of a non-empty list of targets of one service. It is
-// built anew unless the list is the very slice of the previous call; lists are
-// immutable.
+// built anew unless the list is the same slice as in the previous call for the service;
+// lists are immutable.
 func (r *rings) forTargets(targets []hookhall.Target) *ring {
 	if cached, ok := r.byPool.Load(targets[0].Pool); ok {
 		if latest := cached.(*ring); len(latest.targets) == len(targets) && &latest.targets[0] == &targets[0] {
