--- a/internal/state/claim/doc.go
+++ b/internal/state/claim/doc.go
@@ -22,9 +22,9 @@
 // and is complete when completeThrough reaches e-1. An epoch becomes complete in
 // one of three ways: the process served it (it was a member of the pair and
 // advanced, or skipped the epoch, in which case nothing was granted without it); it
-// fetched the records of a member of that epoch's pair; or, when both of
-// the pair are known to have ended, it waited until every claim that they may have
-// granted has expired.
+// fetched the records of a member of that epoch's pair; or, when both members of the
+// pair are known to have ended, it waited until every claim that they may have granted
+// has expired.
 //
 // This is primary-backup replication under an external configuration master, as in
 // Vertical Paxos and chain replication. There is no log and no election; the
@@ -32,9 +32,9 @@
 //
 // # Invariants
 //
-//   - A record's Sequence only grows, and only an owner whose records are complete writes: an
-//     owner that has yet to fetch what was granted without it opens and settles
-//     nothing.
+//   - A record's Sequence only grows, and only an owner whose records are complete
+//     writes: an owner that has yet to fetch what was granted without it opens and
+//     settles nothing.
 //   - A record written at an epoch has a higher Sequence than those of all earlier
 //     epochs. Without this rule, an owner that refused several grants could hold a
 //     higher Sequence than the grant that the next owner gave.
--- a/internal/state/claim/schedule_test.go
+++ b/internal/state/claim/schedule_test.go
@@ -204,8 +204,8 @@
 	}
 	owner := s.nodes[pair.Owner.ID]
 	s.lastToken++
-	q := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: s.lastToken}
-	reply, grant := owner.store.Begin(q, s.now)
+	request := hookhall.ClaimRequest{Epoch: p.View.Epoch, Key: key, Origin: origin.member.ID, Token: s.lastToken}
+	reply, grant := owner.store.Begin(request, s.now)
 	switch {
 	case grant != nil:
 		s.pending = append(s.pending, &pendingClaim{owner: owner, grant: grant})
@@ -275,9 +275,9 @@
 	}
 	for before := -1; ; {
 		checksum := 0
-		for _, need := range n.store.MissingEpochs() {
-			if s.usedSlots[need.Slot] {
-				checksum += int(need.Epoch) + 1000
+		for _, missing := range n.store.MissingEpochs() {
+			if s.usedSlots[missing.Slot] {
+				checksum += int(missing.Epoch) + 1000
 			}
 		}
 		if checksum == 0 || checksum == before {
@@ -292,15 +292,15 @@
 // reports the epochs whose pair has ended to the store.
 func (s *simulation) fetch(n *node) {
 	v := n.store.Placement().View
-	for _, need := range n.store.MissingEpochs() {
-		if !s.usedSlots[need.Slot] {
+	for _, missing := range n.store.MissingEpochs() {
+		if !s.usedSlots[missing.Slot] {
 			continue // no key of the test is in this slot
 		}
-		members, ok := view.MembersAt(v, need.Epoch)
+		members, ok := view.MembersAt(v, missing.Epoch)
 		if !ok {
 			continue
 		}
-		pair := view.PairOf(members, need.Slot).Members()
+		pair := view.PairOf(members, missing.Slot).Members()
 		pairGone := true
 		for _, m := range pair {
 			source := s.nodes[m.ID]
@@ -313,12 +313,12 @@
 				continue
 			}
 			source.store.Advance(v)
-			for _, records := range source.store.Records(v.Epoch, []uint32{need.Slot}).Slots {
+			for _, records := range source.store.Records(v.Epoch, []uint32{missing.Slot}).Slots {
 				n.store.Merge(records)
 			}
 		}
 		if pairGone {
-			n.store.MarkPairLost(need, s.now)
+			n.store.MarkPairLost(missing, s.now)
 		}
 	}
 }
--- a/internal/state/claim/standby.go
+++ b/internal/state/claim/standby.go
@@ -14,22 +14,22 @@
 // differ or this process is not the standby. It also refuses a record whose key has an
 // unexpired record of another grant with the same or a higher Sequence: the copy arrived
 // late, or that record expired at the owner a moment earlier than here.
-func (s *Store) Copy(epoch uint64, n hookhall.Record, now time.Time) hookhall.CopyReply {
-	l := &s.slots[view.SlotOf(n.Key)]
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.epoch != epoch || l.pair.Standby == nil || l.pair.Standby.ID != s.self {
-		return hookhall.CopyReply{Epoch: l.epoch}
-	}
-	old := l.records[n.Key]
+func (s *Store) Copy(epoch uint64, incoming hookhall.Record, now time.Time) hookhall.CopyReply {
+	sl := &s.slots[view.SlotOf(incoming.Key)]
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if sl.epoch != epoch || sl.pair.Standby == nil || sl.pair.Standby.ID != s.self {
+		return hookhall.CopyReply{Epoch: sl.epoch}
+	}
+	old := sl.records[incoming.Key]
 	switch {
-	case old == nil, n.Sequence > old.Sequence, now.After(old.Expires),
-		n.Sequence == old.Sequence && supersedes(n, old.Record):
-		l.put(n)
-	case n.Token != old.Token:
-		return hookhall.CopyReply{Epoch: l.epoch}
+	case old == nil, incoming.Sequence > old.Sequence, now.After(old.Expires),
+		incoming.Sequence == old.Sequence && supersedes(incoming, old.Record):
+		sl.put(incoming)
+	case incoming.Token != old.Token:
+		return hookhall.CopyReply{Epoch: sl.epoch}
 	}
-	return hookhall.CopyReply{Stored: true, Epoch: l.epoch}
+	return hookhall.CopyReply{Stored: true, Epoch: sl.epoch}
 }
 
 // Records returns the records that this process holds of the slots, in reply to a Fetch
@@ -49,54 +49,54 @@
 }
 
 // snapshot returns a copy of the slot's records for Merge at another member. It locks
-// l.mu.
-func (l *slot) snapshot(number uint32) hookhall.SlotRecords {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r := hookhall.SlotRecords{Slot: number, CompleteThrough: l.completeThrough}
-	for epoch := range l.completeEpochs {
-		r.CompleteEpochs = append(r.CompleteEpochs, epoch)
-	}
-	for _, held := range l.records {
+// sl.mu.
+func (sl *slot) snapshot(number uint32) hookhall.SlotRecords {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	copied := hookhall.SlotRecords{Slot: number, CompleteThrough: sl.completeThrough}
+	for epoch := range sl.completeEpochs {
+		copied.CompleteEpochs = append(copied.CompleteEpochs, epoch)
+	}
+	for _, held := range sl.records {
 		n := held.Record
 		if held.awaitingStandby {
 			// The claim may be granted after this copy is made, at the current epoch.
 			n.State = hookhall.StateGranted
 		}
-		r.Records = append(r.Records, n)
+		copied.Records = append(copied.Records, n)
 	}
-	return r
+	return copied
 }
 
 // Merge adds the records of a slot that another member returned from Records, and the
 // epochs of which these are complete. Slot numbers out of range are ignored.
-func (s *Store) Merge(r hookhall.SlotRecords) {
-	if r.Slot >= view.SlotCount {
+func (s *Store) Merge(fetched hookhall.SlotRecords) {
+	if fetched.Slot >= view.SlotCount {
 		return
 	}
-	l := &s.slots[r.Slot]
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, n := range r.Records {
-		old := l.records[n.Key]
+	sl := &s.slots[fetched.Slot]
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	for _, n := range fetched.Records {
+		old := sl.records[n.Key]
 		if old == nil || n.Sequence > old.Sequence || n.Sequence == old.Sequence && supersedes(n, old.Record) {
-			l.put(n)
+			sl.put(n)
 		}
 	}
-	if r.CompleteThrough > l.completeThrough {
-		l.completeThrough = r.CompleteThrough
+	if fetched.CompleteThrough > sl.completeThrough {
+		sl.completeThrough = fetched.CompleteThrough
 	}
-	for _, epoch := range r.CompleteEpochs {
-		l.completeEpochs[epoch] = true
+	for _, epoch := range fetched.CompleteEpochs {
+		sl.completeEpochs[epoch] = true
 	}
-	l.compact()
+	sl.compact()
 }
 
-// supersedes reports whether n replaces old, a record of the same Sequence: any other
-// state replaces "pending", because the owner may have granted the claim after it copied
-// it to the standby.
-func supersedes(n, old hookhall.Record) bool {
-	return n.State != old.State && old.State == hookhall.StatePending
+// supersedes reports whether incoming replaces old, a record of the same Sequence: any
+// other state replaces "pending", because the owner may have granted the claim after it
+// copied it to the standby.
+func supersedes(incoming, old hookhall.Record) bool {
+	return incoming.State != old.State && old.State == hookhall.StatePending
 }
 
 // MissingEpoch is an epoch of a slot of which this process doesn't hold every grant.
@@ -105,80 +105,82 @@
 	Epoch uint64
 }
 
-// MissingEpochs returns, for each slot whose pair includes this process and whose records are
-// incomplete, the newest epoch that is missing. The newest comes first because the
-// members that served it usually hold all earlier ones too.
+// MissingEpochs returns, for each slot whose pair includes this process and whose records
+// are incomplete, the newest epoch that is missing. The newest is fetched first because
+// the members that served it usually hold all earlier ones too.
 func (s *Store) MissingEpochs() []MissingEpoch {
-	var needs []MissingEpoch
+	var missing []MissingEpoch
 	for i := range s.slots {
-		l := &s.slots[i]
-		l.mu.Lock()
-		if l.pair.Has(s.self) && !l.isComplete() {
-			needs = append(needs, MissingEpoch{Slot: uint32(i), Epoch: l.newestMissingEpoch()})
+		sl := &s.slots[i]
+		sl.mu.Lock()
+		if sl.pair.Has(s.self) && !sl.isComplete() {
+			missing = append(missing, MissingEpoch{Slot: uint32(i), Epoch: sl.newestMissingEpoch()})
 		}
-		l.mu.Unlock()
+		sl.mu.Unlock()
 	}
-	return needs
+	return missing
 }
 
 // newestMissingEpoch returns the newest epoch of which grants may be missing. The slot
-// must be incomplete, so that there is one above completeThrough. l.mu must be held.
-func (l *slot) newestMissingEpoch() uint64 {
-	for epoch := l.epoch - 1; epoch > l.completeThrough; epoch-- {
-		if !l.completeEpochs[epoch] {
+// must be incomplete, so that there is one above completeThrough. sl.mu must be held.
+func (sl *slot) newestMissingEpoch() uint64 {
+	for epoch := sl.epoch - 1; epoch > sl.completeThrough; epoch-- {
+		if !sl.completeEpochs[epoch] {
 			return epoch
 		}
 	}
-	return l.completeThrough
+	return sl.completeThrough
 }
 
-// lostMarginDivisor sets the wait for a lost pair to the retention and a tenth of it: a
-// member that leaves may still grant for a moment after it was seen to be gone.
+// lostMarginDivisor is the divisor of the retention that gives the margin added to the
+// wait for a lost pair, a tenth: a member that leaves may still grant for a moment after
+// it was seen to be gone.
 const lostMarginDivisor = 10
 
-// MarkPairLost records that both members of the pair that served the slot at n.Epoch are known
-// to have ended. Repeated calls return true once the retention and its margin have passed since
-// the first call: every claim of that epoch has expired, and the epoch counts as
-// complete.
-func (s *Store) MarkPairLost(n MissingEpoch, now time.Time) bool {
-	l := &s.slots[n.Slot]
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	since, found := l.lostSince[n.Epoch]
+// MarkPairLost records that both members of the pair that served the slot at
+// missing.Epoch are known to have ended. Repeated calls return true once the retention
+// and its margin have passed since the first call: every claim of that epoch has
+// expired, and the epoch counts as complete. The slot must be below view.SlotCount.
+func (s *Store) MarkPairLost(missing MissingEpoch, now time.Time) bool {
+	sl := &s.slots[missing.Slot]
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	since, found := sl.lostSince[missing.Epoch]
 	if !found {
-		l.lostSince[n.Epoch] = now
+		sl.lostSince[missing.Epoch] = now
 		return false
 	}
 	if now.Sub(since) < s.retention+s.retention/lostMarginDivisor {
 		return false
 	}
-	l.completeEpochs[n.Epoch] = true
-	l.compact()
+	sl.completeEpochs[missing.Epoch] = true
+	sl.compact()
 	return true
 }
 
-// MarkCompleteBefore marks all epochs of a slot that are lower than before as complete, for epochs
-// that the view's history no longer covers. It may be called only after the retention
-// has passed without an unfenced member in the view, so that all their claims have
-// expired.
+// MarkCompleteBefore marks all epochs of a slot that are lower than before as complete,
+// for epochs that the view's history no longer covers. It may be called only after the
+// retention has passed without an unfenced member in the view, so that all their claims
+// have expired. slotNumber must be below view.SlotCount.
 func (s *Store) MarkCompleteBefore(slotNumber uint32, before uint64) {
-	l := &s.slots[slotNumber]
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if before > 0 && l.completeThrough < before-1 {
-		l.completeThrough = before - 1
-		l.compact()
+	sl := &s.slots[slotNumber]
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if before > 0 && sl.completeThrough < before-1 {
+		sl.completeThrough = before - 1
+		sl.compact()
 	}
 }
 
-// IsComplete reports whether the process has reached epoch and holds complete records of all
-// slots whose pair includes it.
+// IsComplete reports whether the process has reached epoch and holds complete records of
+// all slots whose pair includes it.
 func (s *Store) IsComplete(epoch uint64) bool {
 	return s.Placement().View.Epoch >= epoch && len(s.MissingEpochs()) == 0
 }
 
 // Summary is the store's part of a state dump: the epoch of the view in force, and
-// counts of slots, records and lost epochs of this process.
+// counts for this process. Missing counts the slots whose records are incomplete; Lost
+// sums over the slots the epochs whose pair has ended and whose claims may be unexpired.
 type Summary struct {
 	Epoch   uint64 `json:"epoch"`
 	Owned   int    `json:"owned_slots"`
@@ -193,17 +195,17 @@
 func (s *Store) Summary() Summary {
 	sum := Summary{Epoch: s.Placement().View.Epoch, Missing: len(s.MissingEpochs())}
 	for i := range s.slots {
-		l := &s.slots[i]
-		l.mu.Lock()
-		if l.pair.Owner != nil && l.pair.Owner.ID == s.self {
+		sl := &s.slots[i]
+		sl.mu.Lock()
+		if sl.pair.Owner != nil && sl.pair.Owner.ID == s.self {
 			sum.Owned++
 		}
-		if l.pair.Standby != nil && l.pair.Standby.ID == s.self {
+		if sl.pair.Standby != nil && sl.pair.Standby.ID == s.self {
 			sum.Standby++
 		}
-		sum.Records += len(l.records)
-		sum.Lost += len(l.lostSince)
-		l.mu.Unlock()
+		sum.Records += len(sl.records)
+		sum.Lost += len(sl.lostSince)
+		sl.mu.Unlock()
 	}
 	return sum
 }
--- a/internal/state/claim/store.go
+++ b/internal/state/claim/store.go
@@ -12,8 +12,8 @@
 	"github.com/hookhall/hookhall/internal/state/view"
 )
 
-// fetchRetryDelay is the delay that a refused caller is given before its next try, while
-// the owner fetches records or after a copy to the standby has failed.
+// fetchRetryDelay is the delay after which a refused caller may retry, while the owner
+// fetches records or after a copy to the standby has failed.
 const fetchRetryDelay = 200 * time.Millisecond
 
 // sweepInterval is the shortest time between two removals of expired records of a slot,
@@ -54,7 +54,7 @@
 	completeThrough uint64
 	// completeEpochs has the later epochs of which it holds every grant.
 	completeEpochs map[uint64]bool
-	// lostSince has, for epochs whose pair has ended, when that was first seen.
+	// lostSince has, for epochs whose pair has ended, the time of the first MarkPairLost.
 	lostSince map[uint64]time.Time
 	// records is keyed by claim key.
 	records   map[string]*record
@@ -143,62 +143,62 @@
 // advance moves the slot from one placement to a later one; served is from servedEpochs.
 // The process holds every grant of the epoch that it leaves and of those that it skipped,
 // if it was of their pair: an owner grants nothing while its standby is at another epoch.
-// It locks l.mu.
-func (l *slot) advance(self string, number uint32, from, to *Placement, served map[uint64][]hookhall.Member) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if epoch := from.View.Epoch; epoch > l.completeThrough && from.Pairs[number].Has(self) {
-		l.completeEpochs[epoch] = true
+// It locks sl.mu.
+func (sl *slot) advance(self string, number uint32, from, to *Placement, served map[uint64][]hookhall.Member) {
+	sl.mu.Lock()
+	defer sl.mu.Unlock()
+	if epoch := from.View.Epoch; epoch > sl.completeThrough && from.Pairs[number].Has(self) {
+		sl.completeEpochs[epoch] = true
 	}
 	for epoch, members := range served {
-		if epoch > l.completeThrough && view.PairOf(members, number).Has(self) {
-			l.completeEpochs[epoch] = true
+		if epoch > sl.completeThrough && view.PairOf(members, number).Has(self) {
+			sl.completeEpochs[epoch] = true
 		}
 	}
-	l.epoch, l.pair = to.View.Epoch, to.Pairs[number]
-	l.compact()
+	sl.epoch, sl.pair = to.View.Epoch, to.Pairs[number]
+	sl.compact()
 }
 
 // compact moves completeThrough past the complete epochs that follow it, and drops the
-// entries of completeEpochs and lostSince that are no longer needed. l.mu must be held.
-func (l *slot) compact() {
-	for l.completeEpochs[l.completeThrough+1] {
-		l.completeThrough++
-		delete(l.completeEpochs, l.completeThrough)
+// entries of completeEpochs and lostSince that are no longer needed. sl.mu must be held.
+func (sl *slot) compact() {
+	for sl.completeEpochs[sl.completeThrough+1] {
+		sl.completeThrough++
+		delete(sl.completeEpochs, sl.completeThrough)
 	}
-	for epoch := range l.completeEpochs {
-		if epoch <= l.completeThrough {
-			delete(l.completeEpochs, epoch)
+	for epoch := range sl.completeEpochs {
+		if epoch <= sl.completeThrough {
+			delete(sl.completeEpochs, epoch)
 		}
 	}
-	for epoch := range l.lostSince {
-		if epoch <= l.completeThrough || l.completeEpochs[epoch] {
-			delete(l.lostSince, epoch)
+	for epoch := range sl.lostSince {
+		if epoch <= sl.completeThrough || sl.completeEpochs[epoch] {
+			delete(sl.lostSince, epoch)
 		}
 	}
 }
 
 // isComplete reports whether the process holds all grants of the epochs before its own.
-// l.mu must be held.
-func (l *slot) isComplete() bool { return l.epoch > 0 && l.completeThrough+1 >= l.epoch }
+// sl.mu must be held.
+func (sl *slot) isComplete() bool { return sl.epoch > 0 && sl.completeThrough+1 >= sl.epoch }
 
 // put replaces the record of a key. A pending copy of the replaced record doesn't affect
-// the new one, whose awaitingStandby is unset. l.mu must be held.
-func (l *slot) put(n hookhall.Record) *record {
-	r := &record{Record: n}
-	l.records[n.Key] = r
+// the new one, whose awaitingStandby is unset. sl.mu must be held.
+func (sl *slot) put(replacement hookhall.Record) *record {
+	r := &record{Record: replacement}
+	sl.records[replacement.Key] = r
 	return r
 }
 
-// sweep drops expired records, at most once per sweepInterval. l.mu must be held.
-func (l *slot) sweep(now time.Time) {
-	if now.Sub(l.lastSweep) < sweepInterval {
+// sweep drops expired records, at most once per sweepInterval. sl.mu must be held.
+func (sl *slot) sweep(now time.Time) {
+	if now.Sub(sl.lastSweep) < sweepInterval {
 		return
 	}
-	l.lastSweep = now
-	for key, r := range l.records {
+	sl.lastSweep = now
+	for key, r := range sl.records {
 		if now.After(r.Expires) && !r.awaitingStandby {
-			delete(l.records, key)
+			delete(sl.records, key)
 		}
 	}
 }
@@ -207,9 +207,9 @@
 // sweepInterval.
 func (s *Store) Sweep(now time.Time) {
 	for i := range s.slots {
-		l := &s.slots[i]
-		l.mu.Lock()
-		l.sweep(now)
-		l.mu.Unlock()
+		sl := &s.slots[i]
+		sl.mu.Lock()
+		sl.sweep(now)
+		sl.mu.Unlock()
 	}
 }
--- a/internal/state/claim/store_test.go
+++ b/internal/state/claim/store_test.go
@@ -153,9 +153,9 @@
 			owner.Merge(hookhall.SlotRecords{Slot: view.SlotOf("k"), CompleteThrough: without.Epoch, Records: []hookhall.Record{later}})
 			done, _, _ = owner.Settle(release, now)
 			So(done, ShouldBeFalse)
-			q := newClaimRequest("k", 3)
-			q.Epoch = owner.Placement().View.Epoch
-			reply, grant := owner.Begin(q, now)
+			request := newClaimRequest("k", 3)
+			request.Epoch = owner.Placement().View.Epoch
+			reply, grant := owner.Begin(request, now)
 			So(grant, ShouldBeNil)
 			So(reply.Outcome, ShouldEqual, hookhall.ClaimHeld)
 			So(reply.Record.State, ShouldEqual, hookhall.StateFinished)
@@ -179,9 +179,9 @@
 		without := view.Leave(v, owner.self, false)
 		owner.Advance(without)
 		standby.Advance(without)
-		q := newClaimRequest("k", 9)
-		q.Epoch = without.Epoch
-		reply, _ := standby.Begin(q, now)
+		request := newClaimRequest("k", 9)
+		request.Epoch = without.Epoch
+		reply, _ := standby.Begin(request, now)
 		So(reply.Outcome, ShouldEqual, hookhall.ClaimGranted)
 		done, _, _ := standby.Settle(hookhall.Settlement{Key: "k", Token: 9, State: hookhall.StateFinished}, now)
 		So(done, ShouldBeTrue)
@@ -190,16 +190,16 @@
 			owner.Advance(with)
 			standby.Advance(with)
 			owner.Merge(standby.Records(with.Epoch, []uint32{view.SlotOf("k")}).Slots[0])
-			q.Epoch, q.Token = with.Epoch, 10
-			reply, grant := owner.Begin(q, now)
+			request.Epoch, request.Token = with.Epoch, 10
+			reply, grant := owner.Begin(request, now)
 			So(grant, ShouldBeNil)
 			So(reply.Outcome, ShouldEqual, hookhall.ClaimHeld)
 			So(reply.Record.Token, ShouldEqual, 9)
 		})
 		Convey("does not replace that grant at the member that holds it", func() {
 			standby.Merge(owner.Records(without.Epoch, []uint32{view.SlotOf("k")}).Slots[0])
-			q.Token = 10
-			reply, _ := standby.Begin(q, now)
+			request.Token = 10
+			reply, _ := standby.Begin(request, now)
 			So(reply.Outcome, ShouldEqual, hookhall.ClaimHeld)
 		})
 	})
