--- a/internal/state/clock/clock.go
+++ b/internal/state/clock/clock.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// watchInterval is the interval between checks for a suspension. It is half of the age
-	// that cached state may gain unnoticed, and short against the tenths of a second that
-	// updates take to arrive. A check costs 0.4 us.
+	// watchInterval is the interval between checks for a suspension, and so the longest time
+	// that one stays undetected after its end. It is half of the age that cached state may
+	// gain unnoticed, and short against the tenths of a second that updates take to arrive. A
+	// check costs 0.4 us.
 	watchInterval = 50 * time.Millisecond
-	// minSuspension is the shortest suspension that counts. The two clocks are read one
-	// after the other, and the process may be descheduled in between.
+	// minSuspension is the shortest suspension that counts; shorter ones add up until they
+	// reach it. Smaller differences of the clocks may be errors: they are read one after the
+	// other, and the process may be descheduled in between.
 	minSuspension = 20 * time.Millisecond
-	// calibrationSamples is how many further times the clocks are compared at the start;
-	// the largest offset is the one least delayed by descheduling.
+	// calibrationSamples is how many further times the clocks are compared at the start; the
+	// largest offset is used, because descheduling between the two readings makes it smaller.
 	calibrationSamples = 5
 )
 
-// bootClock returns the time of the clock that continues while an instance is suspended:
-// CLOCK_BOOTTIME, or its replacement by Simulate.
+// bootClock holds the function that reads the clock that continues while an instance is
+// suspended: CLOCK_BOOTTIME, or its replacement by Simulate.
 var bootClock atomic.Pointer[func() time.Duration]
 
 // bootTime returns the time since boot by CLOCK_BOOTTIME, or 0 if it is unavailable.
@@ -40,15 +42,16 @@
 
 // state records the suspensions of the instance.
 var state struct {
-	suspended atomic.Int64 // total duration of suspensions since start, in nanoseconds
-	// resumed is closed at the end of the next suspension; nil while Watch is not running.
+	suspended atomic.Int64 // total duration of recorded suspensions since start, in nanoseconds
+	// resumed is closed at the end of the next suspension; nil while WatchSuspensions is not
+	// running.
 	resumed atomic.Pointer[chan struct{}]
 
-	// resumeCallbacks is a set of *func(), called at the end of each suspension.
+	// resumeCallbacks is a set of *func(), called with mu held when a suspension is recorded.
 	resumeCallbacks sync.Map
 
 	mu    sync.Mutex // serializes changes of the fields
-	start time.Time
+	start time.Time  // when the clocks were last calibrated
 	// baseOffset is CLOCK_BOOTTIME minus the monotonic clock, without suspensions.
 	baseOffset time.Duration
 }
@@ -69,7 +72,7 @@
 	}
 }
 
-// recalibrate forgets past suspensions and measures the offset of the clocks.
+// recalibrate discards the recorded suspensions and measures the offset of the clocks.
 func recalibrate() {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -85,7 +88,7 @@
 // less if the process was descheduled between the two readings.
 func bootOffset() time.Duration { return (*bootClock.Load())() - time.Since(state.start) }
 
-// Now returns the current time by this clock. Its time of day is meaningless.
+// Now returns the current time of this clock. Its time of day is meaningless.
 func Now() time.Time { return time.Now().Add(time.Duration(state.suspended.Load())) }
 
 // origin is the zero point of stamps. It is long before any stamped time, so that the
@@ -96,10 +99,10 @@
 // depend on the time of day, which may jump.
 func Stamp(t time.Time) int64 { return int64(t.Sub(origin)) }
 
-// Since returns the time elapsed since t, including suspensions.
+// Since returns the time elapsed since t, a time of this clock, including suspensions.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time left until t.
+// Until returns the time left until t, a time of this clock.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
 // DetectSuspension detects a suspension that is not yet recorded, adds it to this clock,
@@ -112,8 +115,8 @@
 	return recordSuspension()
 }
 
-// recordSuspension adds a suspension to the clock, ends pauses and calls the callbacks. It
-// returns the duration, or 0 if another goroutine has recorded it.
+// recordSuspension adds a suspension to the clock, closes the channel of Resumed and calls
+// the callbacks. It returns the duration, or 0 if another goroutine has recorded it.
 func recordSuspension() time.Duration {
 	state.mu.Lock()
 	defer state.mu.Unlock()
@@ -135,8 +138,9 @@
 }
 
 // WatchSuspensions checks for suspensions every watchInterval until ctx ends, and calls
-// suspended with the duration of each that it detects. Suspensions end pauses only while
-// it runs.
+// suspended with the duration of each that it detects; those that DetectSuspension finds
+// first are not reported. The channel of Resumed exists only while it runs. At most one
+// call may run at a time.
 func WatchSuspensions(ctx context.Context, suspended func(time.Duration)) {
 	resumed := make(chan struct{})
 	state.resumed.Store(&resumed)
@@ -155,8 +159,8 @@
 	}
 }
 
-// Resumed returns a channel that is closed at the end of the next suspension, or nil while
-// Watch is not running.
+// Resumed returns a channel that is closed once the next suspension is detected, or nil
+// while WatchSuspensions is not running.
 func Resumed() <-chan struct{} {
 	if resumed := state.resumed.Load(); resumed != nil {
 		return *resumed
@@ -164,9 +168,9 @@
 	return nil
 }
 
-// WithDeadline is context.WithDeadline for a time of this clock. After a suspension the
-// context is canceled at t, which its own timer would reach late; its error is then
-// context.Canceled.
+// WithDeadline is context.WithDeadline for a time of this clock. After a detected
+// suspension the context is canceled at t, which its own timer would reach late; its error
+// is then context.Canceled.
 func WithDeadline(ctx context.Context, t time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(ctx, Until(t))
 	rearm := func() { time.AfterFunc(Until(t), cancel) }
--- a/internal/state/clock/clock_test.go
+++ b/internal/state/clock/clock_test.go
@@ -107,12 +107,12 @@
 	})
 }
 
-// TestWatch guards against a suspension that is reported more than once, or that leaves
-// pauses running.
-func TestWatch(t *testing.T) {
+// TestWatchSuspensions guards against a suspension that is reported more than once, or
+// after which the channel of Resumed stays open.
+func TestWatchSuspensions(t *testing.T) {
 	withSuspend(t, func(t *testing.T, suspend func(time.Duration)) {
 		if Resumed() != nil {
-			t.Error("channel without a running Watch")
+			t.Error("channel without a running WatchSuspensions")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var reported []time.Duration
@@ -146,7 +146,7 @@
 	}
 }
 
-func BenchmarkCheck(b *testing.B) {
+func BenchmarkDetectSuspension(b *testing.B) {
 	for b.Loop() {
 		DetectSuspension()
 	}
--- a/internal/state/clock/doc.go
+++ b/internal/state/clock/doc.go
@@ -12,13 +12,14 @@
 // often, and its growth is added to the monotonic clock.
 //
 // Timers that run during a suspension fire late by its duration. WithDeadline corrects
-// this for contexts, and the channel that is closed after a suspension for pauses.
+// this for contexts; code that waits for a timer also waits for the channel of Resumed.
 //
 // # Invariants
 //
 //   - Times of this clock are compared only with times of this clock, and converted to
 //     timers only by Until. Nothing depends on the time of day.
 //   - The clock never goes backwards.
-//   - A suspension is detected within watchInterval of its end, and before the next
-//     request is served.
+//   - While WatchSuspensions runs, a suspension is detected within watchInterval of its
+//     end. DetectSuspension detects it at once; callers use it before they rely on cached
+//     state, such as for each request.
 package clock
