--- a/internal/state/crashes/crash.go
+++ b/internal/state/crashes/crash.go
@@ -20,22 +20,22 @@
 	Incarnation hookhall.Incarnation // the incarnation that crashed
 	// Software is what the target ran: its service and version.
 	Software string
-	// RecentlyServed reports whether the reporting process had served the content shortly before the
-	// crash, so that it does not crash every target that runs it.
+	// RecentlyServed is set if the reporting process had served the content shortly before
+	// the crash, which shows that not every target that runs it crashes.
 	RecentlyServed bool
-	// Cleared is set once a target gave a complete response to the content.
+	// Cleared is set once a target has given a complete response to the content.
 	Cleared bool
 	// ReportedAt is the time of the first report, by the clock of this process.
 	ReportedAt time.Time
 }
 
-// checksum returns the contribution of e to Ledger.Checksum.
-func (e *Crash) checksum() uint64 {
+// checksum returns the contribution of c to Ledger.Checksum.
+func (c *Crash) checksum() uint64 {
 	b := make([]byte, 0, 128)
-	b = append(b, e.Content[:]...)
-	b = append(append(b, e.Incarnation.ID...), 0)
-	b = binary.AppendVarint(b, e.Incarnation.Start)
-	if e.Cleared {
+	b = append(b, c.Content[:]...)
+	b = append(append(b, c.Incarnation.ID...), 0)
+	b = binary.AppendVarint(b, c.Incarnation.Start)
+	if c.Cleared {
 		b = append(b, 1)
 	}
 	return xxhash.Sum64(b)
--- a/internal/state/crashes/ledger.go
+++ b/internal/state/crashes/ledger.go
@@ -17,12 +17,12 @@
 
 // Limits bound a Ledger.
 type Limits struct {
-	// MinCrashes is the number of incarnations with an uncleared crash from which a content is
-	// refused.
+	// MinCrashes is the number of crashes, as Status.Crashes counts them, from which a
+	// content is refused.
 	MinCrashes int
 	// Retention is how long a crash counts, from its first report.
 	Retention time.Duration
-	// MaxContents is the maximum number of contents.
+	// MaxContents is the maximum number of contents of all accounts.
 	MaxContents int
 	// MaxContentsPerAccount is the maximum number of contents of one account.
 	MaxContentsPerAccount int
@@ -31,10 +31,10 @@
 // Ledger holds the crashes of targets by request content. It is safe for concurrent use.
 type Ledger struct {
 	limits Limits
-	// statuses maps a Digest to its crash status, so that requests read it without a lock.
-	// heldCount counts its entries.
-	statuses  sync.Map
-	heldCount atomic.Int64
+	// statuses maps the Digest of each content with uncleared crashes to its Status, so that
+	// requests read it without a lock. statusCount counts its entries.
+	statuses    sync.Map
+	statusCount atomic.Int64
 
 	mu                sync.Mutex
 	contents          map[Digest]*content
@@ -55,7 +55,7 @@
 }
 
 // Empty reports whether no content has uncleared crashes. It takes no lock.
-func (l *Ledger) Empty() bool { return l.heldCount.Load() == 0 }
+func (l *Ledger) Empty() bool { return l.statusCount.Load() == 0 }
 
 // Status returns the crash status of a content, the zero value if it has no uncleared
 // crashes. It takes no lock.
@@ -73,15 +73,16 @@
 	return maps.Clone(l.refused)
 }
 
-// Merge merges reported crashes into the ledger, except those older than Limits.Retention. It
-// returns those that are new or newly cleared.
+// Merge merges reported crashes into the ledger, except those older than Limits.Retention
+// and those for whose content there is no capacity. It returns those that are new or newly
+// cleared.
 func (l *Ledger) Merge(reported []Crash, now time.Time) (changed []Crash) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, e := range reported {
-		if now.Sub(e.ReportedAt) < l.limits.Retention && l.merge(e) {
-			changed = append(changed, e)
-			l.publish(e.Content)
+	for _, crash := range reported {
+		if now.Sub(crash.ReportedAt) < l.limits.Retention && l.merge(crash) {
+			changed = append(changed, crash)
+			l.publish(crash.Content)
 		}
 	}
 	return changed
@@ -89,28 +90,28 @@
 
 // merge merges one crash and reports whether it is new or newly cleared. It returns false
 // as well if there is no capacity for its content. l.mu must be held.
-func (l *Ledger) merge(e Crash) bool {
-	c := l.contents[e.Content]
+func (l *Ledger) merge(crash Crash) bool {
+	c := l.contents[crash.Content]
 	if c == nil {
-		if !l.makeSpace(e.Account) {
+		if !l.makeSpace(crash.Account) {
 			return false
 		}
-		c = &content{account: e.Account, crashes: map[hookhall.Incarnation]*Crash{}, firstReported: e.ReportedAt}
-		l.contents[e.Content] = c
-		l.contentsByAccount[e.Account]++
+		c = &content{account: crash.Account, crashes: map[hookhall.Incarnation]*Crash{}, firstReported: crash.ReportedAt}
+		l.contents[crash.Content] = c
+		l.contentsByAccount[crash.Account]++
 	}
-	if e.ReportedAt.Before(c.firstReported) {
-		c.firstReported = e.ReportedAt
+	if crash.ReportedAt.Before(c.firstReported) {
+		c.firstReported = crash.ReportedAt
 	}
-	known := c.crashes[e.Incarnation]
+	known := c.crashes[crash.Incarnation]
 	if known == nil {
-		c.crashes[e.Incarnation] = &e
+		c.crashes[crash.Incarnation] = &crash
 		return true
 	}
-	if e.ReportedAt.Before(known.ReportedAt) {
-		known.ReportedAt = e.ReportedAt // the first report counts, whichever process received it
+	if crash.ReportedAt.Before(known.ReportedAt) {
+		known.ReportedAt = crash.ReportedAt // the first report counts, whichever process received it
 	}
-	if e.Cleared && !known.Cleared {
+	if crash.Cleared && !known.Cleared {
 		known.Cleared = true
 		return true
 	}
@@ -126,10 +127,10 @@
 	if c == nil {
 		return nil
 	}
-	for _, e := range c.crashes {
-		if !e.Cleared {
-			e.Cleared = true
-			cleared = append(cleared, *e)
+	for _, crash := range c.crashes {
+		if !crash.Cleared {
+			crash.Cleared = true
+			cleared = append(cleared, *crash)
 		}
 	}
 	l.publish(d)
@@ -142,7 +143,9 @@
 	defer l.mu.Unlock()
 	for d, c := range l.contents {
 		oldCount := len(c.crashes)
-		maps.DeleteFunc(c.crashes, func(_ hookhall.Incarnation, e *Crash) bool { return now.Sub(e.ReportedAt) >= l.limits.Retention })
+		maps.DeleteFunc(c.crashes, func(_ hookhall.Incarnation, crash *Crash) bool {
+			return now.Sub(crash.ReportedAt) >= l.limits.Retention
+		})
 		switch len(c.crashes) {
 		case 0:
 			l.removeContent(d, c)
@@ -159,21 +162,22 @@
 	defer l.mu.Unlock()
 	var all []Crash
 	for _, c := range l.contents {
-		for _, e := range c.crashes {
-			all = append(all, *e)
+		for _, crash := range c.crashes {
+			all = append(all, *crash)
 		}
 	}
 	return all
 }
 
-// ByContent returns the crashes of one content, sorted by target id and start of the incarnation.
+// ByContent returns the crashes of one content, cleared ones included, sorted by target ID
+// and start of the incarnation.
 func (l *Ledger) ByContent(d Digest) []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []Crash
 	if c := l.contents[d]; c != nil {
-		for _, e := range c.crashes {
-			list = append(list, *e)
+		for _, crash := range c.crashes {
+			list = append(list, *crash)
 		}
 	}
 	slices.SortFunc(list, func(a, b Crash) int {
@@ -182,9 +186,9 @@
 	return list
 }
 
-// checksumMargin is how long before its expiry a crash is left out of the checksum.
-// Processes count the age of a crash from times that differ by the transmission time of
-// the report.
+// checksumMargin is how long before its expiry a crash is left out of the checksum, because
+// processes count the age of a crash from times that differ by the transmission time of the
+// report.
 const checksumMargin = 5 * time.Second
 
 // Checksum returns a checksum of the crashes that don't expire soon; ledgers with equal
@@ -194,9 +198,9 @@
 	defer l.mu.Unlock()
 	sum := uint64(0)
 	for _, c := range l.contents {
-		for _, e := range c.crashes {
-			if now.Sub(e.ReportedAt) < l.limits.Retention-checksumMargin {
-				sum ^= e.checksum()
+		for _, crash := range c.crashes {
+			if now.Sub(crash.ReportedAt) < l.limits.Retention-checksumMargin {
+				sum ^= crash.checksum()
 			}
 		}
 	}
@@ -204,7 +208,8 @@
 }
 
 // makeSpace evicts a content if needed for a new one of account, and reports whether there
-// is capacity. An account at its limit loses one of its own contents. l.mu must be held.
+// is capacity. At the limit of the account, one of its own contents is evicted. l.mu must be
+// held.
 func (l *Ledger) makeSpace(account string) bool {
 	switch {
 	case l.contentsByAccount[account] >= l.limits.MaxContentsPerAccount:
@@ -216,8 +221,8 @@
 }
 
 // evictOne removes one of the contents for which among returns true and whose uncleared
-// crashes are too few to refuse them: that with the fewest, and of those the oldest. It
-// reports whether there was one. l.mu must be held.
+// crashes are too few to refuse them: the one with the fewest, and among equals the oldest.
+// It reports whether there was one. l.mu must be held.
 func (l *Ledger) evictOne(among func(c *content) bool) bool {
 	var (
 		digest Digest
@@ -247,18 +252,20 @@
 	l.publish(d)
 }
 
-// sortedCrashes returns the crashes in the order of their first reports.
+// sortedCrashes returns the crashes in the order of their first reports. The ledger's mu
+// must be held.
 func (c *content) sortedCrashes() []*Crash {
 	list := slices.Collect(maps.Values(c.crashes))
 	slices.SortFunc(list, func(a, b *Crash) int { return a.ReportedAt.Compare(b.ReportedAt) })
 	return list
 }
 
-// unclearedCount returns the number of crashes that are not cleared.
+// unclearedCount returns the number of crashes that are not cleared, simultaneous ones
+// included. The ledger's mu must be held.
 func (c *content) unclearedCount() int {
 	n := 0
-	for _, e := range c.crashes {
-		if !e.Cleared {
+	for _, crash := range c.crashes {
+		if !crash.Cleared {
 			n++
 		}
 	}
@@ -276,11 +283,11 @@
 	case s.Crashes > 0:
 		l.statuses.Store(d, s)
 		if !known {
-			l.heldCount.Add(1)
+			l.statusCount.Add(1)
 		}
 	case known:
 		l.statuses.Delete(d)
-		l.heldCount.Add(-1)
+		l.statusCount.Add(-1)
 	}
 	if s.refused {
 		l.refused[d] = s
@@ -289,28 +296,28 @@
 	}
 }
 
-// simultaneousWindow is the time within which crashes under a recently served content
-// count as one: if many targets crash at once while each runs a content that many clients
-// request, the content is not the cause.
+// simultaneousWindow is the time within which crashes while running a recently served
+// content count as one: if many targets crash at once while each runs a content that many
+// clients request, the content is not the cause.
 const simultaneousWindow = time.Second
 
 // status computes the status of a content. l.mu must be held.
 func (l *Ledger) status(c *content) Status {
 	var s Status
 	var lastCounted time.Time // time of the last crash that counted
-	for _, e := range c.sortedCrashes() {
-		if e.Cleared {
+	for _, crash := range c.sortedCrashes() {
+		if crash.Cleared {
 			continue
 		}
-		if !e.RecentlyServed || lastCounted.IsZero() || e.ReportedAt.Sub(lastCounted) >= simultaneousWindow {
+		if !crash.RecentlyServed || lastCounted.IsZero() || crash.ReportedAt.Sub(lastCounted) >= simultaneousWindow {
 			s.Crashes++
-			lastCounted = e.ReportedAt
+			lastCounted = crash.ReportedAt
 		}
-		if s.FirstReported.IsZero() || e.ReportedAt.Before(s.FirstReported) {
-			s.FirstReported = e.ReportedAt
+		if s.FirstReported.IsZero() || crash.ReportedAt.Before(s.FirstReported) {
+			s.FirstReported = crash.ReportedAt
 		}
-		if !slices.Contains(s.Software, e.Software) {
-			s.Software = append(s.Software, e.Software)
+		if !slices.Contains(s.Software, crash.Software) {
+			s.Software = append(s.Software, crash.Software)
 		}
 	}
 	slices.Sort(s.Software)
--- a/internal/state/crashes/ledger_test.go
+++ b/internal/state/crashes/ledger_test.go
@@ -18,15 +18,16 @@
 	start  = time.Unix(1000, 0)
 )
 
-// newCrash returns a crash of target n under a content of account a, at the start of a test.
+// newCrash returns a crash of target n that ran a content of account a, at the start of a
+// test.
 func newCrash(content byte, n int) Crash {
 	return Crash{Content: Digest{content}, Account: "a", Incarnation: hookhall.Incarnation{ID: fmt.Sprint("target-", n)}, Software: "s v1", ReportedAt: start}
 }
 
-// clearedCrash returns e as cleared.
-func clearedCrash(e Crash) Crash {
-	e.Cleared = true
-	return e
+// clearedCrash returns a cleared copy of crash.
+func clearedCrash(crash Crash) Crash {
+	crash.Cleared = true
+	return crash
 }
 
 // wantStatus checks how many crashes count against a content, and whether it is refused.
@@ -38,8 +39,8 @@
 	}
 }
 
-// TestDigestOf guards against digests that are equal for different requests, or different for
-// the same one.
+// TestDigestOf guards against digests that are equal for different requests, or different
+// for the same one.
 func TestDigestOf(t *testing.T) {
 	one := DigestOf("account", "host", "/path?a=1", []byte("body"))
 	for name, c := range map[string]struct {
@@ -72,22 +73,22 @@
 		count   int
 		refused bool
 	}{
-		"one crash":                           {[]Crash{newCrash(1, 1)}, 1, false},
-		"two crashes":                         {[]Crash{newCrash(1, 1), newCrash(1, 2)}, 2, false},
-		"three crashes":                       {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, 3, true},
-		"the same crash reported three times": {[]Crash{newCrash(1, 1), newCrash(1, 1), newCrash(1, 1)}, 1, false},
-		"two incarnations of one target":      {[]Crash{newCrash(1, 1), restarted, newCrash(1, 2)}, 3, true},
-		"crashes under another content":       {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(2, 3)}, 2, false},
-		"one is cleared":                      {[]Crash{newCrash(1, 1), newCrash(1, 2), clearedCrash(newCrash(1, 3))}, 2, false},
-		"one is cleared later":                {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3), clearedCrash(newCrash(1, 3))}, 2, false},
-		"the cleared report comes first":      {[]Crash{clearedCrash(newCrash(1, 3)), newCrash(1, 3), newCrash(1, 1), newCrash(1, 2)}, 2, false},
-		"three after three cleared":           {[]Crash{clearedCrash(newCrash(1, 1)), clearedCrash(newCrash(1, 2)), clearedCrash(newCrash(1, 3)), newCrash(1, 4), newCrash(1, 5), newCrash(1, 6)}, 3, true},
-		"an expired crash":                    {[]Crash{newCrash(1, 1), newCrash(1, 2), {Content: Digest{1}, Account: "a", Incarnation: hookhall.Incarnation{ID: "old"}, ReportedAt: start.Add(-time.Hour)}}, 2, false},
+		"one crash":                             {[]Crash{newCrash(1, 1)}, 1, false},
+		"two crashes":                           {[]Crash{newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three crashes":                         {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, 3, true},
+		"the same crash reported three times":   {[]Crash{newCrash(1, 1), newCrash(1, 1), newCrash(1, 1)}, 1, false},
+		"two incarnations of one target":        {[]Crash{newCrash(1, 1), restarted, newCrash(1, 2)}, 3, true},
+		"crashes while running another content": {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(2, 3)}, 2, false},
+		"one is cleared":                        {[]Crash{newCrash(1, 1), newCrash(1, 2), clearedCrash(newCrash(1, 3))}, 2, false},
+		"one is cleared later":                  {[]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3), clearedCrash(newCrash(1, 3))}, 2, false},
+		"the cleared report comes first":        {[]Crash{clearedCrash(newCrash(1, 3)), newCrash(1, 3), newCrash(1, 1), newCrash(1, 2)}, 2, false},
+		"three after three cleared":             {[]Crash{clearedCrash(newCrash(1, 1)), clearedCrash(newCrash(1, 2)), clearedCrash(newCrash(1, 3)), newCrash(1, 4), newCrash(1, 5), newCrash(1, 6)}, 3, true},
+		"an expired crash":                      {[]Crash{newCrash(1, 1), newCrash(1, 2), {Content: Digest{1}, Account: "a", Incarnation: hookhall.Incarnation{ID: "old"}, ReportedAt: start.Add(-time.Hour)}}, 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
-			for _, e := range c.crashes {
-				l.Merge([]Crash{e}, start)
+			for _, crash := range c.crashes {
+				l.Merge([]Crash{crash}, start)
 			}
 			wantStatus(t, l, 1, c.count, c.refused)
 		})
@@ -95,8 +96,8 @@
 }
 
 // TestSimultaneousCrashes guards against refusing a content that many clients request when
-// many targets crash at once for another reason: simultaneous crashes under a content that
-// was served shortly before count once, under any other content each counts.
+// many targets crash at once for another reason: simultaneous crashes while running a
+// content that was served shortly before count once; with any other content each counts.
 func TestSimultaneousCrashes(t *testing.T) {
 	for name, c := range map[string]struct {
 		served   bool
@@ -112,18 +113,18 @@
 		t.Run(name, func(t *testing.T) {
 			l := NewLedger(limits)
 			for n := range 3 {
-				e := newCrash(1, n)
-				e.RecentlyServed = c.served
-				e.ReportedAt = start.Add(time.Duration(n) * c.interval)
-				l.Merge([]Crash{e}, e.ReportedAt)
+				crash := newCrash(1, n)
+				crash.RecentlyServed = c.served
+				crash.ReportedAt = start.Add(time.Duration(n) * c.interval)
+				l.Merge([]Crash{crash}, crash.ReportedAt)
 			}
 			wantStatus(t, l, 1, c.crashes, c.refused)
 		})
 	}
 }
 
-// TestRecentContents guards against served contents that are forgotten too early, remembered too
-// long, or that exceed the limit of a generation.
+// TestRecentContents guards against served contents that are forgotten too early, remembered
+// too long, or that exceed the limit of a generation.
 func TestRecentContents(t *testing.T) {
 	for name, c := range map[string]struct {
 		after time.Duration
@@ -169,8 +170,8 @@
 	}
 }
 
-// TestOtherVersionNotRefused guards against refusing a content for good: another version of
-// the software may run it until that version has crashed under it.
+// TestOtherVersionNotRefused guards against refusing a content after the software was
+// replaced: another version may run it until that version has crashed while running it.
 func TestOtherVersionNotRefused(t *testing.T) {
 	l := NewLedger(limits)
 	l.Merge([]Crash{newCrash(1, 1), newCrash(1, 2), newCrash(1, 3)}, start)
@@ -182,7 +183,7 @@
 	newer.Software = "s v2"
 	l.Merge([]Crash{newer}, start)
 	if s := l.Status(Digest{1}); !s.RefusedBy("s v2") {
-		t.Error("v2 crashed under the content and is not refused")
+		t.Error("v2 crashed while running the content and may still run it")
 	}
 }
 
@@ -215,21 +216,21 @@
 	}
 	l.Merge(faulty, start)
 	for n := range 100 {
-		e := newCrash(byte(n), n)
-		e.ReportedAt = start.Add(time.Duration(n) * time.Millisecond)
-		l.Merge([]Crash{e}, start.Add(time.Second))
+		crash := newCrash(byte(n), n)
+		crash.ReportedAt = start.Add(time.Duration(n) * time.Millisecond)
+		l.Merge([]Crash{crash}, start.Add(time.Second))
 	}
-	if n := int(l.heldCount.Load()); n != limits.MaxContentsPerAccount+1 {
+	if n := int(l.statusCount.Load()); n != limits.MaxContentsPerAccount+1 {
 		t.Errorf("%d contents are remembered", n)
 	}
 	wantStatus(t, l, 200, 3, true)
 	wantStatus(t, l, 99, 1, false) // the newest of its account
 	for n := range 100 {
-		e := newCrash(byte(n), n)
-		e.Account = fmt.Sprint("account-", n)
-		l.Merge([]Crash{e}, start)
+		crash := newCrash(byte(n), n)
+		crash.Account = fmt.Sprint("account-", n)
+		l.Merge([]Crash{crash}, start)
 	}
-	if n := int(l.heldCount.Load()); n != limits.MaxContents {
+	if n := int(l.statusCount.Load()); n != limits.MaxContents {
 		t.Errorf("%d contents are remembered", n)
 	}
 	wantStatus(t, l, 200, 3, true)
@@ -243,10 +244,10 @@
 		r := rand.New(rand.NewPCG(seed, 0))
 		var crashes []Crash
 		for range 30 {
-			e := newCrash(byte(r.IntN(5)), r.IntN(6))
-			e.Cleared = r.IntN(4) == 0
-			e.Incarnation.Start = int64(r.IntN(2))
-			crashes = append(crashes, e)
+			crash := newCrash(byte(r.IntN(5)), r.IntN(6))
+			crash.Cleared = r.IntN(4) == 0
+			crash.Incarnation.Start = int64(r.IntN(2))
+			crashes = append(crashes, crash)
 		}
 		var sums []uint64
 		for range 4 {
@@ -297,7 +298,7 @@
 	}
 }
 
-// BenchmarkMerge measures the report of a crash under one of 4,096 contents.
+// BenchmarkMerge measures the report of a crash while running one of 4,096 contents.
 func BenchmarkMerge(b *testing.B) {
 	l := NewLedger(Limits{MinCrashes: 3, Retention: time.Hour, MaxContents: 4096, MaxContentsPerAccount: 4096})
 	for n := range 4096 {
--- a/internal/state/crashes/mass_test.go
+++ b/internal/state/crashes/mass_test.go
@@ -17,7 +17,7 @@
 // refusalRule selects which parts of the rule for refusing contents a simulation applies.
 type refusalRule struct {
 	clearsOnAnswer     bool // a complete response clears earlier crashes
-	mergesSimultaneous bool // simultaneous crashes under a recently served content count once
+	mergesSimultaneous bool // simultaneous crashes count once if the content was recently served
 }
 
 // event is a function that runs at a simulated time.
@@ -159,26 +159,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(5) {
-				f := newSimulation(c.refusalRule, seed)
-				f.scheduleRequests(100000, 60*time.Second)
-				f.schedule(10*time.Second, func() {
+				simulation := newSimulation(c.refusalRule, seed)
+				simulation.scheduleRequests(100000, 60*time.Second)
+				simulation.schedule(10*time.Second, func() {
 					for n := range simulatedTargets / 5 {
-						f.crash(n)
+						simulation.crash(n)
 					}
 				})
 				for n := range simulatedTargets / 5 {
-					f.schedule(30*time.Second+time.Duration(n)*50*time.Millisecond, func() { f.crash(50 + n) })
+					simulation.schedule(30*time.Second+time.Duration(n)*50*time.Millisecond, func() { simulation.crash(50 + n) })
 				}
 				for n := range 200 {
-					f.schedule(20*time.Second+time.Duration(n)*100*time.Millisecond, func() { f.send(&request{content: Digest{15: 1}, faulty: true}) })
+					simulation.schedule(20*time.Second+time.Duration(n)*100*time.Millisecond, func() { simulation.send(&request{content: Digest{15: 1}, faulty: true}) })
 				}
-				f.runEvents()
-				t.Logf("seed %d: %d harmless requests refused, %d targets crashed by the faulty content", seed, f.harmlessRefused, f.crashedTargets)
-				if f.harmlessRefused > c.maxRefused {
-					t.Errorf("seed %d: %d harmless requests were refused", seed, f.harmlessRefused)
+				simulation.runEvents()
+				t.Logf("seed %d: %d harmless requests refused, %d targets crashed by the faulty content", seed, simulation.harmlessRefused, simulation.crashedTargets)
+				if simulation.harmlessRefused > c.maxRefused {
+					t.Errorf("seed %d: %d harmless requests were refused", seed, simulation.harmlessRefused)
 				}
-				if f.crashedTargets > 10 {
-					t.Errorf("seed %d: %d targets crashed by the faulty content", seed, f.crashedTargets)
+				if simulation.crashedTargets > 10 {
+					t.Errorf("seed %d: %d targets crashed by the faulty content", seed, simulation.crashedTargets)
 				}
 			}
 		})
--- a/internal/state/crashes/recent.go
+++ b/internal/state/crashes/recent.go
@@ -10,26 +10,29 @@
 )
 
 const (
-	// generationDuration is the minimum time for which a served content is remembered; the
-	// maximum is twice as long.
+	// generationDuration is the minimum time for which a served content is remembered. The
+	// maximum is twice as long while calls are frequent, and less than three times as long
+	// otherwise, because only a call ends a generation.
 	generationDuration = 10 * time.Second
 	// maxGenerationContents limits the contents of one generation to some 200 KB. Contents
-	// beyond it are not remembered; one that is served often gets into the next generation.
+	// beyond it are not remembered; one that is served often is likely to be added to the
+	// next generation.
 	maxGenerationContents = 2048
 )
 
 // RecentContents remembers which contents were served recently. It is safe for concurrent use.
 type RecentContents struct {
-	mu       sync.Mutex // held while generations change
+	mu       sync.Mutex // held while the generations are replaced
 	current  atomic.Pointer[generation]
 	previous atomic.Pointer[generation]
 }
 
-// generation holds the contents served in one period of generationDuration.
+// generation holds the contents served from startedAt until the next generation starts, for
+// less than generationDuration.
 type generation struct {
 	startedAt time.Time
 	contents  sync.Map     // set of Digest
-	count     atomic.Int64 // entries of contents
+	count     atomic.Int64 // number of contents
 }
 
 // NewRecentContents returns an empty set of recently served contents.
@@ -40,7 +43,7 @@
 	return r
 }
 
-// Add records that a content was served at now.
+// Add records that a content was served at now, unless maxGenerationContents is reached.
 func (r *RecentContents) Add(d Digest, now time.Time) {
 	g := r.currentGeneration(now)
 	if g.count.Load() >= maxGenerationContents {
@@ -51,8 +54,8 @@
 	}
 }
 
-// Has reports whether a content was served recently: within the last generationDuration
-// for certain, and at most twice as long ago.
+// Has reports whether Add has recorded a content recently: it is true if that was within the
+// last generationDuration, and may be true if it was up to three times as long ago.
 func (r *RecentContents) Has(d Digest, now time.Time) bool {
 	if _, ok := r.currentGeneration(now).contents.Load(d); ok {
 		return true
@@ -71,7 +74,7 @@
 	g := r.current.Load()
 	age := now.Sub(g.startedAt)
 	if age < generationDuration {
-		return g // another goroutine started it
+		return g // started by another goroutine
 	}
 	if age >= 2*generationDuration {
 		g = &generation{} // the current one is too old to be remembered
--- a/internal/state/crashes/status.go
+++ b/internal/state/crashes/status.go
@@ -10,24 +10,24 @@
 
 // Status is the crash status of a request content. It is immutable.
 type Status struct {
-	// Crashes is the number of target incarnations with an uncleared crash under the content.
-	// Simultaneous crashes under a recently served content count as one.
+	// Crashes is the number of target incarnations with an uncleared crash while running the
+	// content. Simultaneous crashes count as one if the content was recently served.
 	Crashes int
 	// FirstReported is the first report of those crashes, by the clock of this process.
 	FirstReported time.Time
 	// Software is what the crashed targets ran, service and version, sorted.
 	Software []string
-	// refused is set when the number of crashes has reached that in Limits.
+	// refused is set when Crashes has reached Limits.MinCrashes.
 	refused bool
 }
 
 // Refused reports whether the content must not be sent to targets with the software that
-// crashed under it.
+// crashed while running it.
 func (s Status) Refused() bool { return s.refused }
 
-// RefusedBy reports whether the content must not be sent to targets with some software.
-// Another version or service may handle the content without a crash; its first crash
-// proves that it doesn't.
+// RefusedBy reports whether the content must not be sent to targets with this software, a
+// service and version. Another version or service may handle the content without a crash,
+// and is refused too from its first crash on.
 func (s Status) RefusedBy(software string) bool {
 	return s.refused && slices.Contains(s.Software, software)
 }
