--- a/internal/state/estimate/estimate.go
+++ b/internal/state/estimate/estimate.go
@@ -1,14 +1,16 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package estimate predicts the duration of stages from measured ones.
+// Package estimate predicts the duration of the calls of pipeline stages from measured
+// durations.
 //
 // # Model
 //
-// A series is kept for each pipeline, stage and size bucket. Durations go into
-// a ring of HDR histograms, one per window of a second, so that the estimate follows
-// a change of speed within a few windows. Readers load cached quantiles from atomics
-// and never wait for a writer.
+// A series is kept for each pipeline, stage and size bucket. Durations go into a ring of
+// HDR histograms, one per window of a second, so that the estimate follows a change of
+// speed within a few windows. Readers load cached quantiles from atomics and never wait
+// for a writer. Only a measurement updates the quantiles: an idle series keeps its last
+// ones.
 //
 // # Invariants
 //
@@ -31,15 +33,16 @@
 	windowLength = time.Second
 	// refreshInterval is the minimum interval between computations of a series' quantiles.
 	refreshInterval = 50 * time.Millisecond
-	// minMicros and maxMicros bound recorded durations in microseconds: 10 microseconds to
-	// 10 minutes.
+	// minMicros and maxMicros bound recorded durations, in microseconds: from 10 microseconds
+	// to 10 minutes.
 	minMicros = 10
 	maxMicros = 600_000_000
 	// significantDigits is the decimal precision of the histograms.
 	significantDigits = 2
 )
 
-// Key identifies a series. Size is a result of Bucket.
+// Key identifies a series. Size is a result of Bucket, such as that of the limit on generated
+// tokens, and 0 for stages without one.
 type Key struct {
 	Pipeline string
 	Stage    string
@@ -74,13 +77,13 @@
 
 // Estimate is the expected duration of the calls of a series.
 type Estimate struct {
-	// Median and High are the 50th and the 90th percentile of the last windowCount windows,
+	// Median and P90 are the 50th and the 90th percentile of the last windowCount windows,
 	// zero without data.
 	Median time.Duration
 	P90    time.Duration
 }
 
-// Observe adds a measured duration to a series, which it creates if need be. now is the
+// Observe adds a measured duration to a series, which it creates if necessary. now is the
 // current time.
 func (s *Set) Observe(k Key, d time.Duration, now time.Time) {
 	v, ok := s.series.Load(k)
