--- a/internal/state/quota/quota.go
+++ b/internal/state/quota/quota.go
@@ -9,12 +9,12 @@
 // A limit is a number of whole units, such as the idle connections that a target allows.
 // Each process computes its part from its index among the processes that share the limit:
 // all have the same quotient, and the remainder goes to some of them, one unit each. Which
-// of them get it depends on the key, so that a limit of fewer units than processes is spread
-// over all processes, target by target.
+// of them get it depends on the key, such as a target's address, so that limits of fewer
+// units than processes don't leave the same processes without a unit for every key.
 //
 // # Invariants
 //
-//   - The parts of processes with the same list add up to at most the limit.
+//   - The parts of processes with the same list of processes add up to at most the limit.
 //   - A process that doesn't know which processes share the limit has no part.
 package quota
 
@@ -26,16 +26,16 @@
 	Index int // index of this process in their order, from 0; negative if it is not listed
 }
 
-// Share returns how many units of a limit this process may hold for a key. It is 0 if the
-// position is unknown.
+// Share returns how many units of a limit this process may hold for a key, its part of the
+// limit. It is 0 if the position is unknown.
 func (p Position) Share(limit int, key string) int {
 	if p.Count < 1 || limit < 1 || p.Index < 0 {
 		return 0
 	}
-	part, remainder := limit/p.Count, limit%p.Count
+	units, remainder := limit/p.Count, limit%p.Count
 	offset := int(xxhash.Sum64String(key) % uint64(p.Count))
 	if (p.Index+offset)%p.Count < remainder {
-		part++
+		units++
 	}
-	return part
+	return units
 }
--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestPartsAddUp guards against parts that exceed the limit or leave units of it unused. The
-// parts of two processes differ by at most one unit.
+// TestPartsAddUp guards against parts that exceed the limit, leave units of it unused, or
+// differ by more than one unit between two processes.
 func TestPartsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 2000).Draw(t, "processes")
-		limit := rapid.IntRange(0, 5000).Draw(t, "bound")
+		limit := rapid.IntRange(0, 5000).Draw(t, "limit")
 		key := rapid.String().Draw(t, "key")
 		sum := 0
 		for index := range count {
@@ -31,8 +31,8 @@
 	})
 }
 
-// TestPartsOfLostProcesses guards against exceeding the limit while processes that ended are
-// still counted. They hold nothing.
+// TestPartsOfLostProcesses guards against exceeding the limit while processes that have ended
+// are still counted; their parts are unused.
 func TestPartsOfLostProcesses(t *testing.T) {
 	sum := 0
 	for index := range 50 {
@@ -71,7 +71,7 @@
 	}
 }
 
-func BenchmarkPart(b *testing.B) {
+func BenchmarkShare(b *testing.B) {
 	for _, n := range []int{9, 986} {
 		b.Run(fmt.Sprint(n, " processes"), func(b *testing.B) {
 			for b.Loop() {
