--- a/internal/state/rollout/doc.go
+++ b/internal/state/rollout/doc.go
@@ -7,8 +7,8 @@
 // # Model
 //
 // While the new version is a canary, each request is sent to it with a fixed probability,
-// drawn independently for each request. No process keeps a count of these requests, so none
-// is lost when a process is killed: over any number of processes and restarts, the expected
+// drawn independently for each request. No process counts these requests, so no count is
+// lost when a process is killed: over any number of processes and restarts, the expected
 // share of the new version is half of the bound, and the other half is reserve for random
 // variation.
 //
--- a/internal/state/rollout/evidence.go
+++ b/internal/state/rollout/evidence.go
@@ -13,8 +13,8 @@
 	// route, if the old version's failure rate is known.
 	falseAlarm = 1e-4
 	// testedFailureRateIncrease is the difference to the old version's failure rate for
-	// which the test is designed. A larger difference is found sooner, one below half of it
-	// never.
+	// which the test is designed. A larger difference is found sooner, one well below half of
+	// it may never be found.
 	testedFailureRateIncrease = 0.2
 	// minFailureRate is added to the old version's failure rate, so that the test is defined
 	// for one that has not failed yet.
@@ -23,8 +23,8 @@
 	// slowFactor times that of the old version by more than minSlowdown.
 	slowFactor  = 2.5
 	minSlowdown = 20 * time.Millisecond
-	// minResponsesForMean is the number of responses for which a mean is compared, since
-	// times differ by prompt.
+	// minResponsesForMean is the number of responses of each version from which their means
+	// are compared: response times differ by prompt, so the mean of fewer varies too much.
 	minResponsesForMean = 16
 )
 
@@ -35,6 +35,7 @@
 	Took    time.Duration // sum of the times to the head of each response
 }
 
+// add adds the responses of o.
 func (t *Tally) add(o Tally) {
 	t.Answers += o.Answers
 	t.Bad += o.Bad
@@ -49,14 +50,14 @@
 	return t.Took / time.Duration(t.Answers)
 }
 
-// Comparison holds the tallies of the old and the new version for the same requests.
+// Comparison holds the tallies of the old and the new version for the same route and time.
 type Comparison struct{ Old, New Tally }
 
 // Evidence holds the tallies of both versions by route. Logs print it with the names of its
 // fields.
 type Evidence map[string]Comparison
 
-// Add adds another process's evidence.
+// Add adds another process's evidence o; e must not be nil.
 func (e Evidence) Add(o Evidence) {
 	for route, v := range o {
 		sum := e[route]
--- a/internal/state/rollout/phase.go
+++ b/internal/state/rollout/phase.go
@@ -15,8 +15,8 @@
 
 // The phases, in their order.
 const (
-	// Unknown means that this process has just received the Rollout and does not know its
-	// phase. The new version gets no requests.
+	// Unknown means that this process has received the Rollout but not yet its phase. The new
+	// version gets no requests.
 	Unknown Phase = iota
 	// Canary means that the new version gets a share of the requests.
 	Canary
@@ -64,8 +64,8 @@
 }
 
 const (
-	// boundShare is the expected part of the bound on the share of a canary, so that random
-	// variation may double the share without exceeding the bound.
+	// boundShare is the part of the bound that a canary's share is expected to reach, so that
+	// random variation may double the share without exceeding the bound.
 	boundShare = 0.5
 	// canaryTimeShare is the part of a Rollout's time for which the new version is a canary.
 	// Some versions fail only after seconds, and the rest of the time has to suffice for the
@@ -78,8 +78,8 @@
 	// completionMargin is how long before its time limit a Rollout is completed even if
 	// requests still run at old targets.
 	completionMargin = 700 * time.Millisecond
-	// minOldResponses is the number of responses of the old version after which a canary
-	// without any response is rejected.
+	// minOldResponses is the number of responses of the old version from which a canary
+	// without any response is rejected at its end; with fewer it is accepted.
 	minOldResponses = 60
 )
 
@@ -88,16 +88,16 @@
 func CanaryShare(bound float64) float64 { return boundShare * bound }
 
 // CanaryTargets returns the number of targets of the new version that are used as canaries,
-// at least 1: as many as handle its share if each gets the same load as one of the old
-// targets, so that the version is judged under load.
-func CanaryTargets(bound float64, old int) int {
-	return max(int(math.Ceil(CanaryShare(bound)*float64(old))), 1)
+// at least 1: as many as handle its share if each gets the same load as one of the
+// oldTargets, so that the version is judged under load. bound is that of CanaryShare.
+func CanaryTargets(bound float64, oldTargets int) int {
+	return max(int(math.Ceil(CanaryShare(bound)*float64(oldTargets))), 1)
 }
 
 // Progress is the state of a Rollout as its owner knows it.
 type Progress struct {
 	Phase     Phase
-	Age       time.Duration // since operators ordered the Rollout
+	Age       time.Duration // since a process first received the Rollout
 	TimeLimit time.Duration // limit that operators set for the Rollout
 	// DrainingTime is how long all requests have gone to the new version.
 	DrainingTime time.Duration
@@ -106,7 +106,7 @@
 	Evidence    Evidence
 }
 
-// Next returns the phase that follows, and why. It returns the present phase and "" if
+// Next returns the phase that follows, and why. It returns the current phase and "" if
 // nothing changes.
 func (p Progress) Next() (Phase, string) {
 	if p.Phase.Final() {
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -33,7 +33,7 @@
 	return t
 }
 
-// simulate sends requests of two routes to both versions, with the canary share to the
+// simulate sends requests of two routes to both versions, the canary share of them to the
 // candidate, and returns the number of the request after which a regression was found, -1 if
 // none was.
 func simulate(r *rand.Rand, old, candidate version, requests int) int {
@@ -76,7 +76,8 @@
 }
 
 // TestBadVersions guards against finding a version too late that fails or delays half of its
-// responses: it must be found long before 50 bad responses.
+// responses: it must be found within 80 responses after its first fault, that is, some 40
+// bad ones, and so long before 50.
 func TestBadVersions(t *testing.T) {
 	for name, c := range map[string]struct{ old, candidate version }{
 		"fails": {version{}, version{failureRate: 0.5}},
@@ -159,7 +160,7 @@
 		p := Unknown
 		for range 10 {
 			before := p
-			p = p.Join(Phase(rapid.IntRange(int(Unknown), int(RolledBack)).Draw(t, "heard")))
+			p = p.Join(Phase(rapid.IntRange(int(Unknown), int(RolledBack)).Draw(t, "received")))
 			if p < before || (before.Final() && p != before) {
 				t.Fatalf("phase %d follows %d", p, before)
 			}
