--- a/internal/state/routing/doc.go
+++ b/internal/state/routing/doc.go
@@ -11,7 +11,7 @@
 // The load of a target is the number of calls that this entry has in progress there over
 // the target's capacity; it is known without delay. Of two targets drawn at random, the
 // one with the lower product of load and expected latency gets the call. The expected
-// latency follows the duration of answers, and of calls without an answer yet, so it
+// latency follows the duration of successful calls and of those still in progress, so it
 // reflects the load by other entries too. For engines, the target that a prompt's prefix
 // hashes to is preferred while its load is not far above the mean.
 //
--- a/internal/state/routing/pool.go
+++ b/internal/state/routing/pool.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// maxAffinityLoadFactor is the load, as a multiple of the pool's mean, up to which a
-	// target gets the calls whose prefix hashes to it. One call more is allowed, since the
-	// mean is 0 in an idle pool.
+	// maxAffinityLoadFactor is the load, as a multiple of the mean of the usable targets, up
+	// to which a target gets the calls whose prefix hashes to it. One call more is allowed,
+	// since the mean is 0 in an idle pool.
 	maxAffinityLoadFactor = 1.25
 	// retryShare is the number of retries that a call adds to the budget; retryBurst is the
 	// largest budget, in retries, that a pool accumulates.
@@ -27,17 +27,17 @@
 // Choice is the method by which a pool chooses targets.
 type Choice int
 
-// ChoiceLoad chooses by load and expected latency. ChoiceRandom chooses at random, the
+// ChoiceLoad chooses by load and expected latency. ChoiceRandom chooses at random, as the
 // baseline for experiments.
 const (
 	ChoiceLoad Choice = iota
 	ChoiceRandom
 )
 
-// Pool holds the targets of one pool. It is safe for concurrent use.
+// Pool holds the targets of the pool Name. It is safe for concurrent use.
 type Pool struct {
 	Name           string
-	policy         Choice
+	choice         Choice
 	prefixAffinity bool
 	targets        atomic.Pointer[[]*Target]
 	// retryBudget is in thousandths of a retry.
@@ -45,10 +45,10 @@
 }
 
 // NewPool returns a pool without targets and with a full retry budget. With prefixAffinity
-// a call with a prefix hash goes to the target that the prefix hashes to, if that is not
-// overloaded.
+// and ChoiceLoad, a call with a prefix hash goes to the target that the prefix hashes to
+// unless that one is overloaded or slow.
 func NewPool(name string, choice Choice, prefixAffinity bool) *Pool {
-	p := &Pool{Name: name, policy: choice, prefixAffinity: prefixAffinity}
+	p := &Pool{Name: name, choice: choice, prefixAffinity: prefixAffinity}
 	p.targets.Store(&[]*Target{})
 	p.retryBudget.Store(retryBurst * 1000)
 	return p
@@ -76,8 +76,9 @@
 }
 
 // withData returns a Target for changed data. It copies the report, the latency, the
-// ejection, the refusal and the count of calls. It does not copy inflight, because the calls
-// in progress end on the old Target.
+// failures with the ejection, the refusal and the count of calls. It does not copy inflight
+// and lastProgress, because the calls in progress end on the old Target, nor reportedAt, so
+// that the copied report counts as old for ReportedWithin.
 func (t *Target) withData(data hookhall.Target) *Target {
 	next := &Target{Target: data}
 	next.report.Store(t.report.Load())
@@ -92,7 +93,8 @@
 // Targets returns the current list, ordered by ID. Callers must not modify it.
 func (p *Pool) Targets() []*Target { return *p.targets.Load() }
 
-// Capacity returns the number of calls that the pool's usable targets can run at once.
+// Capacity returns the number of calls that the pool's usable targets can run at once, the
+// sum of Target.Capacity.
 func (p *Pool) Capacity(now time.Time) int {
 	total := 0
 	for _, t := range p.Targets() {
@@ -125,9 +127,9 @@
 	return nil
 }
 
-// pickEjected returns a random target that is not leaving, ejected or not, or nil. It is
-// used when no target is usable: in a pool that fails often as a whole, some calls still
-// succeed.
+// pickEjected returns a random target that is not leaving, ejected or not, or nil if there
+// is none. It is used when no target is usable: in a pool whose targets all fail often, some
+// calls still succeed.
 func (p *Pool) pickEjected(now time.Time) *Target {
 	var candidates []*Target
 	for _, t := range p.Targets() {
@@ -158,7 +160,7 @@
 	if len(ts) == 1 {
 		return 0
 	}
-	if p.policy == ChoiceRandom {
+	if p.choice == ChoiceRandom {
 		return rand.IntN(len(ts))
 	}
 	if p.prefixAffinity && prefix != 0 {
@@ -177,16 +179,16 @@
 }
 
 // affinityIndex returns the index in ts of the target that the prefix hashes to (rendezvous
-// hashing). It returns -1 if that one's load exceeds the limit, or its expected latency is
-// more than twice the mean.
+// hashing). It returns -1 if that one's load exceeds the limit of maxAffinityLoadFactor, or
+// its expected latency is more than twice the mean.
 func affinityIndex(ts []*Target, prefix uint64, now time.Time) int {
-	best, highest := 0, uint64(0)
+	best, highestScore := 0, uint64(0)
 	var totalLoad, totalLatency float64
 	for i, t := range ts {
 		totalLoad += t.load()
 		totalLatency += t.expectedLatency(now)
-		if s := xxhash.Sum64String(t.ID) ^ prefix*0x9e3779b97f4a7c15; s >= highest {
-			best, highest = i, s
+		if s := xxhash.Sum64String(t.ID) ^ prefix*0x9e3779b97f4a7c15; s >= highestScore {
+			best, highestScore = i, s
 		}
 	}
 	count := float64(len(ts))
@@ -200,15 +202,16 @@
 	return best
 }
 
-// EarnRetryShare adds the share of one call, retryShare, to the retry budget. It is called
-// once per call.
+// EarnRetryShare adds the share of one call, retryShare, to the retry budget, up to
+// retryBurst. It is called once per call.
 func (p *Pool) EarnRetryShare() {
 	if p.retryBudget.Load() < retryBurst*1000 {
 		p.retryBudget.Add(int64(retryShare * 1000))
 	}
 }
 
-// SpendRetry takes one retry from the budget, or reports false if less than one is left.
+// SpendRetry takes one retry from the budget and reports true, or reports false if less than
+// one is left.
 func (p *Pool) SpendRetry() bool {
 	for {
 		budget := p.retryBudget.Load()
--- a/internal/state/routing/target.go
+++ b/internal/state/routing/target.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// ejectAfterFailures is the number of consecutive failures that ejects a target: it is
-	// not chosen for a time that starts at minEjection and doubles with each further
-	// failure up to maxEjection.
+	// ejectAfterFailures is the number of consecutive failures that ejects a target: it is not
+	// chosen, as long as others are usable, for a time that starts at minEjection and doubles
+	// with each further failure up to maxEjection.
 	ejectAfterFailures = 4
 	minEjection        = 500 * time.Millisecond
 	maxEjection        = 15 * time.Second
@@ -32,7 +32,7 @@
 	inflight atomic.Int64
 	// report is the last load report, nil without one.
 	report atomic.Pointer[hookhall.LoadReport]
-	// latency is a moving average in nanoseconds, 0 without data.
+	// latency is the moving average of call durations in nanoseconds, 0 without data.
 	latency atomic.Int64
 	// failures counts consecutive failures.
 	failures atomic.Int64
@@ -59,16 +59,16 @@
 	t.calls.Add(1)
 }
 
-// End counts the end of a call that ran for busy. failed means a failure of the target; it
-// counts towards ejection. Refusals and cancellations say nothing of the target's health
-// and end with Cancel.
-func (t *Target) End(busy time.Duration, failed bool, now time.Time) {
+// End counts the end of a call that took the duration took. failed means a failure of the
+// target; it counts towards ejection, and its duration is ignored. Refusals and
+// cancellations are no evidence of the target's health and end with Cancel.
+func (t *Target) End(took time.Duration, failed bool, now time.Time) {
 	t.inflight.Add(-1)
 	t.lastProgress.Store(clock.Stamp(now))
 	if !failed {
 		t.failures.Store(0)
 		t.ejectedUntil.Store(0)
-		t.observeLatency(busy)
+		t.observeLatency(took)
 		return
 	}
 	failures := t.failures.Add(1)
@@ -78,25 +78,25 @@
 	}
 }
 
-// Cancel counts the end of a call whose outcome says nothing of the target's health.
+// Cancel counts the end of a call whose outcome is no evidence of the target's health.
 func (t *Target) Cancel() { t.inflight.Add(-1) }
 
 // EndAtDeadline counts the end of a call that was cut off at its deadline after took. The
-// duration goes into the average latency, although the call would have taken longer
-// still, so that a slow target does not look idle.
+// duration goes into the average latency, although the call would have taken even longer,
+// so that a slow target does not look fast.
 func (t *Target) EndAtDeadline(took time.Duration) {
 	t.inflight.Add(-1)
 	t.observeLatency(took)
 }
 
 // observeLatency adds a duration, at most maxLatencySample, to the moving average.
-func (t *Target) observeLatency(busy time.Duration) {
-	busy = min(busy, maxLatencySample)
+func (t *Target) observeLatency(took time.Duration) {
+	took = min(took, maxLatencySample)
 	for {
 		old := t.latency.Load()
-		next := old + (int64(busy)-old)/8
+		next := old + (int64(took)-old)/8
 		if old == 0 {
-			next = int64(busy)
+			next = int64(took)
 		}
 		if t.latency.CompareAndSwap(old, max(next, 1)) {
 			return
@@ -104,10 +104,11 @@
 	}
 }
 
-// RecordReport stores a load report by the target itself. An empty report is ignored.
+// RecordReport stores a load report by the target itself, received at now. An empty report
+// is ignored.
 func (t *Target) RecordReport(r hookhall.LoadReport, now time.Time) {
 	if r.Capacity == 0 && r.Running == 0 && !r.Leaving {
-		return // the answer carried no report
+		return // the response carried no report
 	}
 	t.report.Store(&r)
 	t.reportedAt.Store(clock.Stamp(now))
@@ -116,14 +117,14 @@
 	}
 }
 
-// ReportedWithin reports whether a load report was received, with an answer or by a
-// poll, less than d before now.
+// ReportedWithin reports whether a load report was received, with a response or by a poll,
+// less than d before now.
 func (t *Target) ReportedWithin(d time.Duration, now time.Time) bool {
 	return clock.Stamp(now)-t.reportedAt.Load() < int64(d)
 }
 
 // MarkLeaving records that the target refused a call because it is leaving, or reported
-// so. This holds for leavingTTL.
+// so. The record expires after leavingTTL.
 func (t *Target) MarkLeaving(now time.Time) { t.leavingUntil.Store(clock.Stamp(now.Add(leavingTTL))) }
 
 // IsLeaving reports whether the target is leaving, by the instance list, a refusal or the
@@ -134,7 +135,7 @@
 
 // usable reports whether the target may get a call: it is not leaving, and not ejected.
 // After an ejection it gets a single call, its probe, which starts the next ejection
-// (claimProbe). The success of the probe ends that.
+// (claimProbe); the success of the probe ends that one.
 func (t *Target) usable(now time.Time) bool {
 	if t.IsLeaving(now) {
 		return false
@@ -163,9 +164,9 @@
 }
 
 // load returns this entry's calls in progress divided by the capacity. It leaves out the
-// calls of other entries, because reports of them are delayed: measurements showed no gain
-// from slightly delayed reports and a loss from very delayed ones. The latency, which this
-// entry measures itself, includes their effect.
+// calls of other entries, because reports of them are delayed: slightly delayed ones bring
+// no gain, and very delayed ones mislead the choice. The latency, which this entry measures
+// itself, includes their effect.
 func (t *Target) load() float64 {
 	return float64(t.inflight.Load()) / float64(t.Capacity())
 }
@@ -187,8 +188,9 @@
 	return (t.load() + 1/float64(t.Capacity())) * t.expectedLatency(now)
 }
 
-// Status is the state of a target as the admin interface shows it. Calls counts all calls
-// begun, Load is calls in progress per capacity, and LatencyMS is in milliseconds.
+// Status is the state of a target as the admin interface shows it. Inflight counts this
+// entry's calls in progress, Calls all calls begun; Load is Inflight over the capacity, and
+// LatencyMS the average latency in milliseconds, 0 without data.
 type Status struct {
 	ID        string  `json:"id"`
 	Hall      string  `json:"hall"`
