--- a/internal/state/quota/quota_test.go
+++ b/internal/state/quota/quota_test.go
@@ -15,7 +15,7 @@
 func TestPartsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 2000).Draw(t, "processes")
-		limit := rapid.IntRange(0, 5000).Draw(t, "limit")
+		limit := rapid.IntRange(0, 5000).Draw(t, "bound")
 		key := rapid.String().Draw(t, "key")
 		sum := 0
 		for index := range count {
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -160,7 +160,7 @@
 		p := Unknown
 		for range 10 {
 			before := p
-			p = p.Join(Phase(rapid.IntRange(int(Unknown), int(RolledBack)).Draw(t, "received")))
+			p = p.Join(Phase(rapid.IntRange(int(Unknown), int(RolledBack)).Draw(t, "heard")))
 			if p < before || (before.Final() && p != before) {
 				t.Fatalf("phase %d follows %d", p, before)
 			}
--- a/internal/state/share/grants.go
+++ b/internal/state/share/grants.go
@@ -16,9 +16,10 @@
 	// LeaseTime is how long concurrency units are leased, and how long leased rate
 	// units can be spent.
 	LeaseTime = 2 * time.Second
-	// burstTime is the span of its rate that an account may use at once.
+	// burstTime is the span of time whose rate units an account may use at once.
 	burstTime = 500 * time.Millisecond
-	// idleTimeout is how long after the last request an account is removed.
+	// idleTimeout is how long after the last request the state of an account is removed, at
+	// the owner and at entries.
 	idleTimeout = time.Minute
 )
 
@@ -28,12 +29,12 @@
 	accounts sync.Map // name to *account
 }
 
-// account is the owner's state of one account. Its methods require mu to be held.
+// account is the owner's state of one account. mu must be held for its methods.
 type account struct {
 	mu            sync.Mutex
 	bucket        *rate.Limiter     // nil before the first lease of rate units
-	ratePerSecond float64           // of bucket
-	grants        map[string]*grant // by entry
+	ratePerSecond float64           // the rate of bucket
+	grants        map[string]*grant // by ID of the entry
 	// ownedSince is when this process began to own the account.
 	ownedSince time.Time
 	lastUsed   time.Time
@@ -41,15 +42,15 @@
 
 // grant is the concurrency that one entry has leased.
 type grant struct {
-	units     int64
-	wanted    int64
+	units     int64 // leased
+	wanted    int64 // demanded with the last request, in total
 	expiresAt time.Time
 }
 
-// Lease grants the entry from what it wants of the limits of a, as far as they allow,
-// and sets RetryAfter if it grants less. The lease is not limited if a is nil or has
-// no limits. members is the number of members of the fleet.
-func (g *Grants) Lease(a *hookhall.Account, from string, want hookhall.ShareDemand, members int, now time.Time) hookhall.ShareLease {
+// Lease grants an entry what it wants of the limits of the account a, as far as they allow,
+// and sets RetryAfter if it grants less. The lease is not limited if a is nil or has no
+// limits. members is the number of members of the fleet.
+func (g *Grants) Lease(a *hookhall.Account, entryID string, want hookhall.ShareDemand, members int, now time.Time) hookhall.ShareLease {
 	lease := hookhall.ShareLease{Account: want.Account}
 	if a == nil || a.Rate == 0 && a.Concurrency == 0 {
 		return lease
@@ -67,7 +68,7 @@
 		lease.Rate, lease.RetryAfter = owned.leaseRate(a.Rate, want.Rate, now)
 	}
 	if a.Concurrency > 0 {
-		lease.Concurrency = owned.leaseUnits(int64(a.Concurrency), from, want, members, now)
+		lease.Concurrency = owned.leaseUnits(int64(a.Concurrency), entryID, want, members, now)
 		if lease.Concurrency < want.Concurrency && lease.RetryAfter == 0 {
 			lease.RetryAfter = LeaseTime / 4
 		}
@@ -95,37 +96,37 @@
 	return 0, time.Duration(max(missing, 0) / ratePerSecond * float64(time.Second))
 }
 
-// leaseUnits grants an entry its max-min fair share of the free concurrency units and
+// leaseUnits grants an entry its max-min fair share of limit, as far as units are free, and
 // returns their number. It replaces the entry's previous grant.
-func (a *account) leaseUnits(limit int64, from string, want hookhall.ShareDemand, members int, now time.Time) int64 {
+func (a *account) leaseUnits(limit int64, entryID string, want hookhall.ShareDemand, members int, now time.Time) int64 {
 	a.dropExpired(now)
 	if want.Concurrency <= 0 {
-		delete(a.grants, from)
+		delete(a.grants, entryID)
 		return 0
 	}
 	var unitsOfOthers int64
-	for entry, other := range a.grants {
-		if entry != from {
+	for otherID, other := range a.grants {
+		if otherID != entryID {
 			unitsOfOthers += other.units
 		}
 	}
-	units := min(want.Concurrency, max(limit-unitsOfOthers, 0), a.fairShare(limit, from, want.Concurrency))
+	units := min(want.Concurrency, max(limit-unitsOfOthers, 0), a.fairShare(limit, entryID, want.Concurrency))
 	if now.Sub(a.ownedSince) < LeaseTime {
 		// Leases of the previous owner may still run and are not known here: let each
 		// entry keep what it holds, or give it an even share.
 		evenShare := max(limit/int64(max(members, 1)), 1)
 		units = min(max(want.Held, min(want.Concurrency, evenShare)), max(limit-unitsOfOthers, 0))
 	}
-	a.grants[from] = &grant{units: units, wanted: want.Concurrency, expiresAt: now.Add(LeaseTime)}
+	a.grants[entryID] = &grant{units: units, wanted: want.Concurrency, expiresAt: now.Add(LeaseTime)}
 	return units
 }
 
-// fairShare returns the part of limit that the entry from gets when limit is divided
-// among the wants of all entries by max-min fairness.
-func (a *account) fairShare(limit int64, from string, wanted int64) int64 {
+// fairShare returns the part of limit that an entry which wants wanted units gets when limit
+// is divided among the wants of all entries by max-min fairness.
+func (a *account) fairShare(limit int64, entryID string, wanted int64) int64 {
 	wants := []int64{wanted}
-	for entry, other := range a.grants {
-		if entry != from {
+	for otherID, other := range a.grants {
+		if otherID != entryID {
 			wants = append(wants, other.wanted)
 		}
 	}
@@ -153,9 +154,9 @@
 
 // dropExpired removes expired grants.
 func (a *account) dropExpired(now time.Time) {
-	for entry, other := range a.grants {
+	for otherID, other := range a.grants {
 		if now.After(other.expiresAt) {
-			delete(a.grants, entry)
+			delete(a.grants, otherID)
 		}
 	}
 }
@@ -174,7 +175,7 @@
 	})
 }
 
-// Len returns the number of accounts with recorded leases.
+// Len returns the number of accounts with a recorded state; leases of them may have expired.
 func (g *Grants) Len() int {
 	n := 0
 	g.accounts.Range(func(_, _ any) bool { n++; return true })
--- a/internal/state/share/share_test.go
+++ b/internal/state/share/share_test.go
@@ -96,36 +96,36 @@
 	now := time.Unix(1e9, 0)
 	a := &hookhall.Account{Name: "a", Rate: 10, Concurrency: 2}
 	Convey("An allocation", t, func() {
-		p := (&Allocations{}).Allocation("a")
-		spend := func(at time.Time) Decision { d, _ := p.Spend(a, at); return d }
+		allocation := (&Allocations{}).Allocation("a")
+		spend := func(at time.Time) Decision { d, _ := allocation.Spend(a, at); return d }
 		Convey("asks the owner first, spends the lease, and asks again", func() {
 			So(spend(now), ShouldEqual, Ask)
-			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
+			allocation.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Ask)
 		})
 		Convey("does not spend expired units", func() {
-			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
+			allocation.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 2, Concurrency: 2}, now)
 			So(spend(now.Add(2*LeaseTime)), ShouldEqual, Ask)
 		})
 		Convey("does not exceed its concurrency units", func() {
-			p.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 9, Concurrency: 1}, now)
+			allocation.ApplyLease(hookhall.ShareLease{Limited: true, Rate: 9, Concurrency: 1}, now)
 			So(spend(now), ShouldEqual, Pass)
 			So(spend(now), ShouldEqual, Ask)
-			p.Done()
+			allocation.Done()
 			So(spend(now), ShouldEqual, Pass)
 		})
 		Convey("denies requests after a refusal and returns the time until units are available", func() {
-			p.ApplyLease(hookhall.ShareLease{Limited: true, RetryAfter: time.Second}, now)
-			d, after := p.Spend(a, now)
+			allocation.ApplyLease(hookhall.ShareLease{Limited: true, RetryAfter: time.Second}, now)
+			d, after := allocation.Spend(a, now)
 			So(d, ShouldEqual, Deny)
 			So(after, ShouldEqual, time.Second)
 		})
 		Convey("falls back to an even share without the owner", func() {
-			ok, _ := p.SpendWithoutOwner(a, 2, now)
+			ok, _ := allocation.SpendWithoutOwner(a, 2, now)
 			So(ok, ShouldBeTrue)
-			ok, after := p.SpendWithoutOwner(a, 2, now)
+			ok, after := allocation.SpendWithoutOwner(a, 2, now)
 			So(ok, ShouldBeFalse)
 			So(after, ShouldBeGreaterThan, 0)
 		})
@@ -140,9 +140,9 @@
 	b.RunParallel(func(pb *testing.PB) {
 		now := time.Now()
 		for pb.Next() {
-			p := allocations.Allocation("a")
-			if d, _ := p.Spend(a, now); d == Pass {
-				p.Done()
+			allocation := allocations.Allocation("a")
+			if d, _ := allocation.Spend(a, now); d == Pass {
+				allocation.Done()
 			}
 		}
 	})
