--- a/internal/state/table/column.go
+++ b/internal/state/table/column.go
@@ -113,14 +113,14 @@
 // parseStageRow parses the name of a row of the stages sheet: recap/1-encode gives
 // pipeline recap, order 1 and stage encode.
 func parseStageRow(row string) (pipeline string, order int, stage string, ok bool) {
-	pipeline, rest, ok1 := strings.Cut(row, "/")
-	number, stage, ok2 := strings.Cut(rest, "-")
+	pipeline, rest, hasSlash := strings.Cut(row, "/")
+	number, stage, hasHyphen := strings.Cut(rest, "-")
 	order, err := strconv.Atoi(number)
-	return pipeline, order, stage, ok1 && ok2 && err == nil && pipeline != "" && stage != ""
+	return pipeline, order, stage, hasSlash && hasHyphen && err == nil && pipeline != "" && stage != ""
 }
 
-// isWord reports whether s has one or more ASCII letters, digits, dots, underscores and
-// hyphens, and nothing else.
+// isWord reports whether s consists of one or more ASCII letters, digits, dots, underscores
+// and hyphens.
 func isWord(s string) bool {
 	for _, r := range s {
 		switch {
@@ -132,6 +132,7 @@
 	return s != ""
 }
 
+// isBool reports whether s is "true" or "false".
 func isBool(s string) bool { return s == "true" || s == "false" }
 
 // isHash reports whether s is a SHA-256 in hex.
--- a/internal/state/table/document.go
+++ b/internal/state/table/document.go
@@ -122,7 +122,8 @@
 	return n
 }
 
-// ContentHash returns the hash of a chunk's content: the first 16 bytes of its SHA-256, in hex.
+// ContentHash returns the hash of a chunk's content: the first 16 bytes of its SHA-256, in
+// hex.
 func ContentHash(chunk []byte) string {
 	sum := sha256.Sum256(chunk)
 	return hex.EncodeToString(sum[:16])
@@ -169,8 +170,8 @@
 	return row, ok
 }
 
-// AppliedVersion returns the version that the edit request with this ID made, 0 when the root
-// doesn't list it.
+// AppliedVersion returns the version that the edit request with this ID made, 0 when the
+// root doesn't list it.
 func (r Root) AppliedVersion(id string) uint64 {
 	for _, e := range r.Edits {
 		if e.ID == id {
@@ -181,8 +182,9 @@
 }
 
 // Apply returns the document of the next version, with all edits of the request id
-// applied; on an error none is. The error is a list of *CellError when cells are invalid,
-// and Conflicts when cells no longer hold the base of their edit.
+// applied; on an error no edit is applied. The error is CellErrors when cells are invalid
+// or two accounts have the same key, and Conflicts when cells no longer hold the base of
+// their edit.
 func (d *Document) Apply(id string, edits []hookhall.Edit) (*Document, error) {
 	if err := checkEdits(edits); err != nil {
 		return nil, err
@@ -210,8 +212,8 @@
 	return next, nil
 }
 
-// checkEdits returns a list of *CellError, one for each invalid edit, nil when there are
-// none.
+// checkEdits returns CellErrors with one entry for each invalid edit, nil when there are
+// none. It does not check deletions of rows.
 func checkEdits(edits []hookhall.Edit) error {
 	var invalid CellErrors
 	for _, e := range edits {
@@ -267,8 +269,8 @@
 	return Conflict{}, true
 }
 
-// encodeChunks encodes the touched chunks, by their index, and adds the names that they
-// replace to Root.Retired.
+// encodeChunks encodes the touched chunks, by their index, names them for Root.Version, and
+// adds the names that they replace to Root.Retired.
 func (d *Document) encodeChunks(touched map[int]bool) {
 	byChunk := make(map[int][]hookhall.Row, len(touched))
 	for k, row := range d.rowsByKey {
@@ -285,6 +287,7 @@
 	}
 }
 
+// encodeRows sorts rows and returns the chunk that holds them, JSON; nil without rows.
 func encodeRows(rows []hookhall.Row) []byte {
 	if len(rows) == 0 {
 		return nil
@@ -309,8 +312,8 @@
 	return kept
 }
 
-// ObsoleteChunks returns the names of the retired chunks of d that its successor next no longer
-// lists. They can be deleted.
+// ObsoleteChunks returns the names of the retired chunks of d that its successor next no
+// longer lists. They can be deleted.
 func (d *Document) ObsoleteChunks(next *Document) []string {
 	kept := map[string]bool{}
 	for _, r := range next.Root.Retired {
@@ -325,13 +328,13 @@
 	return names
 }
 
-// appendEdit returns a copy of old with m appended, without the oldest entries above
+// appendEdit returns a copy of old with applied appended, without the oldest entries above
 // maxAppliedEdits.
-func appendEdit(old []AppliedEdit, m AppliedEdit) []AppliedEdit {
+func appendEdit(old []AppliedEdit, applied AppliedEdit) []AppliedEdit {
 	if len(old) >= maxAppliedEdits {
 		old = old[len(old)-maxAppliedEdits+1:]
 	}
-	return append(append([]AppliedEdit(nil), old...), m)
+	return append(append([]AppliedEdit(nil), old...), applied)
 }
 
 // rowKey returns the key of a row in Document.rowsByKey, as in accounts/acme.
@@ -340,6 +343,7 @@
 // chunkOf returns the index of the chunk that holds the row with this rowKey.
 func chunkOf(key string) int { return int(xxhash.Sum64String(key) % ChunkCount) }
 
+// sortRows sorts rows in place by sheet and name.
 func sortRows(rows []hookhall.Row) {
 	sort.Slice(rows, func(i, j int) bool {
 		if rows[i].Sheet != rows[j].Sheet {
--- a/internal/state/table/errors.go
+++ b/internal/state/table/errors.go
@@ -10,7 +10,7 @@
 	"github.com/hookhall/hookhall"
 )
 
-// CellError is the error of one invalid cell, or of its row when Column is empty.
+// CellError is the error of one invalid cell, or of its row or sheet when Column is empty.
 type CellError struct {
 	Sheet   hookhall.Sheet `json:"sheet"`
 	Row     string         `json:"row"`
--- a/internal/state/table/snapshot.go
+++ b/internal/state/table/snapshot.go
@@ -34,8 +34,8 @@
 // AccountByKey returns the account whose key has this hex SHA-256, nil when there is none.
 func (s *Snapshot) AccountByKey(hash string) *hookhall.Account { return s.accountsByKeyHash[hash] }
 
-// Compile returns the Snapshot of a document, or a list of *CellError when two accounts
-// have the same key.
+// Compile returns the Snapshot of a document, or CellErrors when two accounts have the same
+// key.
 func Compile(d *Document) (*Snapshot, error) {
 	s := &Snapshot{
 		Version:           d.Root.Version,
@@ -69,8 +69,8 @@
 	return s, nil
 }
 
-// addAccount adds the account of a row; it returns a list of *CellError when another
-// account has the same key.
+// addAccount adds the account of a row; it returns CellErrors when another account has the
+// same key.
 func (s *Snapshot) addAccount(row hookhall.Row) CellErrors {
 	a := &hookhall.Account{
 		Name:        row.Name,
