--- a/internal/state/view/view.go
+++ b/internal/state/view/view.go
@@ -29,7 +29,8 @@
 )
 
 // SlotCount is the number of slots that claim keys are hashed to. With 330 members each
-// holds some 8 slots as owner or standby; it is the same in all processes.
+// holds some 6 slots as owner or standby. It must be the same in all processes, which
+// otherwise find different owners for a key.
 const SlotCount = 1024
 
 // maxChanges is the number of membership changes that a view lists: about three hours
@@ -53,13 +54,13 @@
 
 // Members returns the members of the pair, at most two, the owner first.
 func (p Pair) Members() []hookhall.Member {
-	var ms []hookhall.Member
+	var members []hookhall.Member
 	for _, m := range []*hookhall.Member{p.Owner, p.Standby} {
 		if m != nil {
-			ms = append(ms, *m)
+			members = append(members, *m)
 		}
 	}
-	return ms
+	return members
 }
 
 // PairOf returns the pair of a slot among members. It points into members, and its time
@@ -111,10 +112,10 @@
 	return best
 }
 
-// rendezvousScore returns the score of an instance for a slot number or a hash; a
+// rendezvousScore returns the score of an instance for n, a slot number or a hash; a
 // splitmix64 step spreads scores evenly.
-func rendezvousScore(name string, n uint64) uint64 {
-	x := xxhash.Sum64String(name) ^ (n+1)*0x9e3779b97f4a7c15
+func rendezvousScore(instance string, n uint64) uint64 {
+	x := xxhash.Sum64String(instance) ^ (n+1)*0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
 	return x ^ (x >> 31)
@@ -140,7 +141,7 @@
 }
 
 // Decode is the inverse of Encode; an empty b gives the empty view. It returns an error
-// when the members are not sorted by ID or not unique.
+// when b is not valid JSON, or the members are not sorted by ID or not unique.
 func Decode(b []byte) (*hookhall.View, error) {
 	v := &hookhall.View{}
 	if len(b) == 0 {
@@ -164,12 +165,12 @@
 	if _, ok := Find(v, m.ID); ok {
 		return v
 	}
-	n := clone(v)
+	next := clone(v)
 	var left []hookhall.Member
-	n.Members, left = partition(n.Members, func(x hookhall.Member) bool { return x.Instance != m.Instance })
-	n.Members = append(n.Members, m)
-	n.Unfenced, _ = partition(n.Unfenced, func(x hookhall.Member) bool { return x.Instance != m.Instance })
-	return commitChange(n, []hookhall.Member{m}, left)
+	next.Members, left = partition(next.Members, func(x hookhall.Member) bool { return x.Instance != m.Instance })
+	next.Members = append(next.Members, m)
+	next.Unfenced, _ = partition(next.Unfenced, func(x hookhall.Member) bool { return x.Instance != m.Instance })
+	return commitChange(next, []hookhall.Member{m}, left)
 }
 
 // Leave returns v without the member, or v itself when it is not in it. Unless gone is
@@ -179,29 +180,29 @@
 	if !ok {
 		return v
 	}
-	n := clone(v)
-	n.Members, _ = partition(n.Members, func(x hookhall.Member) bool { return x.ID != id })
+	next := clone(v)
+	next.Members, _ = partition(next.Members, func(x hookhall.Member) bool { return x.ID != id })
 	if !gone {
-		n.Unfenced = append(n.Unfenced, m)
+		next.Unfenced = append(next.Unfenced, m)
 	}
-	return commitChange(n, nil, []hookhall.Member{m})
+	return commitChange(next, nil, []hookhall.Member{m})
 }
 
 // Fence returns v without the member among the unfenced ones, for use once the platform
 // reports that the member has ended. The epoch stays; the revision grows by one. It
 // returns v itself when the member is not unfenced.
 func Fence(v *hookhall.View, id string) *hookhall.View {
-	n := clone(v)
-	n.Unfenced, _ = partition(n.Unfenced, func(x hookhall.Member) bool { return x.ID != id })
-	if len(n.Unfenced) == len(v.Unfenced) {
+	next := clone(v)
+	next.Unfenced, _ = partition(next.Unfenced, func(x hookhall.Member) bool { return x.ID != id })
+	if len(next.Unfenced) == len(v.Unfenced) {
 		return v
 	}
-	n.Revision++
-	return n
+	next.Revision++
+	return next
 }
 
-// MembersAt returns the members of v's epoch or an earlier one, sorted by ID. It returns false
-// for later epochs and for those that v's list of changes doesn't reach back to.
+// MembersAt returns the members of v's epoch or an earlier one, sorted by ID. It returns
+// false for later epochs and for those that v's list of changes doesn't reach back to.
 func MembersAt(v *hookhall.View, epoch uint64) ([]hookhall.Member, bool) {
 	if epoch > v.Epoch {
 		return nil, false
@@ -231,24 +232,24 @@
 
 // clone returns a copy of v that shares no slice of members or changes with it.
 func clone(v *hookhall.View) *hookhall.View {
-	n := *v
-	n.Members = append([]hookhall.Member(nil), v.Members...)
-	n.Unfenced = append([]hookhall.Member(nil), v.Unfenced...)
-	n.Changes = append([]hookhall.MembershipChange(nil), v.Changes...)
-	return &n
+	c := *v
+	c.Members = append([]hookhall.Member(nil), v.Members...)
+	c.Unfenced = append([]hookhall.Member(nil), v.Unfenced...)
+	c.Changes = append([]hookhall.MembershipChange(nil), v.Changes...)
+	return &c
 }
 
-// commitChange completes n, a clone whose members were changed: it sorts them, counts
-// epoch and revision up, and adds the change to the list.
-func commitChange(n *hookhall.View, joined, left []hookhall.Member) *hookhall.View {
-	sortMembers(n.Members)
-	n.Epoch++
-	n.Revision++
-	n.Changes = append(n.Changes, hookhall.MembershipChange{Epoch: n.Epoch, Joined: joined, Left: left})
-	if len(n.Changes) > maxChanges {
-		n.Changes = n.Changes[len(n.Changes)-maxChanges:]
+// commitChange completes next, a clone whose members were changed: it sorts them,
+// increments epoch and revision, and adds the change to the list. It returns next.
+func commitChange(next *hookhall.View, joined, left []hookhall.Member) *hookhall.View {
+	sortMembers(next.Members)
+	next.Epoch++
+	next.Revision++
+	next.Changes = append(next.Changes, hookhall.MembershipChange{Epoch: next.Epoch, Joined: joined, Left: left})
+	if len(next.Changes) > maxChanges {
+		next.Changes = next.Changes[len(next.Changes)-maxChanges:]
 	}
-	return n
+	return next
 }
 
 // partition returns the members for which keep returns true, and the others.
@@ -263,6 +264,7 @@
 	return kept, removed
 }
 
-func sortMembers(ms []hookhall.Member) {
-	sort.Slice(ms, func(i, j int) bool { return ms[i].ID < ms[j].ID })
+// sortMembers sorts members in place by ID.
+func sortMembers(members []hookhall.Member) {
+	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
 }
--- a/internal/state/view/view_test.go
+++ b/internal/state/view/view_test.go
@@ -11,6 +11,7 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
+// member returns an incarnation of the member with index i, in one of three halls.
 func member(i, incarnation int) hookhall.Member {
 	return hookhall.Member{ID: fmt.Sprintf("e%02d#%d", i, incarnation), Instance: fmt.Sprintf("e%02d", i), Hall: fmt.Sprintf("h%d", i%3)}
 }
