--- a/internal/state/share/grants.go
+++ b/internal/state/share/grants.go
@@ -47,9 +47,10 @@
 	expiresAt time.Time
 }
 
-// Lease grants an entry what it wants of the limits of the account a, as far as they allow,
-// and sets RetryAfter if it grants less. The lease is not limited if a is nil or has no
-// limits. members is the number of members of the fleet.
+// Lease grants an entry what it wants of the limits of the account a, as far as they allow.
+// It sets RetryAfter if it grants none of the wanted rate units, or fewer concurrency units
+// than wanted. The lease is not limited if a is nil or has no limits. members is the number
+// of members of the fleet.
 func (g *Grants) Lease(a *hookhall.Account, entryID string, want hookhall.ShareDemand, members int, now time.Time) hookhall.ShareLease {
 	lease := hookhall.ShareLease{Account: want.Account}
 	if a == nil || a.Rate == 0 && a.Concurrency == 0 {
