--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -28,19 +28,20 @@
 	// to its watch, in case the watch missed a change without an error.
 	fullReadInterval = 10 * time.Second
 	// eventGatherDelay is the pause after a watch that returned events, so that further changes
-	// arrive with the next call: when all targets start at once, each of them is one change.
-	// A tenth of a second is a small part of the three seconds in which a change must be in force.
+	// arrive with the next call: when all targets start at once, each of them is one change. A
+	// tenth of a second is a small part of the three seconds in which a change must be in force.
 	eventGatherDelay = 100 * time.Millisecond
-	// rankDelayStep is added to readInterval once for the second reader, and twice plus a random
-	// part for all others. The table's state that peers send is already as old as a watch and
-	// the reader's interval together.
+	// rankDelayStep is added, once for the second reader and twice plus a random part for all
+	// others, to readInterval, the age at which they read the store themselves. The state of the
+	// table that peers send is already as old as a watch and the reader's interval together.
 	rankDelayStep = 350 * time.Millisecond
-	// maxRank is the highest rank that matters; higher ones are treated like it.
+	// maxRank is the rank of all processes but the first and the second reader; higher ranks are
+	// treated like it.
 	maxRank = 2
 	// fleetDelayStep widens the random part for each gateway of the fleet, up to maxFleetDelay:
-	// in a large fleet an update takes some tenths of a second to reach everybody, and the first
-	// process that reads the store updates all others. With maxFleetDelay, the state stays well
-	// within the three seconds in which a change must be in force.
+	// in a large fleet an update takes some tenths of a second to reach all, and the first
+	// process that reads the store updates the others. With maxFleetDelay, the state's age stays
+	// well within the three seconds in which a change must be in force.
 	fleetDelayStep = 4 * time.Millisecond
 	maxFleetDelay  = 1200 * time.Millisecond
 	// maxTakeoverAge is the maximum age of the state from which a new first reader watches. An
@@ -66,32 +67,32 @@
 // Catalog mirrors the operators' keys and the targets of the platform's store. The fields that
 // are functions must be set before Run; all methods may be called concurrently.
 type Catalog struct {
-	store    hookhall.Store
-	platform hookhall.StoreSchema
-	log      *log.Logger
+	store  hookhall.Store
+	schema hookhall.StoreSchema
+	log    *log.Logger
 
 	table             atomic.Pointer[tableState]
 	snapshot          atomic.Pointer[Snapshot]
 	halls             atomic.Pointer[Halls]
 	listingsByAddress sync.Map // address to listing
-	// ReaderRank returns the reader rank of this process: 0 reads the store for all, 1 stands by, and
-	// higher ranks read only what peers have not updated in time. Set before Run.
+	// ReaderRank returns the reader rank of this process: 0 reads the store for all, 1 is the
+	// first to read it when updates are late, and higher ranks follow. Set before Run.
 	ReaderRank func() int
-	// GatewayCount returns the number of gateways. Set before Run.
+	// GatewayCount returns the number of gateways, this one included. Set before Run.
 	GatewayCount func() int
-	// OnStoreRead is called after a read or watch of the store brought something new, so that peers
-	// can be updated. Set before Run.
+	// OnStoreRead is called after a read or watch of the store changed the known state or
+	// confirmed it anew, so that peers can be updated. Set before Run.
 	OnStoreRead func()
-	// ApplyOperatorKeys applies keys that operators have written, as of a revision of the store, and
-	// reports whether anything changed that peers need. complete is true if items has all of the
-	// operators' keys. Set before Run.
+	// ApplyOperatorKeys applies keys that operators have written, as of a revision of the store,
+	// and reports whether anything changed that peers need. complete is true if items has all of
+	// the operators' keys. Set before Run.
 	ApplyOperatorKeys func(items []hookhall.Item, revision hookhall.Revision, complete bool) bool
 	// OnRestart is called with the previous and the new listing when a target is listed in another
 	// incarnation. It must not block or call the catalog: c.mu is held. Set before Run.
 	OnRestart func(before, after hookhall.Target)
 
-	// readJitter is the part of the random delay that this process waits before it reads for
-	// itself at maxRank, in [0, 1).
+	// readJitter is the fraction of the random delay that this process waits at maxRank before it
+	// reads the store itself, in [0, 1).
 	readJitter float64
 
 	mu           sync.Mutex // held while snapshots and tables change
@@ -109,12 +110,13 @@
 	departedAt map[hookhall.Incarnation]time.Time
 	// bucketDigests has the digests of the listed targets.
 	bucketDigests Digests
-	// lastLapseEnd is the latest time until which a lapsed target stays usable.
+	// lastLapseEnd is the end of the last lapse: no lapsed target is usable after it.
 	lastLapseEnd time.Time
 	// readmittedAt maps halls to the time at which their evacuation ended.
 	readmittedAt map[string]time.Time
 	// storedHalls has the evacuated halls of the last reading or update. heldUntil maps halls
-	// that stay evacuated after the store was restored from an older copy to the end of that.
+	// that stay evacuated after the store was restored from an older copy to the time at which
+	// this ends.
 	storedHalls []string
 	heldUntil   map[string]time.Time
 	// syncedRevision is the latest revision up to which updates of peers were complete, as shown
@@ -132,8 +134,8 @@
 }
 
 // New returns a Catalog without a table and targets; Run fills it.
-func New(s hookhall.Store, p hookhall.StoreSchema, l *log.Logger) *Catalog {
-	c := &Catalog{store: s, platform: p, log: l, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Incarnation]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, ReaderRank: func() int { return 0 }, GatewayCount: func() int { return 1 }, OnStoreRead: func() {}, ApplyOperatorKeys: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, OnRestart: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
+func New(store hookhall.Store, schema hookhall.StoreSchema, logger *log.Logger) *Catalog {
+	c := &Catalog{store: store, schema: schema, log: logger, entriesByKey: map[string]*entry{}, rejectedHashes: map[string]uint64{}, departedAt: map[hookhall.Incarnation]time.Time{}, entriesByPool: map[string]map[string]*entry{}, changesByPool: map[string]*poolChanges{}, readmittedAt: map[string]time.Time{}, heldUntil: map[string]time.Time{}, ReaderRank: func() int { return 0 }, GatewayCount: func() int { return 1 }, OnStoreRead: func() {}, ApplyOperatorKeys: func([]hookhall.Item, hookhall.Revision, bool) bool { return false }, OnRestart: func(_, _ hookhall.Target) {}, readJitter: rand.Float64()}
 	c.recordAnswer(clock.Now())
 	return c
 }
@@ -149,10 +151,11 @@
 // Snapshot returns the current snapshot of the targets, or nil before the first reading.
 func (c *Catalog) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// Targets returns the usable targets of a service, sorted by id. The caller must not modify them.
+// Targets returns the usable targets of a service, whose name is their pool, sorted by id. The
+// caller must not modify them.
 func (c *Catalog) Targets(pool string) []hookhall.Target {
-	if p := c.snapshot.Load(); p != nil {
-		return p.ByPool[pool]
+	if snapshot := c.snapshot.Load(); snapshot != nil {
+		return snapshot.ByPool[pool]
 	}
 	return nil
 }
@@ -160,8 +163,8 @@
 // Evacuated reports whether a service has targets that would be usable, all of them in halls
 // that operators have evacuated.
 func (c *Catalog) Evacuated(pool string) bool {
-	p := c.snapshot.Load()
-	return p != nil && len(p.ByPool[pool]) == 0 && p.EvacuatedServices[pool]
+	snapshot := c.snapshot.Load()
+	return snapshot != nil && len(snapshot.ByPool[pool]) == 0 && snapshot.EvacuatedServices[pool]
 }
 
 // HallAt returns the hall of the target at an address, or "" if the address is unknown.
@@ -213,8 +216,8 @@
 
 // TargetsAge returns the age of the targets' snapshot, or 0 before the first reading.
 func (c *Catalog) TargetsAge(now time.Time) time.Duration {
-	if p := c.snapshot.Load(); p != nil {
-		return p.Age(now)
+	if snapshot := c.snapshot.Load(); snapshot != nil {
+		return snapshot.Age(now)
 	}
 	return 0
 }
@@ -246,8 +249,8 @@
 // Failing reports whether this process's last call of the store failed.
 func (c *Catalog) Failing() bool { return c.isFailing.Load() }
 
-// TimeSinceAnswer returns the time since the store last answered this process, which may not have made
-// a call in the meantime.
+// TimeSinceAnswer returns the time since the store last answered this process, or since New
+// before the first answer. It grows, too, while this process makes no calls.
 func (c *Catalog) TimeSinceAnswer(now time.Time) time.Duration { return now.Sub(*c.lastAnswer.Load()) }
 
 func (c *Catalog) recordAnswer(now time.Time) { c.lastAnswer.Store(&now) }
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -22,20 +22,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// fakePlatform stores routing tables as JSON and targets as short texts.
-type fakePlatform struct{}
+// fakeSchema decodes routing tables from JSON and targets from short texts.
+type fakeSchema struct{}
 
-func (fakePlatform) OperatorPrefix() string { return "op/" }
-func (fakePlatform) RoutingKey() string     { return "op/table" }
-func (fakePlatform) TargetPrefix() string   { return "t/" }
-func (fakePlatform) EvacuatedHall(key string) (string, bool) {
+func (fakeSchema) OperatorPrefix() string { return "op/" }
+func (fakeSchema) RoutingKey() string     { return "op/table" }
+func (fakeSchema) TargetPrefix() string   { return "t/" }
+func (fakeSchema) EvacuatedHall(key string) (string, bool) {
 	return strings.CutPrefix(key, "op/out/")
 }
-func (fakePlatform) ReadRouting(b []byte) (*hookhall.Routing, error) {
+func (fakeSchema) ReadRouting(b []byte) (*hookhall.Routing, error) {
 	r := &hookhall.Routing{}
 	return r, json.Unmarshal(b, r)
 }
-func (fakePlatform) ReadTarget(key string, b []byte) (hookhall.Target, error) {
+func (fakeSchema) ReadTarget(key string, b []byte) (hookhall.Target, error) {
 	t := hookhall.Target{ID: key[2:], Pool: "pool"}
 	// "a@north" is in the hall north; "cold 7 2000" is the value of its 7th heartbeat, which
 	// reports that it stays cold for another two seconds.
@@ -217,7 +217,7 @@
 }
 
 func newCatalog(s hookhall.Store) *Catalog {
-	return New(s, fakePlatform{}, log.New(io.Discard))
+	return New(s, fakeSchema{}, log.New(io.Discard))
 }
 
 // runCatalog runs a catalog and f in virtual time.
--- a/internal/coordination/catalog/doc.go
+++ b/internal/coordination/catalog/doc.go
@@ -8,25 +8,26 @@
 //
 // One process, the first reader, reads the store for all. It follows the table with watches
 // that wait only briefly, so that a connection that was cut silently is noticed well within the
-// time in which a change must be in force. It watches the targets in the same way, and lists
-// all of them every ten seconds: a watch returns nothing while heartbeats alone change their
-// keys. The other processes receive updates from peers (ApplyUpdate, ConfirmTable, ApplyPackedTable) and
-// read the store themselves when the last update is too old: the second reader first, then
-// all others. A new first reader watches from the revision up to which its peers have
-// updated it, and lists all targets within ten seconds. Ages count from the moment at which the
-// reading that confirmed the state began, by the monotonic clock.
+// time in which a change must be in force. It watches the targets in the same way; such a watch
+// returns nothing while only heartbeats change their keys. It also lists all targets every ten
+// seconds, in case the watch missed a change. The other processes receive updates from peers
+// (ApplyUpdate, ConfirmTable, ApplyPackedTable) and read the store themselves when the last
+// update is too old: the second reader first, then all others. A new first reader watches from
+// the revision up to which its peers have updated it, and lists all targets within ten seconds.
+// Ages count from the moment at which the reading that confirmed the state began, by the
+// monotonic clock.
 //
 // An update has the recent changes and a digest of all targets. A process that lacks an
-// earlier change gets another digest, and asks the sender for the buckets of targets in which
-// their digests differ.
+// earlier change computes another digest, and asks the sender for the buckets of targets in
+// which their digests differ.
 //
 // A target that announces that it is leaving, in its key or in an answer to any gateway, gets
 // no new requests in that incarnation. A target that goes missing gets no new requests
-// either, unless many went missing in one reading: then their leases have expired because
-// nobody could renew them, and these targets stay usable, as lapsed, for the two seconds in
-// which those that still run are listed again. A failing store alone is no evidence about a
-// single target: a process that was cut off for a while may find that a target left in the
-// meantime.
+// either, unless many went missing in one reading. Such a loss counts as leases that expired
+// because nobody could renew them: the targets stay usable, as lapsed, for the two seconds in
+// which those that still run are listed again. That calls to the store failed before is not
+// enough to treat a single missing target as lapsed: it may have left while this process could
+// not reach the store.
 //
 // The evacuated halls are read and watched together with the table, in one call, and every
 // update has all of them, as they are few. Targets of evacuated halls are not usable, and count
--- a/internal/coordination/catalog/entry.go
+++ b/internal/coordination/catalog/entry.go
@@ -14,7 +14,7 @@
 
 const (
 	// lapseTimeout is how long targets that went missing together stay usable: the platform
-	// promises that those which run and reach the store are listed again about two seconds
+	// guarantees that those which run and reach the store are listed again about two seconds
 	// after its return.
 	lapseTimeout = 2 * time.Second
 	// massLossShare is the share of all listed targets, and minMassLoss the number, that must go
@@ -22,14 +22,14 @@
 	// the store rather than as targets that left.
 	massLossShare = 0.4
 	minMassLoss   = 3
-	// missingTTL is how long a missing target is remembered, so that an older reading cannot
-	// list it again.
+	// missingTTL is how long the entry of a missing target is kept, so that an older reading
+	// cannot list it again.
 	missingTTL = 30 * time.Second
 	// sweepInterval is the minimum interval between checks of all entries for expiry: a check at
 	// each change would be too frequent with thousands of targets.
 	sweepInterval = time.Second
-	// maxRejected bounds the rejected keys that are remembered so that each is logged once. It
-	// allows for as many as there may be targets.
+	// maxRejected bounds the rejected keys that are recorded so that each is logged once. It is
+	// as large as the number of targets may be.
 	maxRejected = 4096
 )
 
@@ -43,8 +43,9 @@
 	missingSince time.Time
 	// lapsesAt is the time until which a missing target stays usable; zero if it does not.
 	lapsesAt time.Time
-	// value is the key's value as last read. changedAt is when this process last learned of a
-	// change of the target or of its absence; heartbeats do not count.
+	// value is the key's value as last read. changedAt is when this process last received a
+	// change of targetDigest, or of whether the target is listed; zero if there was none since
+	// the first reading.
 	value     []byte
 	changedAt time.Time
 	// revision is the store's revision at the key's last known change, 0 if the sender of the
@@ -65,8 +66,8 @@
 	return e.missingSince.IsZero() || now.Before(e.lapsesAt)
 }
 
-// targetDigest returns a hash of the fields of a target that matter to others. It leaves out the
-// heartbeat count and the remaining cold time, which change with each heartbeat.
+// targetDigest returns a hash of the fields of a target whose changes are sent to peers. It leaves
+// out the heartbeat count and the remaining cold time, which change with each heartbeat.
 func targetDigest(t *hookhall.Target) uint64 {
 	var b [512]byte
 	text := b[:0]
@@ -118,7 +119,7 @@
 		e.revision = max(e.revision, i.Revision)
 		return
 	}
-	t, err := c.platform.ReadTarget(i.Key, i.Value)
+	t, err := c.schema.ReadTarget(i.Key, i.Value)
 	if err != nil {
 		c.rejectItem(i, e, err, from, now)
 		return
@@ -183,8 +184,8 @@
 	e.target, e.digest, e.value = t, sum, value
 }
 
-// startIncarnation handles a target that is listed in another incarnation: nothing is known of
-// the new one, so a target that was leaving gets requests again. c.mu must be held.
+// startIncarnation handles a target that is listed in another incarnation: the state of the
+// previous one does not apply, so a target that was leaving gets requests again. c.mu must be held.
 func (c *Catalog) startIncarnation(e *entry, t hookhall.Target, from string) {
 	c.log.Info("target restarted", "target", t.ID, "service", t.Pool, "born", t.Start, "before", e.target.Start, "left", e.isLeaving, "from", from)
 	e.isLeaving = false
@@ -252,7 +253,7 @@
 		if !e.missingSince.IsZero() && now.Sub(e.missingSince) > missingTTL {
 			c.unindex(e)
 			if e.isLeaving {
-				c.rememberDeparted(e.target.Incarnation(), now)
+				c.recordDeparted(e.target.Incarnation(), now)
 			}
 			delete(c.entriesByKey, key)
 			c.listingsByAddress.CompareAndDelete(e.target.Address, listingOf(e))
--- a/internal/coordination/catalog/follow_test.go
+++ b/internal/coordination/catalog/follow_test.go
@@ -124,12 +124,12 @@
 				r.Items = append(r.Items, hookhall.Item{Key: fmt.Sprint("t/x", i*rapid.IntRange(1, 3).Draw(t, "step")), Value: []byte(value)})
 			}
 			reader.ApplyReading(r, "store")
-			n := reader.RecentUpdate(time.Now())
+			update := reader.RecentUpdate(time.Now())
 			if rapid.Bool().Draw(t, "part of the update is lost") {
-				n.Gone = nil
-				n.Changed = n.Changed[:len(n.Changed)/2]
+				update.Gone = nil
+				update.Changed = update.Changed[:len(update.Changed)/2]
 			}
-			if _, gap := follower.ApplyUpdate(n, "reader"); gap {
+			if _, gap := follower.ApplyUpdate(update, "reader"); gap {
 				if !follower.ApplyRepair(reader.DifferingBuckets(follower.Digests()), "reader") {
 					t.Fatal("the repair left a gap")
 				}
@@ -148,10 +148,10 @@
 	c := newCatalog(newFakeStore())
 	c.ApplyReading(readyReading(5, "a", "b"), "store")
 	for name, r := range map[string]Repair{
-		"older":               {Reading: readyReading(4, "a"), Buckets: []int{0}},
-		"an unknown bucket":   {Reading: readyReading(6, "a"), Buckets: []int{BucketCount}},
-		"another digest":      {Reading: readyReading(6, "a", "c"), Buckets: []int{bucketOf("t/c")}, Digest: 1},
-		"nothing from nobody": {},
+		"older":             {Reading: readyReading(4, "a"), Buckets: []int{0}},
+		"an unknown bucket": {Reading: readyReading(6, "a"), Buckets: []int{BucketCount}},
+		"another digest":    {Reading: readyReading(6, "a", "c"), Buckets: []int{bucketOf("t/c")}, Digest: 1},
+		"empty":             {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.ApplyRepair(r, "peer") || c.Snapshot().Revision != 5 {
--- a/internal/coordination/catalog/halls.go
+++ b/internal/coordination/catalog/halls.go
@@ -13,7 +13,7 @@
 )
 
 // defaultColdTime is how long targets of a readmitted hall count as cold when the table does not
-// give the duration of a cold start: the 3 seconds that tables give where they do.
+// give the duration of a cold start. Tables that do give it have 3 seconds.
 const defaultColdTime = 3 * time.Second
 
 // Halls is the set of halls that operators have evacuated, as of a revision of the store.
@@ -43,7 +43,7 @@
 func (c *Catalog) evacuatedHalls(items []hookhall.Item) []string {
 	var list []string
 	for _, i := range items {
-		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
+		if hall, ok := c.schema.EvacuatedHall(i.Key); ok {
 			list = append(list, hall)
 		}
 	}
@@ -60,7 +60,7 @@
 		evacuated[hall] = true
 	}
 	for _, i := range events {
-		if hall, ok := c.platform.EvacuatedHall(i.Key); ok {
+		if hall, ok := c.schema.EvacuatedHall(i.Key); ok {
 			evacuated[hall] = !i.Deleted
 			delete(c.heldUntil, hall)
 		}
@@ -91,15 +91,15 @@
 		return false
 	}
 	c.recordHallChanges(old, h, from)
-	if p := c.snapshot.Load(); p != nil {
+	if snapshot := c.snapshot.Load(); snapshot != nil {
 		c.markAllDirty()
-		c.publish(p.Revision, p.Began, clock.Now())
+		c.publish(snapshot.Revision, snapshot.Began, clock.Now())
 	}
 	return true
 }
 
 // recordHallChanges logs evacuations and their ends, and records when halls were readmitted:
-// their targets may have turned cold in the meantime, and report that only with their next
+// their targets may have become cold in the meantime, and report that only with their next
 // heartbeat. c.mu must be held.
 func (c *Catalog) recordHallChanges(old *Halls, h Halls, from string) {
 	for _, hall := range h.Evacuated {
--- a/internal/coordination/catalog/incarnations_test.go
+++ b/internal/coordination/catalog/incarnations_test.go
@@ -94,8 +94,8 @@
 		}
 		list = append(list, list[r.IntN(len(list))]) // one update arrives twice
 		r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		for _, n := range list {
-			c.ApplyUpdate(n, "peer")
+		for _, update := range list {
+			c.ApplyUpdate(update, "peer")
 		}
 		want := strings.HasSuffix(values[last-1], "ready") || strings.HasSuffix(values[last-1], "cold")
 		if listed, cold := targetStatus(c); listed != want || cold != strings.HasSuffix(values[last-1], "cold") {
--- a/internal/coordination/catalog/leaving.go
+++ b/internal/coordination/catalog/leaving.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// departedTTL is how long a leaving incarnation without an entry is remembered, so that it
+	// departedTTL is how long a leaving incarnation without an entry is recorded, so that it
 	// gets no requests if it is listed later.
 	departedTTL = 10 * time.Minute
 	// maxDeparted bounds the number of those incarnations.
 	maxDeparted = 4096
 )
 
-// MarkLeaving marks an incarnation of a target as leaving, whatever its key in the store says. The
-// target gets no new requests in that incarnation.
-func (c *Catalog) MarkLeaving(l hookhall.Incarnation, from string) {
+// MarkLeaving marks an incarnation of a target as leaving, whatever its key in the store holds.
+// The target gets no new requests in that incarnation. from names the source, for the log.
+func (c *Catalog) MarkLeaving(incarnation hookhall.Incarnation, from string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := clock.Now()
-	e := c.findIncarnation(l)
+	e := c.findIncarnation(incarnation)
 	if e == nil {
-		c.rememberDeparted(l, now)
+		c.recordDeparted(incarnation, now)
 		return
 	}
 	if e.isLeaving {
@@ -34,35 +34,37 @@
 	}
 	e.isLeaving = true
 	c.markDirty(e)
-	c.log.Info("target leaving", "target", l.ID, "service", e.target.Pool, "from", from)
-	if p := c.snapshot.Load(); p != nil {
-		c.publish(p.Revision, p.Began, now)
+	c.log.Info("target leaving", "target", incarnation.ID, "service", e.target.Pool, "from", from)
+	if snapshot := c.snapshot.Load(); snapshot != nil {
+		c.publish(snapshot.Revision, snapshot.Began, now)
 	}
 }
 
-// findIncarnation returns the entry whose present incarnation is l, or nil. c.mu must be held.
-func (c *Catalog) findIncarnation(l hookhall.Incarnation) *entry {
+// findIncarnation returns the entry whose present incarnation is the given one, or nil. c.mu must
+// be held.
+func (c *Catalog) findIncarnation(incarnation hookhall.Incarnation) *entry {
 	for _, e := range c.entriesByKey {
-		if e.target.Incarnation() == l {
+		if e.target.Incarnation() == incarnation {
 			return e
 		}
 	}
 	return nil
 }
 
-// rememberDeparted records an incarnation that is leaving and has no entry. c.mu must be held.
-func (c *Catalog) rememberDeparted(l hookhall.Incarnation, now time.Time) {
-	for o, at := range c.departedAt {
+// recordDeparted records an incarnation that is leaving and has no entry. Expired records are
+// dropped, and any others at maxDeparted. c.mu must be held.
+func (c *Catalog) recordDeparted(incarnation hookhall.Incarnation, now time.Time) {
+	for other, at := range c.departedAt {
 		if now.Sub(at) > departedTTL || len(c.departedAt) >= maxDeparted {
-			delete(c.departedAt, o)
+			delete(c.departedAt, other)
 		}
 	}
-	c.departedAt[l] = now
+	c.departedAt[incarnation] = now
 }
 
 // hasDeparted reports whether an incarnation has announced that it is leaving while it had no
 // entry, or before its entry was removed. c.mu must be held.
-func (c *Catalog) hasDeparted(l hookhall.Incarnation, now time.Time) bool {
-	at, ok := c.departedAt[l]
+func (c *Catalog) hasDeparted(incarnation hookhall.Incarnation, now time.Time) bool {
+	at, ok := c.departedAt[incarnation]
 	return ok && now.Sub(at) <= departedTTL
 }
--- a/internal/coordination/catalog/pools.go
+++ b/internal/coordination/catalog/pools.go
@@ -21,12 +21,12 @@
 // markDirty makes the next snapshot include a change of an entry, in its present service. c.mu
 // must be held.
 func (c *Catalog) markDirty(e *entry) {
-	d := c.changesByPool[e.target.Pool]
-	if d == nil {
-		d = &poolChanges{entries: map[*entry]bool{}}
-		c.changesByPool[e.target.Pool] = d
+	changes := c.changesByPool[e.target.Pool]
+	if changes == nil {
+		changes = &poolChanges{entries: map[*entry]bool{}}
+		c.changesByPool[e.target.Pool] = changes
 	}
-	d.entries[e] = true
+	changes.entries[e] = true
 }
 
 // markAllDirty makes the next snapshot rebuild all services. c.mu must be held.
@@ -36,19 +36,19 @@
 	}
 }
 
-// rebuild applies the pending changes to a snapshot that is not yet published. c.mu must be held.
-func (c *Catalog) rebuild(p *Snapshot, now time.Time) {
-	p.ByPool, p.EvacuatedServices = maps.Clone(p.ByPool), maps.Clone(p.EvacuatedServices)
-	if p.ByPool == nil {
-		p.ByPool, p.EvacuatedServices = map[string][]hookhall.Target{}, map[string]bool{}
+// rebuild applies changesByPool to a snapshot that is not yet published. c.mu must be held.
+func (c *Catalog) rebuild(snapshot *Snapshot, now time.Time) {
+	snapshot.ByPool, snapshot.EvacuatedServices = maps.Clone(snapshot.ByPool), maps.Clone(snapshot.EvacuatedServices)
+	if snapshot.ByPool == nil {
+		snapshot.ByPool, snapshot.EvacuatedServices = map[string][]hookhall.Target{}, map[string]bool{}
 	}
 	halls := c.Halls()
-	for pool, d := range c.changesByPool {
-		if d.needsRebuild || len(halls.Evacuated) > 0 {
-			p.ByPool[pool], p.EvacuatedServices[pool] = c.usableTargets(pool, halls, now)
+	for pool, changes := range c.changesByPool {
+		if changes.needsRebuild || len(halls.Evacuated) > 0 {
+			snapshot.ByPool[pool], snapshot.EvacuatedServices[pool] = c.usableTargets(pool, halls, now)
 			continue
 		}
-		p.ByPool[pool] = c.mergeChanges(pool, p.ByPool[pool], d.entries, now)
+		snapshot.ByPool[pool] = c.mergeChanges(pool, snapshot.ByPool[pool], changes.entries, now)
 	}
 	clear(c.changesByPool)
 }
--- a/internal/coordination/catalog/restored_test.go
+++ b/internal/coordination/catalog/restored_test.go
@@ -36,7 +36,7 @@
 }
 
 // quietCatalog returns a catalog that logs nothing.
-func quietCatalog() *Catalog { return New(newFakeStore(), fakePlatform{}, log.New(io.Discard)) }
+func quietCatalog() *Catalog { return New(newFakeStore(), fakeSchema{}, log.New(io.Discard)) }
 
 // TestRestoredTable checks that a table of a later era is applied unless it is older than the one
 // in force, whatever the counts of the revisions.
--- a/internal/coordination/catalog/start_test.go
+++ b/internal/coordination/catalog/start_test.go
@@ -94,13 +94,13 @@
 	s.update(func() { s.targets = map[string]string{"a": "", "b": ""} })
 	c := newCatalog(s)
 	c.ApplyReading(readingOf(t, s), "store")
-	if n := c.RecentUpdate(time.Now()); len(n.Changed) != 0 || n.Digest == 0 {
-		t.Errorf("%d targets are sent after the first reading, digest %x", len(n.Changed), n.Digest)
+	if update := c.RecentUpdate(time.Now()); len(update.Changed) != 0 || update.Digest == 0 {
+		t.Errorf("%d targets are sent after the first reading, digest %x", len(update.Changed), update.Digest)
 	}
 	s.update(func() { s.targets["c"] = "" })
 	c.ApplyReading(readingOf(t, s), "store")
-	if n := c.RecentUpdate(time.Now()); len(n.Changed) != 1 || n.Changed[0].Key != "t/c" {
-		t.Errorf("%v is sent after the second", n.Changed)
+	if update := c.RecentUpdate(time.Now()); len(update.Changed) != 1 || update.Changed[0].Key != "t/c" {
+		t.Errorf("%v is sent after the second", update.Changed)
 	}
 }
 
--- a/internal/coordination/catalog/table.go
+++ b/internal/coordination/catalog/table.go
@@ -89,7 +89,7 @@
 // from. It returns errNoTable if there is no table.
 func (c *Catalog) readTable(ctx context.Context) (hookhall.Revision, error) {
 	began := clock.Now()
-	items, revision, err := c.store.Range(ctx, c.platform.OperatorPrefix())
+	items, revision, err := c.store.Range(ctx, c.schema.OperatorPrefix())
 	if err != nil {
 		return 0, err
 	}
@@ -112,7 +112,7 @@
 // the revision to watch from next, or 0 with an error.
 func (c *Catalog) watchTable(ctx context.Context, since hookhall.Revision) (hookhall.Revision, error) {
 	began := clock.Now()
-	events, revision, err := c.store.Watch(ctx, c.platform.OperatorPrefix(), since, tableWatchTimeout)
+	events, revision, err := c.store.Watch(ctx, c.schema.OperatorPrefix(), since, tableWatchTimeout)
 	if err != nil {
 		// A full read brings whatever the watch missed.
 		return 0, err
@@ -139,7 +139,7 @@
 func (c *Catalog) applyStoredTable(items []hookhall.Item, began time.Time) bool {
 	var newest hookhall.Item
 	for _, i := range items {
-		if i.Key == c.platform.RoutingKey() && !i.Deleted && i.Revision > newest.Revision {
+		if i.Key == c.schema.RoutingKey() && !i.Deleted && i.Revision > newest.Revision {
 			newest = i
 		}
 	}
@@ -207,7 +207,7 @@
 
 // installTable puts a table in force if it is valid and newer than the present one.
 func (c *Catalog) installTable(value, packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
-	r, err := c.platform.ReadRouting(value)
+	r, err := c.schema.ReadRouting(value)
 	if err != nil {
 		c.log.Error("cannot parse the table; keeping the current one", "revision", revision, "error", err.Error())
 		return false
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -29,20 +29,20 @@
 	// time at which that reading began, by this process's monotonic clock.
 	Revision hookhall.Revision
 	Began    time.Time
-	// ByPool has the usable targets by service, sorted by id, without those that are leaving or
-	// in evacuated halls.
+	// ByPool has the usable targets by service (Target.Pool), sorted by id, without those that
+	// are leaving or in evacuated halls.
 	ByPool map[string][]hookhall.Target
-	// EvacuatedServices has the services with targets that are kept out of ByPool only by the evacuation
-	// of their hall.
+	// EvacuatedServices has the services with targets that are kept out of ByPool only by the
+	// evacuation of their hall.
 	EvacuatedServices map[string]bool
 	// Digest combines the digests of all listed targets; equal digests mean equal lists.
 	Digest uint64
 }
 
 // ColdTargets returns the ids of the usable targets that count as cold, sorted.
-func (p *Snapshot) ColdTargets(now time.Time) []string {
+func (s *Snapshot) ColdTargets(now time.Time) []string {
 	var ids []string
-	for _, list := range p.ByPool {
+	for _, list := range s.ByPool {
 		for _, t := range list {
 			if t.Cold(now) {
 				ids = append(ids, t.ID)
@@ -54,7 +54,7 @@
 }
 
 // Age returns the time since the reading that confirmed the snapshot began.
-func (p *Snapshot) Age(now time.Time) time.Duration { return now.Sub(p.Began) }
+func (s *Snapshot) Age(now time.Time) time.Duration { return now.Sub(s.Began) }
 
 // followTargets reads the targets whenever their state is too old for the rank of this process.
 // The first reader watches them, and lists all of them every fullReadInterval. It returns when
@@ -99,22 +99,22 @@
 	f.mu.Lock()
 	synced := f.syncedRevision
 	f.mu.Unlock()
-	if p := f.snapshot.Load(); synced > 0 && p.Revision == synced && p.Age(now) < maxTakeoverAge {
+	if snapshot := f.snapshot.Load(); synced > 0 && snapshot.Revision == synced && snapshot.Age(now) < maxTakeoverAge {
 		f.watchRevision, f.lastFullRead = synced, now
-		f.log.Info("took over as first reader", "revision", synced, "age", p.Age(now))
+		f.log.Info("took over as first reader", "revision", synced, "age", snapshot.Age(now))
 	}
 }
 
 // isDue reports whether this process must call the store now.
 func (f *targetsFollower) isDue(now time.Time) bool {
-	p := f.snapshot.Load()
+	snapshot := f.snapshot.Load()
 	switch {
-	case p == nil:
+	case snapshot == nil:
 		return true
-	case p.Began.Equal(f.copyBegan) && f.awaitsUpdates(f.copyBegan, now):
+	case snapshot.Began.Equal(f.copyBegan) && f.awaitsUpdates(f.copyBegan, now):
 		return false
 	}
-	return f.ReaderRank() == 0 || f.needsRead(p.Began, now)
+	return f.ReaderRank() == 0 || f.needsRead(snapshot.Began, now)
 }
 
 // step makes one call of the store and applies its answer.
@@ -167,7 +167,7 @@
 // answer was newer than the known state.
 func (f *targetsFollower) watch(ctx context.Context) (fresh bool, err error) {
 	began := clock.Now()
-	events, revision, err := f.store.Watch(ctx, f.platform.TargetPrefix(), f.watchRevision, readInterval)
+	events, revision, err := f.store.Watch(ctx, f.schema.TargetPrefix(), f.watchRevision, readInterval)
 	if err != nil {
 		return false, err
 	}
@@ -179,14 +179,15 @@
 	return f.ApplyEvents(events, revision, began), nil
 }
 
-// awaitsUpdates reports whether a process that started with a copy still leaves it to its peers
-// to update it, rather than read the store.
+// awaitsUpdates reports whether a process that started with a copy still waits for updates of
+// peers rather than read the store.
 func (c *Catalog) awaitsUpdates(copyBegan, now time.Time) bool {
 	return c.ReaderRank() == maxRank && now.Before(copyBegan.Add(maxCopyAge+confirmTimeout))
 }
 
-// readTargets lists the targets. With stale set, as for a process that knows none, it reads a copy
-// that is up to maxCopyAge old: when a whole fleet starts at once, each process reads all pages.
+// readTargets lists the targets. With stale set, as for the first reading, it reads a copy that is
+// up to maxCopyAge old, which costs the store less: when a whole fleet starts at once, each
+// process reads all pages.
 func (c *Catalog) readTargets(ctx context.Context, stale bool) (Reading, error) {
 	began := clock.Now()
 	list := c.store.Range
@@ -194,15 +195,16 @@
 		list = c.store.RangeStale
 		began = began.Add(-maxCopyAge)
 	}
-	items, revision, err := list(ctx, c.platform.TargetPrefix())
+	items, revision, err := list(ctx, c.schema.TargetPrefix())
 	return Reading{revision, items, began}, err
 }
 
-// ApplyReading applies a reading of all targets, and reports whether it was newer than the known state.
+// ApplyReading applies a reading of all targets, and reports whether it was at least as recent as
+// the known state. from names the source, for the log.
 func (c *Catalog) ApplyReading(r Reading, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if p := c.snapshot.Load(); p != nil && (r.Revision < p.Revision || (r.Revision == p.Revision && r.Began.Before(p.Began))) {
+	if snapshot := c.snapshot.Load(); snapshot != nil && (r.Revision < snapshot.Revision || (r.Revision == snapshot.Revision && r.Began.Before(snapshot.Began))) {
 		return false
 	}
 	now := clock.Now()
@@ -223,8 +225,8 @@
 	return true
 }
 
-// ApplyEvents applies the events of a watch of the targets up to a revision, and reports whether they
-// were newer than the known state.
+// ApplyEvents applies the events of a watch of the targets up to a revision, read in a call that
+// began at a given time, and reports whether they were newer than the known state.
 func (c *Catalog) ApplyEvents(events []hookhall.Item, revision hookhall.Revision, began time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,30 +254,30 @@
 // isLaterEra reports whether a revision belongs to a later era of the store than the known state.
 // c.mu must be held.
 func (c *Catalog) isLaterEra(revision hookhall.Revision) bool {
-	p := c.snapshot.Load()
-	return p != nil && revision.Era() > p.Revision.Era()
+	snapshot := c.snapshot.Load()
+	return snapshot != nil && revision.Era() > snapshot.Revision.Era()
 }
 
 // isOlder reports whether the known state is at least as recent as a revision that was read in a
 // call that began at a given time.
 func (c *Catalog) isOlder(revision hookhall.Revision, began time.Time) bool {
-	p := c.snapshot.Load()
-	return p != nil && (revision < p.Revision || (revision == p.Revision && !began.After(p.Began)))
+	snapshot := c.snapshot.Load()
+	return snapshot != nil && (revision < snapshot.Revision || (revision == snapshot.Revision && !began.After(snapshot.Began)))
 }
 
 // publish stores a new snapshot of the known targets, as confirmed at a revision in a call that
 // began at a given time. c.mu must be held.
 func (c *Catalog) publish(revision hookhall.Revision, began, now time.Time) {
-	p := &Snapshot{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
+	snapshot := &Snapshot{Revision: revision, Began: began, Digest: c.bucketDigests.combined()}
 	old := c.snapshot.Load()
 	if old == nil || c.hasLapsed(old.Began) {
 		c.markAllDirty()
 	}
 	if old != nil {
-		p.ByPool, p.EvacuatedServices = old.ByPool, old.EvacuatedServices
+		snapshot.ByPool, snapshot.EvacuatedServices = old.ByPool, old.EvacuatedServices
 	}
 	if len(c.changesByPool) > 0 {
-		c.rebuild(p, now)
+		c.rebuild(snapshot, now)
 	}
-	c.snapshot.Store(p)
+	c.snapshot.Store(snapshot)
 }
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -16,8 +16,8 @@
 // times. A process that has missed all of them repairs the buckets that differ.
 const changeResendTime = time.Second
 
-// BucketCount is the number of buckets into which the targets are divided by the hash of their keys.
-// With 3,000 targets, a bucket has some 50, and its repair takes some 2 KB.
+// BucketCount is the number of buckets into which the targets are divided by the hash of their
+// keys. With 3,000 targets, a bucket has some 50, and its repair takes some 2 KB.
 const BucketCount = 64
 
 // bucketOf returns the bucket of a key.
@@ -39,7 +39,7 @@
 // arrives at the same list, as the digest shows.
 type Update struct {
 	Revision hookhall.Revision
-	Began    time.Time       // when the confirming reading began, by this process's monotonic clock
+	Began    time.Time       // when the reading that confirmed Revision began, by this process's monotonic clock
 	Digest   uint64          // of all targets
 	Changed  []hookhall.Item // targets that were listed or changed
 	Gone     []string        // keys that are no longer listed
@@ -49,53 +49,53 @@
 func (c *Catalog) RecentUpdate(now time.Time) Update {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.snapshot.Load()
-	if p == nil {
+	snapshot := c.snapshot.Load()
+	if snapshot == nil {
 		return Update{}
 	}
-	n := Update{Revision: p.Revision, Began: p.Began, Digest: p.Digest}
+	update := Update{Revision: snapshot.Revision, Began: snapshot.Began, Digest: snapshot.Digest}
 	for key, e := range c.entriesByKey {
 		switch {
 		case now.Sub(e.changedAt) > changeResendTime:
 		case e.missingSince.IsZero():
-			n.Changed = append(n.Changed, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
+			update.Changed = append(update.Changed, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
 		default:
-			n.Gone = append(n.Gone, key)
+			update.Gone = append(update.Gone, key)
 		}
 	}
-	sort.Slice(n.Changed, func(i, j int) bool { return n.Changed[i].Key < n.Changed[j].Key })
-	sort.Strings(n.Gone)
-	return n
+	sort.Slice(update.Changed, func(i, j int) bool { return update.Changed[i].Key < update.Changed[j].Key })
+	sort.Strings(update.Gone)
+	return update
 }
 
-// ApplyUpdate applies an update of a peer. It reports whether the update was newer, and whether this
-// process lacks earlier changes, as a different digest shows. With such a gap the changes
-// are applied, but the snapshot keeps its revision and age until the gap is repaired.
-func (c *Catalog) ApplyUpdate(n Update, from string) (fresh, gap bool) {
+// ApplyUpdate applies an update of a peer. It reports whether the update was newer, and whether
+// this process lacks earlier changes, as a different digest shows. With such a gap the changes are
+// applied, but the snapshot keeps its revision and age until the gap is repaired.
+func (c *Catalog) ApplyUpdate(update Update, from string) (fresh, gap bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.snapshot.Load()
-	if p == nil || c.isOlder(n.Revision, n.Began) {
+	snapshot := c.snapshot.Load()
+	if snapshot == nil || c.isOlder(update.Revision, update.Began) {
 		return false, false
 	}
 	now := clock.Now()
-	for _, i := range n.Changed {
+	for _, i := range update.Changed {
 		c.applyItem(i, from, now)
 	}
 	var lost []*entry
-	for _, key := range n.Gone {
-		if e := c.entriesByKey[key]; e != nil && e.missingSince.IsZero() && e.revision <= n.Revision {
+	for _, key := range update.Gone {
+		if e := c.entriesByKey[key]; e != nil && e.missingSince.IsZero() && e.revision <= update.Revision {
 			lost = append(lost, e)
 		}
 	}
-	c.markMissing(lost, n.Revision, c.isLaterEra(n.Revision), from, now)
-	if c.bucketDigests.combined() == n.Digest {
-		c.syncedRevision = n.Revision
-		c.publish(n.Revision, n.Began, now)
+	c.markMissing(lost, update.Revision, c.isLaterEra(update.Revision), from, now)
+	if c.bucketDigests.combined() == update.Digest {
+		c.syncedRevision = update.Revision
+		c.publish(update.Revision, update.Began, now)
 		return true, false
 	}
-	c.publish(p.Revision, p.Began, now)
-	c.log.Info("update leaves a gap; repair required", "from", from, "revision", n.Revision, "have", p.Revision)
+	c.publish(snapshot.Revision, snapshot.Began, now)
+	c.log.Info("update leaves a gap; repair required", "from", from, "revision", update.Revision, "have", snapshot.Revision)
 	return true, true
 }
 
@@ -106,7 +106,7 @@
 	return c.bucketDigests
 }
 
-// Repair has a process's listed targets of the buckets in which a peer differs.
+// Repair has the sender's listed targets of the buckets in which the receiver's digests differ.
 type Repair struct {
 	Reading
 	Buckets []int
@@ -114,16 +114,16 @@
 	Digest uint64
 }
 
-// DifferingBuckets returns the repair for a peer: the listed targets of the buckets in which the peer's
-// digests differ from those of this process.
+// DifferingBuckets returns the repair for a peer: the listed targets of the buckets in which the
+// peer's digests differ from those of this process.
 func (c *Catalog) DifferingBuckets(theirs Digests) Repair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.snapshot.Load()
-	if p == nil {
+	snapshot := c.snapshot.Load()
+	if snapshot == nil {
 		return Repair{}
 	}
-	r := Repair{Reading: Reading{Revision: p.Revision, Began: p.Began}, Digest: c.bucketDigests.combined()}
+	r := Repair{Reading: Reading{Revision: snapshot.Revision, Began: snapshot.Began}, Digest: c.bucketDigests.combined()}
 	differs := [BucketCount]bool{}
 	for b := range BucketCount {
 		if c.bucketDigests[b] != theirs[b] {
@@ -143,11 +143,11 @@
 func (c *Catalog) Reading() Reading {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.snapshot.Load()
-	if p == nil {
+	snapshot := c.snapshot.Load()
+	if snapshot == nil {
 		return Reading{}
 	}
-	r := Reading{Revision: p.Revision, Began: p.Began}
+	r := Reading{Revision: snapshot.Revision, Began: snapshot.Began}
 	for key, e := range c.entriesByKey {
 		if e.missingSince.IsZero() {
 			r.Items = append(r.Items, hookhall.Item{Key: key, Value: e.value, Revision: e.revision})
@@ -161,8 +161,8 @@
 func (c *Catalog) ApplyRepair(r Repair, from string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.snapshot.Load()
-	if p == nil || c.isOlder(r.Revision, r.Began) {
+	snapshot := c.snapshot.Load()
+	if snapshot == nil || c.isOlder(r.Revision, r.Began) {
 		return false
 	}
 	now := clock.Now()
@@ -180,7 +180,7 @@
 	}
 	c.markMissing(c.unlisted(listed, r.Revision, func(key string) bool { return repaired[bucketOf(key)] }), r.Revision, c.isLaterEra(r.Revision), from, now)
 	if c.bucketDigests.combined() != r.Digest {
-		c.publish(p.Revision, p.Began, now)
+		c.publish(snapshot.Revision, snapshot.Began, now)
 		return false
 	}
 	c.log.Info("gap repaired", "from", from, "buckets", len(r.Buckets), "targets", len(r.Items), "revision", r.Revision)
--- a/internal/coordination/catalog/updates_test.go
+++ b/internal/coordination/catalog/updates_test.go
@@ -47,9 +47,9 @@
 		})
 		Convey("a gap leaves revision and age of the snapshot as they were", func() {
 			reader.ApplyReading(readyReading(2, "a", "b", "d"), "store")
-			n := reader.RecentUpdate(time.Now())
-			n.Gone = nil // the update with the end of c was lost earlier
-			So(hasGap(follower.ApplyUpdate(n, "reader")), ShouldBeTrue)
+			update := reader.RecentUpdate(time.Now())
+			update.Gone = nil // the update with the end of c was lost earlier
+			So(hasGap(follower.ApplyUpdate(update, "reader")), ShouldBeTrue)
 			So(follower.Snapshot().Revision, ShouldEqual, 1)
 			So(follower.Snapshot().Began, ShouldEqual, began)
 			So(follower.KnownTargets(), ShouldContainKey, "d")
@@ -94,9 +94,9 @@
 			}
 			before := follower.Snapshot().Revision
 			follower.ApplyUpdate(reader.RecentUpdate(time.Now()), "reader")
-			p := follower.Snapshot()
-			if p.Digest != reader.Snapshot().Digest {
-				if p.Revision != before {
+			snapshot := follower.Snapshot()
+			if snapshot.Digest != reader.Snapshot().Digest {
+				if snapshot.Revision != before {
 					t.Fatal("a gap was confirmed")
 				}
 				continue
