--- a/internal/coordination/members/doc.go
+++ b/internal/coordination/members/doc.go
@@ -8,10 +8,15 @@
 //
 // Each process keeps a key under a lease in the platform's store. Two processes, the
 // leaders, follow all keys with long-polling watches and send the changes to the
-// others, together with the changes of the targets. A process that receives no
-// update for some seconds, or whose digest shows that it has missed one, reads the
-// list from the store itself. A peer that does not answer is suspected and excluded
-// for a short time, whatever the store lists.
+// others, together with the changes of the targets. Package catalog calls the same
+// two the first and the second reader. A process that receives no update for some
+// seconds, or whose digest shows that it has missed one, reads the list from the
+// store itself. A peer that does not answer is suspected and excluded for a short
+// time, whatever the store lists.
+//
+// Shared work, named by a key, has one owner among the members that are eligible: strong
+// enough, and not lagging. A lagging process declines ownership until its timers fire
+// on time again.
 //
 // # Invariants
 //
--- a/internal/coordination/members/follow.go
+++ b/internal/coordination/members/follow.go
@@ -48,7 +48,7 @@
 }
 
 // read reads the list from the store and returns the revision to watch from. Leaders that
-// know a list read the current one; other processes read a copy that may be some seconds
+// have a list read the current one; other processes read a copy that may be some seconds
 // old, since membership only divides work and updates or a watch bring what the copy
 // lacks. Current reads by all are expensive: six pages for each of the 604 starts in a
 // day of 295 gateways were a third of the day's 10,215 store calls.
@@ -91,9 +91,9 @@
 	return revision, nil
 }
 
-// isRestoredCopy reports whether item was part of the copy that the store was restored from,
-// while previous is from an era before the restore, so that item is not newer. m.mu must be
-// held.
+// isRestoredCopy reports whether item was part of the copy that the store was restored from
+// while previous is of an earlier era, so that item may be older than previous although its
+// revision is greater. m.mu must be held.
 func (m *Members) isRestoredCopy(previous listing, item hookhall.Item) bool {
 	return !m.restoreSeenAt.IsZero() && item.Revision <= m.restoredRevision && previous.item.Revision.Era() < item.Revision.Era()
 }
@@ -188,7 +188,7 @@
 	if _, err := netip.ParseAddrPort(member.Address); err != nil {
 		return member, errors.Wrap(err, "member")
 	}
-	if member.RelativeCapacity < 0 || member.RelativeCapacity > maxPower {
+	if member.RelativeCapacity < 0 || member.RelativeCapacity > maxCapacity {
 		return member, errors.Errorf("member: power %g is not between 0 and the maximum", member.RelativeCapacity)
 	}
 	return member, nil
--- a/internal/coordination/members/lag.go
+++ b/internal/coordination/members/lag.go
@@ -20,7 +20,7 @@
 	// about five samples count.
 	lagSampleWeight = 0.2
 	// maxLagSample is the upper limit of a sample, so that a single pause does not make
-	// a process decline ownership: three such samples in a row do, in less than a second.
+	// a process decline ownership. Three such samples in a row do, in less than a second.
 	maxLagSample = 250 * time.Millisecond
 	// declineThreshold is the average lateness from which a process declines ownership.
 	// It delays each hop of a request through this owner, while responses are due within
@@ -41,8 +41,8 @@
 	decliningSince time.Time // when it began to decline
 }
 
-// observe adds the lateness of one timer. It reports whether the process starts or stops
-// declining ownership with that.
+// observe adds the lateness of one timer, and reports whether that makes the process start
+// or stop declining ownership.
 func (l *lagMonitor) observe(lateness time.Duration, now time.Time) (changed bool) {
 	lateness = min(max(lateness, 0), maxLagSample)
 	l.mean += time.Duration(lagSampleWeight * float64(lateness-l.mean))
@@ -58,8 +58,8 @@
 }
 
 // monitorLag makes this process decline ownership while its timers are late. An owner on
-// an instance that has become slow would delay the whole fleet, and its peers only see
-// that it still answers. A process that is too weak to own work skips the samples, unless
+// an instance that has become slow would delay the whole fleet, and its peers don't
+// suspect it, since it still answers. A process that is too weak to own work skips the samples, unless
 // it declines ownership already.
 func (m *Members) monitorLag(ctx context.Context) {
 	var l lagMonitor
@@ -69,7 +69,7 @@
 			return
 		}
 		now := clock.Now()
-		if !l.declining && effectivePower(m.self) < m.roster.Load().minOwnerPower {
+		if !l.declining && effectiveCapacity(m.self) < m.roster.Load().minOwnerCapacity {
 			continue
 		}
 		if l.observe(now.Sub(due), now) {
--- a/internal/coordination/members/lag_test.go
+++ b/internal/coordination/members/lag_test.go
@@ -98,7 +98,7 @@
 func TestDecliningOwnership(t *testing.T) {
 	now := time.Now()
 	newRegistered := func() (*Members, *keyStore) {
-		m := membersWithPowers(1, 1, 1, 1)
+		m := membersWithCapacities(1, 1, 1, 1)
 		s := &keyStore{values: map[string]hookhall.Member{}}
 		m.store = s
 		m.lease.Store(&hookhall.Lease{Number: 7})
--- a/internal/coordination/members/members.go
+++ b/internal/coordination/members/members.go
@@ -40,20 +40,20 @@
 	maxSettleTime       = 3 * time.Second
 	// suspectDuration is how long a peer that did not answer is excluded.
 	suspectDuration = 1500 * time.Millisecond
-	// maxPower is the upper limit of the power in a member's record: its square has to
-	// stay finite.
-	maxPower = 1e6
+	// maxCapacity is the upper limit of the relative capacity ("power") in a member's record:
+	// its square has to stay finite.
+	maxCapacity = 1e6
 	// maxRejectedKeys limits the memory for keys with invalid records. Beyond it all are
 	// forgotten, and each key may be logged once more.
 	maxRejectedKeys = 1024
-	// minPower is the effective power of members whose record has none, or less.
-	minPower = 0.05
-	// eligiblePowerShare is the share of the strongest member's power that a member needs
-	// to own work. Weighting by the square of the power alone is not enough: on 295
-	// instances, 280 of them with a quarter of the others' processor, weak ones got every
-	// second role. One that was the broker of a pool was overloaded; half of all requests
-	// were late, and stayed so after the load had ended.
-	eligiblePowerShare = 0.5
+	// minCapacity is the effective capacity of members whose record states none, or less.
+	minCapacity = 0.05
+	// eligibleCapacityShare is the share of the strongest member's capacity that a member
+	// needs to own work. Weighting by the square of the capacity alone is not enough: of 295
+	// instances, 280 with a quarter of the others' processor got every second role. One of
+	// them was overloaded as the broker of a pool; half of all requests were late, and stayed
+	// so after the load had ended.
+	eligibleCapacityShare = 0.5
 	// minEligibleOwners is the minimum number of eligible owners, weaker members included,
 	// so that the roles of the fleet do not depend on one or two instances.
 	minEligibleOwners = 3
@@ -76,15 +76,15 @@
 	declining          atomic.Bool                    // this process declines ownership of shared work
 	publishedDeclining atomic.Bool                    // the value of declining in its key
 	lease              atomic.Pointer[hookhall.Lease] // nil while this process is not registered
-	listedSince        sync.Map                       // address to the time.Time when it was first listed; self: first registered
+	listedSince        sync.Map                       // address to the time.Time when it was first listed or, for this process, registered
 
 	// IsLeader reports whether this process is a leader, which follows the store and sends
-	// updates to the others. The default is true. Set it before Run.
+	// updates to the others. It returns true by default. Set it before Run.
 	IsLeader func() bool
 
 	mu                    sync.Mutex // guards the fields below
 	listingByKey          map[string]listing
-	keyRemovedAt          map[string]time.Time         // when keys were removed; expired entries are deleted by Members.OutgoingUpdate
+	keyRemovedAt          map[string]time.Time         // when keys were removed; expired entries are deleted by OutgoingUpdate
 	rejectedRevisionByKey map[string]hookhall.Revision // last revision of keys with invalid records
 	addressRemovedAt      map[string]time.Time         // when addresses were removed; expired entries are deleted by Sharers
 	hasList               bool                         // a list was read from the store or received from a peer
@@ -117,9 +117,9 @@
 func (m *Members) List(now time.Time) []hookhall.Member {
 	all := m.All()
 	kept := make([]hookhall.Member, 0, len(all))
-	for _, o := range all {
-		if !m.isSuspectedPeer(o.Address, now) {
-			kept = append(kept, o)
+	for _, member := range all {
+		if !m.isSuspectedPeer(member.Address, now) {
+			kept = append(kept, member)
 		}
 	}
 	return kept
@@ -158,7 +158,7 @@
 // Count returns the number of members, including suspected ones and this process.
 func (m *Members) Count() int { return len(m.All()) }
 
-// Suspect excludes a peer that did not answer for suspectDuration from now.
+// Suspect records that a peer did not answer, and excludes it for suspectDuration from now.
 func (m *Members) Suspect(address string, now time.Time) {
 	if _, known := m.suspectedUntil.Swap(address, now.Add(suspectDuration)); !known {
 		m.log.Warn("gateway does not answer", "address", address)
@@ -179,14 +179,16 @@
 }
 
 // Owner returns the member that owns the work named by key, by rendezvous hashing over the
-// eligible owners, or over all members if no eligible owner is left. It passes over
-// suspected peers and the addresses in skip, which may be nil. Members that were listed
-// only recently own nothing unless there are no others. If nobody is left, Owner returns
-// this process.
+// eligible owners, or over all members if no eligible owner is left. It skips suspected
+// peers and the addresses in skip, which may be nil. Members that were first listed less
+// than settleTime ago own nothing unless there are no others. If no member is left, Owner
+// returns this process.
 func (m *Members) Owner(key string, skip map[string]bool, now time.Time) hookhall.Member {
 	r := m.roster.Load()
-	isAvailable := func(o hookhall.Member) bool { return !skip[o.Address] && !m.isSuspectedPeer(o.Address, now) }
-	isSettled := func(o hookhall.Member) bool { return isAvailable(o) && !m.isNewcomer(o.Address, now) }
+	isAvailable := func(member hookhall.Member) bool {
+		return !skip[member.Address] && !m.isSuspectedPeer(member.Address, now)
+	}
+	isSettled := func(member hookhall.Member) bool { return isAvailable(member) && !m.isNewcomer(member.Address, now) }
 	for _, pass := range []struct {
 		candidates []hookhall.Member
 		accepts    func(hookhall.Member) bool
@@ -199,16 +201,16 @@
 }
 
 // chooseOwner returns the member with the highest score for key among the candidates that
-// the function accepts allows, and whether there is one. It passes over this process while
-// it stops.
+// the function accepts allows, and whether there is one. It skips this process while it
+// stops.
 func (m *Members) chooseOwner(key string, candidates []hookhall.Member, accepts func(hookhall.Member) bool) (best hookhall.Member, found bool) {
 	bestScore := 0.0
-	for _, o := range candidates {
-		if !accepts(o) || (o.Address == m.self.Address && m.stopping.Load()) {
+	for _, member := range candidates {
+		if !accepts(member) || (member.Address == m.self.Address && m.stopping.Load()) {
 			continue
 		}
-		if score := ownerScore(key, o); !found || score > bestScore {
-			best, bestScore, found = o, score, true
+		if score := ownerScore(key, member); !found || score > bestScore {
+			best, bestScore, found = member, score, true
 		}
 	}
 	return best, found
@@ -227,11 +229,11 @@
 
 // ownerScore returns the score of a member for a key; the member with the highest score
 // is the owner (weighted rendezvous hashing). Members own work in proportion to the square
-// of their power, so that weak ones are seldom chosen.
-func ownerScore(key string, o hookhall.Member) float64 {
-	hash := xxhash.Sum64String(key + "\x00" + o.Address)
+// of their relative capacity, so that weak ones are seldom chosen.
+func ownerScore(key string, member hookhall.Member) float64 {
+	hash := xxhash.Sum64String(key + "\x00" + member.Address)
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
-	return -effectivePower(o) * effectivePower(o) / math.Log(unit)
+	return -effectiveCapacity(member) * effectiveCapacity(member) / math.Log(unit)
 }
 
 // Run registers this process, follows the list and monitors the process's lag until ctx
@@ -252,8 +254,8 @@
 	if m.revision > 0 {
 		return
 	}
-	for _, o := range list {
-		m.listingByKey[keyPrefix+o.Instance] = listing{member: o}
+	for _, member := range list {
+		m.listingByKey[keyPrefix+member.Instance] = listing{member: member}
 	}
 	m.markListKnown(clock.Now())
 	m.publish()
@@ -273,11 +275,11 @@
 	list := []hookhall.Member{m.advertised()}
 	isListed := map[string]bool{m.self.Address: true}
 	for _, l := range m.listingByKey {
-		o := l.member
-		if !isListed[o.Address] {
-			isListed[o.Address] = true
-			list = append(list, o)
-			m.listedSince.LoadOrStore(o.Address, now)
+		member := l.member
+		if !isListed[member.Address] {
+			isListed[member.Address] = true
+			list = append(list, member)
+			m.listedSince.LoadOrStore(member.Address, now)
 		}
 	}
 	for address := range isListed {
--- a/internal/coordination/members/members_test.go
+++ b/internal/coordination/members/members_test.go
@@ -181,24 +181,24 @@
 		return n
 	}
 	if n := count(time.Hour); n != 0 {
-		t.Fatalf("%d sharers before a list is known", n)
+		t.Fatalf("%d processes share the limits before a list is known", n)
 	}
 	m.AddFromPeer([]hookhall.Member{member(2), member(3)})
 	if n := count(minSettleTime / 2); n != 0 {
-		t.Fatalf("%d sharers before the list has settled", n)
+		t.Fatalf("%d processes share the limits before the list has settled", n)
 	}
 	if n := count(2 * minSettleTime); n != 3 {
-		t.Fatalf("%d sharers, want 3", n)
+		t.Fatalf("%d processes share the limits, want 3", n)
 	}
 	m.mu.Lock()
 	m.removeKey(keyPrefix+member(2).Instance, now)
 	m.publish()
 	m.mu.Unlock()
 	if n := count(2 * minSettleTime); n != 3 || m.Count() != 2 {
-		t.Fatalf("%d sharers of %d members, want 3 of 2", n, m.Count())
+		t.Fatalf("%d processes share the limits, of %d members; want 3 of 2", n, m.Count())
 	}
 	if n := count(2 * departedShareDuration); n != 2 {
-		t.Fatalf("%d sharers later, want 2", n)
+		t.Fatalf("%d processes share the limits later, want 2", n)
 	}
 	if _, index := m.Sharers(now.Add(2 * departedShareDuration)); index != 0 {
 		t.Fatalf("index %d, want 0", index)
--- a/internal/coordination/members/register.go
+++ b/internal/coordination/members/register.go
@@ -34,22 +34,22 @@
 
 // advertised returns the record of this process with its current state, for the others.
 func (m *Members) advertised() hookhall.Member {
-	o := m.self
-	o.DecliningOwnership = m.declining.Load()
-	return o
+	record := m.self
+	record.DecliningOwnership = m.declining.Load()
+	return record
 }
 
 // writeKey writes this process's key under a lease.
 func (m *Members) writeKey(ctx context.Context, lease hookhall.Lease) error {
-	o := m.advertised()
-	value, err := json.Marshal(o)
+	record := m.advertised()
+	value, err := json.Marshal(record)
 	if err != nil {
 		return errors.Wrap(err, "could not encode the record of this gateway")
 	}
-	if err := m.store.Put(ctx, keyPrefix+o.Instance, value, lease); err != nil {
+	if err := m.store.Put(ctx, keyPrefix+record.Instance, value, lease); err != nil {
 		return err
 	}
-	m.publishedDeclining.Store(o.DecliningOwnership)
+	m.publishedDeclining.Store(record.DecliningOwnership)
 	return nil
 }
 
--- a/internal/coordination/members/roster.go
+++ b/internal/coordination/members/roster.go
@@ -11,45 +11,47 @@
 
 // roster is an immutable list of members.
 type roster struct {
-	all           []hookhall.Member // sorted by address, this process included
-	minOwnerPower float64           // the power that a member needs to own work, relative to other members
-	// eligible are the members of all that own work as long as one of them is available.
+	all              []hookhall.Member // sorted by address, this process included
+	minOwnerCapacity float64           // the relative capacity that a member needs to own work
+	// eligible has the eligible owners: other members own work only if none of these is available.
 	eligible []hookhall.Member // sorted by address
 }
 
 // newRoster returns a roster of a list that is sorted by address.
 func newRoster(all []hookhall.Member) *roster {
-	minOwnerPower := eligiblePower(all)
+	minOwnerCapacity := minEligibleCapacity(all)
 	var strong, willing []hookhall.Member
-	for _, o := range all {
-		if effectivePower(o) < minOwnerPower {
+	for _, member := range all {
+		if effectiveCapacity(member) < minOwnerCapacity {
 			continue
 		}
-		strong = append(strong, o)
-		if !o.DecliningOwnership {
-			willing = append(willing, o)
+		strong = append(strong, member)
+		if !member.DecliningOwnership {
+			willing = append(willing, member)
 		}
 	}
 	if 2*len(willing) < len(strong) {
 		// More than half of the strong members are lagging: the load is too high for all
 		// of them, and would be higher for the rest.
-		return &roster{all: all, minOwnerPower: minOwnerPower, eligible: strong}
+		return &roster{all: all, minOwnerCapacity: minOwnerCapacity, eligible: strong}
 	}
-	return &roster{all: all, minOwnerPower: minOwnerPower, eligible: willing}
+	return &roster{all: all, minOwnerCapacity: minOwnerCapacity, eligible: willing}
 }
 
-// eligiblePower returns the power that a member needs to own work: eligiblePowerShare of
-// the strongest member's, or less if fewer than minEligibleOwners members have that.
-func eligiblePower(all []hookhall.Member) float64 {
-	powers := make([]float64, 0, len(all))
-	for _, o := range all {
-		powers = append(powers, effectivePower(o))
+// minEligibleCapacity returns the relative capacity that a member needs to own work:
+// eligibleCapacityShare of the strongest member's, or less if fewer than minEligibleOwners
+// members have that. all must not be empty.
+func minEligibleCapacity(all []hookhall.Member) float64 {
+	capacities := make([]float64, 0, len(all))
+	for _, member := range all {
+		capacities = append(capacities, effectiveCapacity(member))
 	}
-	slices.Sort(powers)
-	slices.Reverse(powers)
-	return min(eligiblePowerShare*powers[0], powers[min(minEligibleOwners, len(powers))-1])
+	slices.Sort(capacities)
+	slices.Reverse(capacities)
+	return min(eligibleCapacityShare*capacities[0], capacities[min(minEligibleOwners, len(capacities))-1])
 }
 
-// effectivePower returns how much work a member can do, relative to other members. It is
-// at least minPower.
-func effectivePower(o hookhall.Member) float64 { return max(o.RelativeCapacity, minPower) }
+// effectiveCapacity returns the relative capacity of a member, at least minCapacity.
+func effectiveCapacity(member hookhall.Member) float64 {
+	return max(member.RelativeCapacity, minCapacity)
+}
--- a/internal/coordination/members/roster_test.go
+++ b/internal/coordination/members/roster_test.go
@@ -13,13 +13,14 @@
 	"github.com/hookhall/hookhall"
 )
 
-// membersWithPowers returns a Members of members with these powers, listed an hour ago.
-func membersWithPowers(powers ...float64) *Members {
-	m := newEstablished(len(powers))
+// membersWithCapacities returns a Members whose members have these relative capacities, listed an
+// hour ago.
+func membersWithCapacities(capacities ...float64) *Members {
+	m := newEstablished(len(capacities))
 	clear(m.listingByKey)
-	for i, p := range powers {
+	for i, capacity := range capacities {
 		o := member(i + 1)
-		o.RelativeCapacity = p
+		o.RelativeCapacity = capacity
 		if i == 0 {
 			m.self = o
 		}
@@ -56,16 +57,16 @@
 	}
 }
 
-// weakAndStrong returns the powers of weak members followed by those of strong ones.
+// weakAndStrong returns the relative capacities of weak members followed by those of strong ones.
 func weakAndStrong(weak, strong int) []float64 {
-	var powers []float64
+	var capacities []float64
 	for range weak {
-		powers = append(powers, 0.192)
+		capacities = append(capacities, 0.192)
 	}
 	for range strong {
-		powers = append(powers, 0.8)
+		capacities = append(capacities, 0.8)
 	}
-	return powers
+	return capacities
 }
 
 // TestEligibleOwners guards against weak members that own work beside enough strong ones, and
@@ -73,27 +74,27 @@
 func TestEligibleOwners(t *testing.T) {
 	now := time.Now()
 	t.Run("weak members own nothing beside enough strong ones", func(t *testing.T) {
-		wantOwners(t, membersWithPowers(weakAndStrong(60, 4)...), now, 61, 64)
+		wantOwners(t, membersWithCapacities(weakAndStrong(60, 4)...), now, 61, 64)
 	})
 	t.Run("weak members own all work when all strong ones are suspected", func(t *testing.T) {
-		m := membersWithPowers(weakAndStrong(5, 4)...)
+		m := membersWithCapacities(weakAndStrong(5, 4)...)
 		for i := 6; i <= 9; i++ {
 			m.Suspect(member(i).Address, now)
 		}
 		wantOwners(t, m, now, 1, 5)
 	})
 	t.Run("weak members own all work while the strong ones are newcomers", func(t *testing.T) {
-		m := membersWithPowers(weakAndStrong(5, 4)...)
+		m := membersWithCapacities(weakAndStrong(5, 4)...)
 		for i := 6; i <= 9; i++ {
 			m.listedSince.Store(member(i).Address, now)
 		}
 		wantOwners(t, m, now, 1, 5)
 	})
 	t.Run("roles do not depend on a single strong member", func(t *testing.T) {
-		wantOwners(t, membersWithPowers(weakAndStrong(5, 1)...), now, 1, 6)
+		wantOwners(t, membersWithCapacities(weakAndStrong(5, 1)...), now, 1, 6)
 	})
-	t.Run("members without a power are equal", func(t *testing.T) {
-		wantOwners(t, membersWithPowers(0, 0, 0, 0), now, 1, 4)
+	t.Run("members without a stated capacity are equal", func(t *testing.T) {
+		wantOwners(t, membersWithCapacities(0, 0, 0, 0), now, 1, 4)
 	})
 	t.Run("a single member owns all work", func(t *testing.T) {
 		m := New(hookhall.Member{Address: member(1).Address}, nil, log.New(io.Discard))
--- a/internal/coordination/members/sharers.go
+++ b/internal/coordination/members/sharers.go
@@ -12,8 +12,8 @@
 
 // departedShareDuration is how long a member that left the list still counts among the
 // processes that share the fleet's limits. Leases also expire in an outage of the store,
-// while their processes run and go on using the limits; the minute covers an outage of
-// that length.
+// while their processes still run and use the limits; a minute covers an outage of that
+// length.
 const departedShareDuration = time.Minute
 
 // Sharers returns the number of processes that may be using the limits of the whole fleet,
@@ -34,6 +34,6 @@
 		}
 	}
 	all := m.All()
-	index = slices.IndexFunc(all, func(o hookhall.Member) bool { return o.Address == m.self.Address })
+	index = slices.IndexFunc(all, func(member hookhall.Member) bool { return member.Address == m.self.Address })
 	return len(all) + len(m.addressRemovedAt), index
 }
--- a/internal/coordination/members/update.go
+++ b/internal/coordination/members/update.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// updateRetention is for how long a change stays part of each update, so that a
-	// process that misses one update still receives the change.
+	// updateRetention is how long a change stays part of each update, so that a process
+	// that misses one update still receives the change.
 	updateRetention = 3 * time.Second
-	// maxUpdateAge is how long a process that receives updates goes without one before
-	// it follows the store itself.
+	// maxUpdateAge is how long after the last update a process that is no leader begins to
+	// follow the store itself.
 	maxUpdateAge = 3 * time.Second
-	// followCheckInterval is how often it checks whether it has to.
+	// followCheckInterval is the time between two checks of such a process whether its last
+	// update is older than maxUpdateAge.
 	followCheckInterval = 200 * time.Millisecond
 )
 
-// Update holds the recent changes of the store's list of members. A process
-// that has all earlier changes arrives at the same list, which the digest verifies.
+// Update holds the recent changes of the store's list of members. A process that has all
+// earlier changes arrives at the same list, which the digest verifies.
 type Update struct {
 	// Revision is the store's revision of the list; 0 in an empty update.
 	Revision hookhall.Revision
@@ -33,8 +34,8 @@
 	Gone     []string        // keys removed within updateRetention, sorted
 }
 
-// listing is a member with its key in the store. The item is zero for members that
-// are known from a peer only.
+// listing is a member with its key in the store. The item is zero for members that are
+// known from a peer only.
 type listing struct {
 	item      hookhall.Item
 	member    hookhall.Member
@@ -94,9 +95,9 @@
 		return
 	}
 	isChanged := false
-	for _, i := range update.Changed {
-		if m.listingByKey[i.Key].item.Revision < i.Revision {
-			m.addMember(i, now)
+	for _, item := range update.Changed {
+		if m.listingByKey[item.Key].item.Revision < item.Revision {
+			m.addMember(item, now)
 			isChanged = true
 		}
 	}
