--- a/internal/coordination/outage/gate.go
+++ b/internal/coordination/outage/gate.go
@@ -23,7 +23,7 @@
 	probeWatchTimeout = 20 * time.Millisecond
 )
 
-// errProbeFailed is returned to the callers that waited for a failed probe.
+// errProbeFailed is returned to the callers that waited for a probe that failed.
 var errProbeFailed = errors.Wrap(hookhall.ErrUnavailable, "the store does not answer this process: the probe of a concurrent call failed")
 
 // Pace sets how often a process probes a store that does not answer.
@@ -31,16 +31,16 @@
 	// MaxPause is the upper limit of the pause after a failed probe. Jitter adds
 	// up to a quarter to it.
 	MaxPause time.Duration
-	// HedgeInterval is the interval at which a probe that is not answered yet is sent again
-	// beside the earlier attempts; 0 sends it once. The store does not answer calls
-	// that were sent during its outage even after it is back: with one call at a
-	// time of up to 900 ms, gateways that had started in an outage were ready 1.1 s
+	// HedgeInterval is the interval at which a probe that is not answered yet is sent
+	// again beside the earlier attempts; 0 sends it once. The store does not answer
+	// calls that were sent during its outage even after it is back: with one call at
+	// a time of up to 900 ms, gateways that had started in an outage were ready 1.1 s
 	// after its end.
 	HedgeInterval time.Duration
 }
 
-// Gate is a hookhall.Store that passes calls on to another one and makes one call at a
-// time while that one does not answer. It is safe for concurrent use.
+// Gate is a hookhall.Store that passes calls on to another store, and makes one call at a
+// time while that store does not answer. It is safe for concurrent use.
 type Gate struct {
 	store hookhall.Store
 	// Pace returns the current pace. It is called for each probe and each failed call,
@@ -145,9 +145,9 @@
 
 // Swap implements hookhall.Store. If a probe is sent twice, the second attempt may find
 // what the first has written, which is a conflict: the caller reads the current value.
-func (g *Gate) Swap(ctx context.Context, key string, value []byte, expected hookhall.Revision) (hookhall.Revision, error) {
+func (g *Gate) Swap(ctx context.Context, key string, value []byte, previous hookhall.Revision) (hookhall.Revision, error) {
 	r, err := g.call(ctx, func(ctx context.Context, _ bool) (r result, err error) {
-		r.revision, err = g.store.Swap(ctx, key, value, expected)
+		r.revision, err = g.store.Swap(ctx, key, value, previous)
 		return r, err
 	})
 	return r.revision, err
@@ -171,7 +171,7 @@
 	return err
 }
 
-// Revoke implements hookhall.Store. It is always sent at once, also in an outage: it
+// Revoke implements hookhall.Store. It is always sent at once, also in an outage, since it
 // is the last call of a process that stops.
 func (g *Gate) Revoke(ctx context.Context, lease hookhall.Lease) error {
 	return g.store.Revoke(ctx, lease)
@@ -212,7 +212,8 @@
 	return true, nil
 }
 
-// awaitProbe waits for the running probe. It returns nil if the store answers.
+// awaitProbe waits for the running probe. It returns nil if the store answered it, and
+// otherwise errProbeFailed, or hookhall.ErrUnavailable if ctx ends first.
 func (g *Gate) awaitProbe(ctx context.Context, done chan struct{}) error {
 	select {
 	case <-done:
@@ -249,8 +250,8 @@
 	err    error
 }
 
-// hedge makes a call and sends it again every Pace.HedgeInterval while no attempt has ended. It
-// returns the outcome of the attempt that ends first and cancels the others.
+// hedge makes a call and sends it again every Pace.HedgeInterval while no attempt has
+// ended. It returns the outcome of the attempt that ends first and cancels the others.
 func (g *Gate) hedge(ctx context.Context, do storeCall) (result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -271,14 +272,14 @@
 	for {
 		go attempt()
 		select {
-		case o := <-first:
-			return o.result, o.err
+		case outcome := <-first:
+			return outcome.result, outcome.err
 		case <-hedgeDue:
 		}
 	}
 }
 
-// awaitPause waits until the next probe is due, or until Gate.ReportAnswered ends the pause.
+// awaitPause waits until the next probe is due, or until ReportAnswered ends the pause.
 func (g *Gate) awaitPause(ctx context.Context) error {
 	g.mu.Lock()
 	wake := make(chan struct{})
@@ -305,7 +306,7 @@
 }
 
 // recordResult updates the state of the outage after a call. Failed calls whose own
-// ctx has ended are ignored: they say nothing about the store.
+// ctx has ended are ignored: they don't show whether the store answers.
 func (g *Gate) recordResult(ctx context.Context, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
