--- a/internal/coordination/eras/doc.go
+++ b/internal/coordination/eras/doc.go
@@ -8,7 +8,7 @@
 // A store that was restored from an older copy reports a later era in all its answers.
 // Whatever was written after the copy is gone, and revision counts and lease numbers are
 // assigned again. A Store passes calls on to another store and keeps the latest era that it
-// received. An answer of an earlier era is an error: it was under way when the store was
+// has received. An answer of an earlier era is an error: it was under way when the store was
 // restored, or comes from a replica that is not restored yet. Once an era was received, an
 // answer without an era is an error, too, since it can't be compared with the others.
 //
--- a/internal/coordination/eras/eras.go
+++ b/internal/coordination/eras/eras.go
@@ -13,32 +13,34 @@
 	"github.com/pkg/errors"
 )
 
-// errEarlierEra is the error of a call whose answer has an earlier era than the latest, or none.
+// errEarlierEra is the error of a call whose answer has an earlier era than the latest one
+// received, or none.
 var errEarlierEra = errors.Wrap(hookhall.ErrUnavailable, "the answer is of an earlier era of the store")
 
-// Meter receives the counts of a Store.
+// Meter counts the restores that a Store detects.
 type Meter interface {
-	// Restored counts that the store was restored from an older copy and is now in the given era.
+	// Restored counts one restore of the store from an older copy, after which it is in the given
+	// era.
 	Restored(era uint64)
 }
 
-// Store is a hookhall.Store that passes calls on to another one and rejects answers of earlier
+// Store is a hookhall.Store that passes calls on to another store and rejects answers of earlier
 // eras. It is safe for concurrent use.
 type Store struct {
 	store hookhall.Store
 	meter Meter
 	log   *log.Logger
 
-	mu              sync.Mutex
-	hasAnswer       bool   // an answer was received
-	latest          uint64 // latest era received
-	isRefusalLogged bool   // an answer of an earlier era was logged since the latest era began
+	mu                sync.Mutex
+	hasAnswer         bool   // an answer was received
+	latest            uint64 // latest era received
+	isRejectionLogged bool   // an answer of an earlier era was logged since the latest era began
 }
 
 // New returns a Store that passes calls on to s, reports restores to m and logs to l.
 func New(s hookhall.Store, m Meter, l *log.Logger) *Store { return &Store{store: s, meter: m, log: l} }
 
-// Era returns the latest era that an answer had, 0 before the first answer.
+// Era returns the latest era of the answers received, 0 before the first answer.
 func (s *Store) Era() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,11 +56,11 @@
 		s.hasAnswer, s.latest = true, era
 	case era > s.latest:
 		s.log.Warn("store restored from an older copy; reading everything again", "era", era, "before", s.latest)
-		s.latest, s.isRefusalLogged = era, false
+		s.latest, s.isRejectionLogged = era, false
 		s.meter.Restored(era)
 	case era < s.latest:
-		if !s.isRefusalLogged {
-			s.isRefusalLogged = true
+		if !s.isRejectionLogged {
+			s.isRejectionLogged = true
 			s.log.Warn("store answered in an earlier era; ignoring such answers", "era", era, "latest", s.latest)
 		}
 		return errEarlierEra
@@ -97,7 +99,7 @@
 }
 
 // Watch implements hookhall.Store. It returns hookhall.ErrHistoryGone if since belongs to an
-// earlier era, since the changes between the eras can't be listed.
+// earlier era, because the store can't list the changes between two eras.
 func (s *Store) Watch(ctx context.Context, prefix string, since hookhall.Revision, wait time.Duration) ([]hookhall.Item, hookhall.Revision, error) {
 	if since.Era() < s.Era() {
 		return nil, since, hookhall.ErrHistoryGone
@@ -117,16 +119,16 @@
 	return s.store.Put(ctx, key, value, lease)
 }
 
-// Swap implements hookhall.Store. It returns hookhall.ErrConflict if was belongs to an earlier
-// era, since the key may have changed unnoticed when the store was restored.
+// Swap implements hookhall.Store. It returns hookhall.ErrConflict if previous belongs to an
+// earlier era: the key may have been changed by the restore.
 //
 // TODO: a restore that no answer has shown yet is only detected in the answer to the write.
 // By then the value is written if another process wrote the key at the same revision count.
-func (s *Store) Swap(ctx context.Context, key string, value []byte, was hookhall.Revision) (hookhall.Revision, error) {
-	if was > 0 && was.Era() < s.Era() {
+func (s *Store) Swap(ctx context.Context, key string, value []byte, previous hookhall.Revision) (hookhall.Revision, error) {
+	if previous > 0 && previous.Era() < s.Era() {
 		return 0, hookhall.ErrConflict
 	}
-	at, err := s.store.Swap(ctx, key, value, was)
+	at, err := s.store.Swap(ctx, key, value, previous)
 	if err == nil {
 		err = s.checkEra(at.Era())
 	}
