--- a/internal/coordination/fleet/doc.go
+++ b/internal/coordination/fleet/doc.go
@@ -10,11 +10,12 @@
 // The view is stored under one key of the key-value service. An entry that is
 // ready adds itself by compare-and-swap; one that stops removes itself. Each
 // member sends heartbeats to the SuccessorCount next members on a ring ordered by
-// hash, so the work per member does not grow with the fleet. When a
-// member has missed several heartbeats in a row, the sender asks two other
-// members to probe it; if they can't reach it either, the sender removes it from
-// the view. Heartbeats carry epochs and table versions, so updates spread while
-// the key-value service is unavailable.
+// hash, so the work per member does not grow with the fleet. When a member has
+// missed several heartbeats in a row, the sender asks other members to probe it, until one
+// reaches it or two have answered; if none reaches it, the sender removes it from the
+// view. If too few answer, the sender may be the one that is cut off, and waits longer
+// before it removes a member. Heartbeats carry epochs and table versions, so updates
+// spread while the key-value service is unavailable.
 //
 // A member that was removed on such evidence is unfenced: it may still run on
 // the other side of a network partition. It stays unfenced until the platform's
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -60,7 +60,7 @@
 	// wantsMembership is set once Join has been called; from then on the process joins
 	// again whenever it was removed.
 	wantsMembership atomic.Bool
-	// leaving is set once Leave has been called: the process then removes nobody and
+	// leaving is set once Leave has been called: the process then removes no member and
 	// doesn't rejoin.
 	leaving atomic.Bool
 	// listing is the instance list as last read; nil before the first read.
@@ -87,7 +87,7 @@
 	ReadAt time.Time
 }
 
-// Has reports whether the list has an instance with the ID.
+// Has reports whether the list has an instance with the given ID.
 func (l *Listing) Has(id string) bool {
 	for _, i := range l.Instances {
 		if i.ID == id {
@@ -150,7 +150,7 @@
 	f.triggerRepair()
 }
 
-// triggerRepair starts another round of the repair loop; it never blocks.
+// triggerRepair makes the repair loop start another round; it never blocks.
 func (f *Fleet) triggerRepair() {
 	select {
 	case f.repairRequested <- struct{}{}:
@@ -175,7 +175,7 @@
 // watchView adopts each new version of the view in the key-value service.
 func (f *Fleet) watchView(ctx context.Context) {
 	follow.Key(ctx, f.kv, tables.ViewKey, f.adoptStored, func(err error) {
-		f.noteServiceFailure()
+		f.recordServiceFailure()
 		f.log.Warn("can't watch the view", "error", err.Error())
 	})
 }
@@ -201,8 +201,9 @@
 }
 
 // changeView applies one change to the view in the key-value service, and adopts the
-// result. An edit that returns the same view is not written. When the reply to a
-// write is lost, the next read shows whether it took effect.
+// result. If edit returns its argument, nothing is written. When the reply to a write
+// is lost, the next read shows whether it took effect. operation names the change in
+// log and error messages.
 func (f *Fleet) changeView(ctx context.Context, operation string, edit func(*hookhall.View) *hookhall.View) error {
 	ctx, cancel := context.WithTimeout(ctx, viewWriteTimeout)
 	defer cancel()
@@ -239,7 +240,7 @@
 
 // Leave removes this process from the view, and waits until the members that are
 // left hold all claims that it held. Until then this process must keep answering
-// their Fetch calls. An error says that it is still in the view, or that claims may
+// their Fetch calls. An error means that it is still in the view, or that claims may
 // be lost if it stops now.
 func (f *Fleet) Leave(ctx context.Context) error {
 	f.leaving.Store(true)
@@ -288,7 +289,7 @@
 	return f.peers.Peer(m.Address).IsComplete(ctx, epoch)
 }
 
-// sweepLoop drops expired claims every few seconds.
+// sweepLoop drops expired claims about every five seconds.
 func (f *Fleet) sweepLoop(ctx context.Context) {
 	for retry.Sleep(ctx, retry.Jitter(5*time.Second)) {
 		f.store.Sweep(clock.Now())
--- a/internal/coordination/fleet/heartbeat.go
+++ b/internal/coordination/fleet/heartbeat.go
@@ -62,7 +62,7 @@
 }
 
 // checkMember probes one member, and removes it after repeated failures that witnesses
-// confirm. A process that is not a member removes nobody: it may be the one that is cut off.
+// confirm. A process that is not a member removes none: it may be the one that is cut off.
 func (f *Fleet) checkMember(ctx context.Context, m hookhall.Member) {
 	s := f.countProbeResult(m, f.Probe(ctx, m))
 	if s.failedProbes < f.timing.SuspectThreshold || ctx.Err() != nil || f.leaving.Load() || !f.isMember() {
@@ -77,14 +77,14 @@
 
 // couldHaveBeenRemoved reports whether the other members, which may suspect this process in
 // turn, have had the time and an available key-value service to remove it, and have not done
-// so. It reads the stored view to find out, and returns false if that fails.
+// so. It reads the stored view to check, and returns false if that fails.
 func (f *Fleet) couldHaveBeenRemoved(ctx context.Context, s suspicion) bool {
 	entry, err := f.kv.Get(ctx, tables.ViewKey)
 	if err == nil {
 		err = f.adoptStored(entry)
 	}
 	if err != nil {
-		f.noteServiceFailure()
+		f.recordServiceFailure()
 		return false
 	}
 	since := s.since
@@ -94,8 +94,8 @@
 	return f.isMember() && clock.Since(since) >= isolatedSuspectFactor*time.Duration(f.timing.SuspectThreshold)*f.timing.HeartbeatInterval
 }
 
-// noteServiceFailure records that a watch or read of the view failed now.
-func (f *Fleet) noteServiceFailure() {
+// recordServiceFailure records that a watch or read of the view failed now.
+func (f *Fleet) recordServiceFailure() {
 	now := clock.Now()
 	f.serviceFailedAt.Store(&now)
 }
@@ -125,14 +125,14 @@
 	return s
 }
 
-// Probe sends one heartbeat to a member. From the reply it adopts a newer view and the
-// reports of leaving targets, and fetches a newer table. If the member's epoch is older, it
-// sends the view, too.
+// Probe sends one heartbeat to a member. It adopts a newer view and the reports of leaving
+// targets from the reply, and fetches the table if the member has a newer one. If the member's
+// epoch is older, it sends a second heartbeat with the view.
 func (f *Fleet) Probe(ctx context.Context, m hookhall.Member) error {
 	return f.probe(ctx, m, nil)
 }
 
-// Push sends a heartbeat that carries the view, to a member whose epoch is older.
+// Push sends a heartbeat with the view to a member whose epoch is older.
 func (f *Fleet) Push(ctx context.Context, m hookhall.Member) error {
 	return f.probe(ctx, m, view.Encode(f.View()))
 }
@@ -215,9 +215,9 @@
 }
 
 // askWitnesses asks other members, in an order by hash that differs by member, whether they
-// reach m, until one does or requiredWitnesses have answered. Isolated is set when fewer than
+// reach m, until one does or requiredWitnesses have answered. isolated is set when fewer than
 // that, and fewer than half of those asked, have answered: this process may then be the one
-// that is cut off. Two more than maxWitnesses are drawn from the ring, since m and this
+// that is cut off. Two more than maxWitnesses are taken from the ring, since m and this
 // process, which are no witnesses, may be among them.
 func (f *Fleet) askWitnesses(ctx context.Context, m hookhall.Member) (reached, isolated bool) {
 	asked, answered := 0, 0
@@ -242,9 +242,9 @@
 // removeMember removes a member that doesn't answer from the view. It is left unfenced
 // unless the instance list lacks its instance.
 func (f *Fleet) removeMember(ctx context.Context, m hookhall.Member) {
-	gone := f.isUnlisted(m)
-	f.log.Warn("member does not answer; removing it", "member", m.ID, "gone", gone)
-	err := f.changeView(ctx, "remove", func(v *hookhall.View) *hookhall.View { return view.Leave(v, m.ID, gone) })
+	unlisted := f.isUnlisted(m)
+	f.log.Warn("member does not answer; removing it", "member", m.ID, "gone", unlisted)
+	err := f.changeView(ctx, "remove", func(v *hookhall.View) *hookhall.View { return view.Leave(v, m.ID, unlisted) })
 	if err != nil {
 		f.log.Warn("can't remove the member", "member", m.ID, "error", err.Error())
 		return
@@ -254,8 +254,8 @@
 	f.mu.Unlock()
 }
 
-// isUnlisted reports whether the instance list lacks the member's instance. An empty list,
-// or one that was read more than three intervals ago, proves nothing.
+// isUnlisted reports whether the instance list lacks the member's instance. It returns false if
+// the list is empty or was read more than three intervals ago.
 func (f *Fleet) isUnlisted(m hookhall.Member) bool {
 	listing := f.listing.Load()
 	return listing != nil && clock.Since(listing.ReadAt) < 3*f.timing.ListInterval && len(listing.Instances) > 0 && !listing.Has(m.Instance)
@@ -264,7 +264,7 @@
 // listLoop reads the instance list every Timing.ListInterval, and fences removed members that it
 // no longer has.
 func (f *Fleet) listLoop(ctx context.Context) {
-	// An empty list is read again sooner: the list of a new fleet lags.
+	// An empty list is read again sooner: the list lags behind the start of a new fleet.
 	emptyPause := retry.NewWithDelays(min(retry.DefaultMinDelay, f.timing.ListInterval), f.timing.ListInterval)
 	for ctx.Err() == nil {
 		list, err := f.instanceList.List(ctx)
@@ -284,7 +284,7 @@
 	}
 }
 
-// fenceUnlisted takes members off the view's unfenced ones whose instances the list lacks.
+// fenceUnlisted removes from the view's unfenced members those whose instances the list lacks.
 // For each, only its first successor on the ring does so, to avoid conflicting writes.
 func (f *Fleet) fenceUnlisted(ctx context.Context) {
 	v := f.View()
--- a/internal/coordination/fleet/leaving.go
+++ b/internal/coordination/fleet/leaving.go
@@ -19,26 +19,26 @@
 )
 
 // leavingReports holds the peers' reports of leaving targets. They are not passed on to
-// other peers: two processes would renew each other's report for ever.
+// other peers: two processes would renew each other's reports endlessly.
 type leavingReports struct{ expiryByTarget sync.Map } // target ID to time.Time
 
 // add records a peer's report of leaving targets, received at now.
-func (h *leavingReports) add(ids []string, now time.Time) {
+func (r *leavingReports) add(ids []string, now time.Time) {
 	for _, id := range ids[:min(len(ids), maxLeavingTargets)] {
-		h.expiryByTarget.Store(id, now.Add(leavingReportLifetime))
+		r.expiryByTarget.Store(id, now.Add(leavingReportLifetime))
 	}
 }
 
-// has reports whether a report of the target is valid at now, and drops one that has expired.
-func (h *leavingReports) has(id string, now time.Time) bool {
-	expiry, ok := h.expiryByTarget.Load(id)
+// has reports whether a report of the target is valid at now, and deletes it if it has expired.
+func (r *leavingReports) has(id string, now time.Time) bool {
+	expiry, ok := r.expiryByTarget.Load(id)
 	if !ok {
 		return false
 	}
 	if now.Before(expiry.(time.Time)) {
 		return true
 	}
-	h.expiryByTarget.Delete(id)
+	r.expiryByTarget.Delete(id)
 	return false
 }
 
--- a/internal/coordination/fleet/membership_test.go
+++ b/internal/coordination/fleet/membership_test.go
@@ -21,15 +21,16 @@
 
 const (
 	testRetention = time.Minute
-	// removalTimeout is the time within which a silent member must be out of the view: that of
-	// three heartbeats and two witnesses without an answer. cutDuration is how long members
-	// stay cut off.
+	// removalTimeout is the time within which a member that does not answer must be out of the
+	// view: that of three heartbeats and two witnesses without an answer.
 	removalTimeout = 6 * time.Second
 	// settleTimeout is the time within which the view must be stable again after the loss of
 	// many members at once.
 	settleTimeout = time.Minute
-	cutDuration   = 10 * time.Second
-	callLatency   = time.Millisecond
+	// cutDuration is how long members stay cut off.
+	cutDuration = 10 * time.Second
+	// callLatency is how long each call takes.
+	callLatency = time.Millisecond
 )
 
 // fakePlatform is an in-memory key-value service, whose only key is the view's, and the
@@ -93,7 +94,7 @@
 	return append([]hookhall.Instance(nil), s.instances...), nil
 }
 
-// setDown makes the key-value service unavailable, or available again.
+// setDown sets whether the key-value service is unavailable.
 func (s *fakePlatform) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,51 +126,51 @@
 	from string
 }
 
-func (w memberPeers) Peer(address string) hookhall.Peer {
-	return memberLink{m: w.m, from: w.from, to: address}
+func (p memberPeers) Peer(address string) hookhall.Peer {
+	return memberLink{m: p.m, from: p.from, to: address}
 }
 
 // deliver waits for callLatency and returns the member that is called. If the link is cut, it
 // waits until ctx ends and returns its error.
-func (w memberLink) deliver(ctx context.Context) (*Fleet, error) {
+func (l memberLink) deliver(ctx context.Context) (*Fleet, error) {
 	time.Sleep(callLatency)
-	w.m.mu.Lock()
-	cut := w.m.cutLinks
-	lost := cut[w.from+">"+w.to] || cut["*>"+w.to] || cut[w.from+">*"]
-	w.m.mu.Unlock()
+	l.m.mu.Lock()
+	cut := l.m.cutLinks
+	lost := cut[l.from+">"+l.to] || cut["*>"+l.to] || cut[l.from+">*"]
+	l.m.mu.Unlock()
 	if lost {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return w.m.fleets[w.to], nil
+	return l.m.fleets[l.to], nil
 }
 
-func (w memberLink) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
-	f, err := w.deliver(ctx)
+func (l memberLink) Probe(ctx context.Context, p hookhall.Probe) (hookhall.ProbeReply, error) {
+	f, err := l.deliver(ctx)
 	if err != nil {
 		return hookhall.ProbeReply{}, err
 	}
 	return f.HandleProbe(ctx, p), nil
 }
 
-func (w memberLink) ProbeFor(ctx context.Context, address string) (bool, error) {
-	f, err := w.deliver(ctx)
+func (l memberLink) ProbeFor(ctx context.Context, address string) (bool, error) {
+	f, err := l.deliver(ctx)
 	if err != nil {
 		return false, err
 	}
 	return f.HandleProbeFor(ctx, address), nil
 }
 
-func (w memberLink) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
-	f, err := w.deliver(ctx)
+func (l memberLink) Fetch(ctx context.Context, q hookhall.FetchRequest) (hookhall.FetchReply, error) {
+	f, err := l.deliver(ctx)
 	if err != nil {
 		return hookhall.FetchReply{}, err
 	}
 	return f.HandleFetch(q), nil
 }
 
-func (w memberLink) IsComplete(ctx context.Context, epoch uint64) (bool, error) {
-	f, err := w.deliver(ctx)
+func (l memberLink) IsComplete(ctx context.Context, epoch uint64) (bool, error) {
+	f, err := l.deliver(ctx)
 	if err != nil {
 		return false, err
 	}
--- a/internal/coordination/fleet/repair.go
+++ b/internal/coordination/fleet/repair.go
@@ -71,15 +71,15 @@
 }
 
 // fetchMissing fetches each needed layer (the grants of one epoch for one slot) from the
-// owner and the standby of that epoch. A layer whose pair is gone is noted in the store as
-// lost.
-func (f *Fleet) fetchMissing(ctx context.Context, needs []claim.MissingEpoch) {
+// owner and the standby of that epoch, the pair. A layer whose pair is gone is marked as lost
+// in the store.
+func (f *Fleet) fetchMissing(ctx context.Context, missing []claim.MissingEpoch) {
 	v := f.View()
 	now := clock.Now()
 	membersByEpoch := map[uint64][]hookhall.Member{}
 	slotsByMember := map[string][]uint32{}
 	addressByMember := map[string]string{}
-	for _, n := range needs {
+	for _, n := range missing {
 		members, ok := membersByEpoch[n.Epoch]
 		if !ok {
 			members, ok = view.MembersAt(v, n.Epoch)
@@ -125,11 +125,11 @@
 
 // fetch makes one Fetch call and merges the records of its reply. It returns false if the
 // call failed or the member is not yet at the epoch of the request.
-func (f *Fleet) fetch(ctx context.Context, address string, q hookhall.FetchRequest) bool {
+func (f *Fleet) fetch(ctx context.Context, address string, request hookhall.FetchRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	reply, err := f.peers.Peer(address).Fetch(ctx, q)
-	if err != nil || reply.Epoch < q.Epoch {
+	reply, err := f.peers.Peer(address).Fetch(ctx, request)
+	if err != nil || reply.Epoch < request.Epoch {
 		return false
 	}
 	for _, s := range reply.Slots {
@@ -139,14 +139,14 @@
 }
 
 // HandleFetch returns the records of slots to a member that lacks them. It adopts the
-// sender's view first, so that no further grant of an earlier epoch can follow the read.
-func (f *Fleet) HandleFetch(q hookhall.FetchRequest) hookhall.FetchReply {
-	f.adoptEncoded(q.View)
-	return f.store.Records(q.Epoch, q.Slots)
+// sender's view first, so that this process makes no grant of an earlier epoch after the read.
+func (f *Fleet) HandleFetch(request hookhall.FetchRequest) hookhall.FetchReply {
+	f.adoptEncoded(request.View)
+	return f.store.Records(request.Epoch, request.Slots)
 }
 
-// isPairGone reports whether no member of a pair can grant any more: none is a
-// member now, and none is unfenced.
+// isPairGone reports whether no member of a pair can make grants any more: none is in the
+// view, and none is unfenced.
 func isPairGone(v *hookhall.View, pair []hookhall.Member) bool {
 	for _, m := range pair {
 		if _, ok := view.Find(v, m.ID); ok {
@@ -163,8 +163,8 @@
 
 // expireBeforeHistory handles a missing layer of an epoch whose members the view's history
 // no longer has. If no member is unfenced, all members of that epoch are gone or have
-// advanced to a later one, and their grants expire within the retention. After that time,
-// the layer and all earlier ones of the slot count as held.
+// advanced to a later one, and their grants expire within the retention of the claims. After
+// that time, the layer and all earlier ones of the slot count as complete.
 func (f *Fleet) expireBeforeHistory(v *hookhall.View, n claim.MissingEpoch, now time.Time) {
 	if len(v.Unfenced) > 0 {
 		return
