--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -28,8 +28,9 @@
 const watchTimeout = 30 * time.Second
 
 // Key follows a key of kv until ctx ends. It calls apply with each entry that it reads, and
-// onError with each error of kv or apply. An entry may be passed to apply again unchanged,
-// since a Watch call also returns after 30 seconds without a change.
+// onError with each error of kv or apply, one call at a time. An entry may be passed to apply
+// again unchanged, since a Watch call also returns after 30 seconds without a change. A key
+// that does not exist is passed as an empty entry.
 func Key(ctx context.Context, kv hookhall.KeyValue, key string, apply func(hookhall.KeyValueEntry) error, onError func(error)) {
 	var index uint64
 	pause := retry.New()
