--- a/internal/coordination/members/lag.go
+++ b/internal/coordination/members/lag.go
@@ -59,8 +59,8 @@
 
 // monitorLag makes this process decline ownership while its timers are late. An owner on
 // an instance that has become slow would delay the whole fleet, and its peers don't
-// suspect it, since it still answers. A process that is too weak to own work skips the samples, unless
-// it declines ownership already.
+// suspect it, since it still answers. A process that is too weak to own work skips the
+// samples, unless it declines ownership already.
 func (m *Members) monitorLag(ctx context.Context) {
 	var l lagMonitor
 	for {
