--- a/internal/coordination/catalog/table.go
+++ b/internal/coordination/catalog/table.go
@@ -40,7 +40,7 @@
 // followTable watches the table if this process is the first reader, and otherwise reads it when
 // peers have not confirmed it in time. It returns when ctx ends.
 func (c *Catalog) followTable(ctx context.Context) {
-	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
+	backoff := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	watchRevision := hookhall.Revision(0)
 	for ctx.Err() == nil {
 		if s := c.table.Load(); s != nil && c.ReaderRank() > 0 && !c.needsRead(s.confirmed, clock.Now()) {
@@ -65,16 +65,16 @@
 			if c.ReaderRank() == maxRank {
 				retry.Sleep(ctx, retry.Jitter(noTableRetryDelay))
 			} else {
-				pause.Wait(ctx)
+				backoff.Wait(ctx)
 			}
 			continue
 		}
 		c.recordCall(ctx, err)
 		if err != nil {
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		}
-		pause.Reset()
+		backoff.Reset()
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	packed, err := Pack(value)
 	if err != nil {
-		c.log.Error("cannot compress the table", "revision", revision, "error", err.Error())
+		c.log.Error("could not compress the table", "revision", revision, "error", err.Error())
 		return false
 	}
 	return c.installTable(value, packed, revision, from, began)
@@ -199,7 +199,7 @@
 	}
 	value, err := Unpack(packed)
 	if err != nil {
-		c.log.Error("cannot decompress the table of a peer", "revision", revision, "from", from, "error", err.Error())
+		c.log.Error("could not decompress the table of a peer", "revision", revision, "from", from, "error", err.Error())
 		return false
 	}
 	return c.installTable(value, packed, revision, from, began)
@@ -209,7 +209,7 @@
 func (c *Catalog) installTable(value, packed []byte, revision hookhall.Revision, from string, began time.Time) bool {
 	r, err := c.schema.ReadRouting(value)
 	if err != nil {
-		c.log.Error("cannot parse the table; keeping the current one", "revision", revision, "error", err.Error())
+		c.log.Error("could not parse the table; keeping the current one", "revision", revision, "error", err.Error())
 		return false
 	}
 	compiled := routetable.Compile(r)
--- a/internal/coordination/catalog/targets.go
+++ b/internal/coordination/catalog/targets.go
@@ -60,7 +60,7 @@
 // The first reader watches them, and lists all of them every fullReadInterval. It returns when
 // ctx ends.
 func (c *Catalog) followTargets(ctx context.Context) {
-	f := targetsFollower{Catalog: c, pause: retry.NewWithDelays(minRetryDelay, maxRetryDelay)}
+	f := targetsFollower{Catalog: c, backoff: retry.NewWithDelays(minRetryDelay, maxRetryDelay)}
 	for ctx.Err() == nil {
 		if !f.isDue(clock.Now()) {
 			f.watchRevision = 0 // updates of peers may be ahead of an earlier watch
@@ -79,7 +79,7 @@
 // targetsFollower is the state of the loop in followTargets.
 type targetsFollower struct {
 	*Catalog
-	pause         *retry.Backoff
+	backoff       *retry.Backoff
 	copyBegan     time.Time         // lower bound of the time at which the initial copy was made
 	watchRevision hookhall.Revision // the revision to watch from, 0 to list all targets
 	lastFullRead  time.Time         // when all targets were last listed
@@ -130,10 +130,10 @@
 	f.recordCall(ctx, err)
 	if err != nil {
 		f.watchRevision = 0 // a full read brings whatever was missed
-		f.pause.Wait(ctx)
+		f.backoff.Wait(ctx)
 		return
 	}
-	f.pause.Reset()
+	f.backoff.Reset()
 	if fresh && !isFirst {
 		f.OnStoreRead()
 	}
--- a/internal/coordination/fleet/fleet.go
+++ b/internal/coordination/fleet/fleet.go
@@ -176,7 +176,7 @@
 func (f *Fleet) watchView(ctx context.Context) {
 	follow.Key(ctx, f.kv, tables.ViewKey, f.adoptStored, func(err error) {
 		f.recordServiceFailure()
-		f.log.Warn("can't watch the view", "error", err.Error())
+		f.log.Warn("could not watch the view", "error", err.Error())
 	})
 }
 
@@ -207,7 +207,7 @@
 func (f *Fleet) changeView(ctx context.Context, operation string, edit func(*hookhall.View) *hookhall.View) error {
 	ctx, cancel := context.WithTimeout(ctx, viewWriteTimeout)
 	defer cancel()
-	pause := retry.New()
+	backoff := retry.New()
 	for {
 		entry, err := f.kv.Get(ctx, tables.ViewKey)
 		if err != nil {
@@ -231,7 +231,7 @@
 		if err != nil {
 			f.log.Warn("key-value service did not answer", "change", operation, "error", err.Error())
 		}
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 		if ctx.Err() != nil {
 			return errors.Wrapf(hookhall.ErrUnavailable, "can't write the view for operation %s", operation)
 		}
@@ -244,7 +244,7 @@
 // be lost if it stops now.
 func (f *Fleet) Leave(ctx context.Context) error {
 	f.leaving.Store(true)
-	pause := retry.New()
+	backoff := retry.New()
 	for {
 		err := f.changeView(ctx, "leave", func(v *hookhall.View) *hookhall.View { return view.Leave(v, f.self.ID, true) })
 		if err == nil {
@@ -253,7 +253,7 @@
 		if ctx.Err() != nil {
 			return errors.Wrap(err, "can't leave; this process is still in the view")
 		}
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 	}
 	return f.awaitHandover(ctx)
 }
--- a/internal/coordination/fleet/heartbeat.go
+++ b/internal/coordination/fleet/heartbeat.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		if err := f.tables.Pull(ctx, peer); err != nil {
-			f.log.Warn("can't fetch a newer table from a member", "member", m.ID, "error", err.Error())
+			f.log.Warn("could not fetch a newer table from a member", "member", m.ID, "error", err.Error())
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	f.log.Warn("member does not answer; removing it", "member", m.ID, "gone", unlisted)
 	err := f.changeView(ctx, "remove", func(v *hookhall.View) *hookhall.View { return view.Leave(v, m.ID, unlisted) })
 	if err != nil {
-		f.log.Warn("can't remove the member", "member", m.ID, "error", err.Error())
+		f.log.Warn("could not remove the member", "member", m.ID, "error", err.Error())
 		return
 	}
 	f.mu.Lock()
@@ -265,17 +265,17 @@
 // no longer has.
 func (f *Fleet) listLoop(ctx context.Context) {
 	// An empty list is read again sooner: the list lags behind the start of a new fleet.
-	emptyPause := retry.NewWithDelays(min(retry.DefaultMinDelay, f.timing.ListInterval), f.timing.ListInterval)
+	emptyListBackoff := retry.NewWithDelays(min(retry.DefaultMinDelay, f.timing.ListInterval), f.timing.ListInterval)
 	for ctx.Err() == nil {
 		list, err := f.instanceList.List(ctx)
 		if err == nil {
 			f.listing.Store(&Listing{list, clock.Now()})
 			f.fenceUnlisted(ctx)
 		} else if ctx.Err() == nil {
-			f.log.Warn("can't read the instance list", "error", err.Error())
+			f.log.Warn("could not read the instance list", "error", err.Error())
 		}
 		if err == nil && len(list) == 0 {
-			emptyPause.Wait(ctx)
+			emptyListBackoff.Wait(ctx)
 			continue
 		}
 		if !retry.Sleep(ctx, retry.Jitter(f.timing.ListInterval)) {
@@ -295,7 +295,7 @@
 		}
 		err := f.changeView(ctx, "fence", func(v *hookhall.View) *hookhall.View { return view.Fence(v, m.ID) })
 		if err != nil {
-			f.log.Warn("can't fence a member that is no longer listed", "member", m.ID, "error", err.Error())
+			f.log.Warn("could not fence a member that is no longer listed", "member", m.ID, "error", err.Error())
 		}
 	}
 }
--- a/internal/coordination/fleet/rejoin.go
+++ b/internal/coordination/fleet/rejoin.go
@@ -19,7 +19,7 @@
 // members can reach it. A process that can send but not be reached would otherwise
 // be removed and rejoin endlessly.
 func (f *Fleet) rejoinLoop(ctx context.Context) {
-	pause := retry.NewWithDelays(f.timing.HeartbeatInterval, maxRejoinPause)
+	backoff := retry.NewWithDelays(f.timing.HeartbeatInterval, maxRejoinPause)
 	var rejoinedAt time.Time
 	for retry.Sleep(ctx, retry.Jitter(f.timing.HeartbeatInterval)) {
 		if f.leaving.Load() || !f.wantsMembership.Load() {
@@ -27,7 +27,7 @@
 		}
 		if f.isMember() {
 			if clock.Since(rejoinedAt) > maxRejoinPause {
-				pause.Reset()
+				backoff.Reset()
 			}
 			continue
 		}
@@ -36,10 +36,10 @@
 		}
 		f.log.Info("rejoining the view")
 		if err := f.Join(ctx); err != nil {
-			f.log.Warn("can't rejoin the view", "error", err.Error())
+			f.log.Warn("could not rejoin the view", "error", err.Error())
 		}
 		rejoinedAt = clock.Now()
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 	}
 }
 
--- a/internal/coordination/follow/follow.go
+++ b/internal/coordination/follow/follow.go
@@ -33,7 +33,7 @@
 // that does not exist is passed as an empty entry.
 func Key(ctx context.Context, kv hookhall.KeyValue, key string, apply func(hookhall.KeyValueEntry) error, onError func(error)) {
 	var index uint64
-	pause := retry.New()
+	backoff := retry.New()
 	read := kv.Get // the first call is not Watch: a key that does not exist has no change to wait for
 	for ctx.Err() == nil {
 		entry, err := read(ctx, key)
@@ -45,13 +45,13 @@
 			if ctx.Err() == nil {
 				onError(err)
 			}
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		case entry.Index < index:
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		}
-		pause.Reset()
+		backoff.Reset()
 		index = entry.Index
 		read = func(ctx context.Context, key string) (hookhall.KeyValueEntry, error) {
 			return kv.Watch(ctx, key, index, watchTimeout)
--- a/internal/coordination/members/follow.go
+++ b/internal/coordination/members/follow.go
@@ -19,7 +19,7 @@
 // follow keeps the list current until ctx ends: by watches of the store, or by the updates
 // of a leader while those arrive.
 func (m *Members) follow(ctx context.Context) {
-	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
+	backoff := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	revision := hookhall.Revision(0)
 	for ctx.Err() == nil {
 		if m.finishRestore(clock.Now()) {
@@ -40,10 +40,10 @@
 			if errors.Is(err, hookhall.ErrHistoryGone) {
 				revision = 0
 			}
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		}
-		pause.Reset()
+		backoff.Reset()
 	}
 }
 
--- a/internal/coordination/members/register.go
+++ b/internal/coordination/members/register.go
@@ -55,7 +55,7 @@
 
 // register keeps this process registered until ctx ends or Leave is called.
 func (m *Members) register(ctx context.Context) {
-	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
+	backoff := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	failing := false
 	for ctx.Err() == nil && !m.stopping.Load() {
 		if err := m.renew(ctx); err != nil {
@@ -63,14 +63,14 @@
 				m.log.Warn("lease not renewed; other gateways remove this one when it expires", "lease", m.leaseNumber(), "error", err.Error())
 			}
 			failing = true
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		}
 		if failing {
 			m.log.Info("lease renewed again", "lease", m.leaseNumber())
 		}
 		failing = false
-		pause.Reset()
+		backoff.Reset()
 		retry.Sleep(ctx, retry.Jitter(renewInterval))
 	}
 }
