--- a/internal/coordination/members/register.go
+++ b/internal/coordination/members/register.go
@@ -34,28 +34,28 @@
 
 // advertised returns the record of this process with its current state, for the others.
 func (m *Members) advertised() hookhall.Member {
-	o := m.self
-	o.DecliningOwnership = m.declining.Load()
-	return o
+	record := m.self
+	record.DecliningOwnership = m.declining.Load()
+	return record
 }
 
 // writeKey writes this process's key under a lease.
 func (m *Members) writeKey(ctx context.Context, lease hookhall.Lease) error {
-	o := m.advertised()
-	value, err := json.Marshal(o)
+	record := m.advertised()
+	value, err := json.Marshal(record)
 	if err != nil {
 		return errors.Wrap(err, "could not encode the record of this gateway")
 	}
-	if err := m.store.Put(ctx, keyPrefix+o.Instance, value, lease); err != nil {
+	if err := m.store.Put(ctx, keyPrefix+record.Instance, value, lease); err != nil {
 		return err
 	}
-	m.publishedDeclining.Store(o.DecliningOwnership)
+	m.publishedDeclining.Store(record.DecliningOwnership)
 	return nil
 }
 
 // register keeps this process registered until ctx ends or Leave is called.
 func (m *Members) register(ctx context.Context) {
-	pause := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
+	backoff := retry.NewWithDelays(minRetryDelay, maxRetryDelay)
 	failing := false
 	for ctx.Err() == nil && !m.stopping.Load() {
 		if err := m.renew(ctx); err != nil {
@@ -63,14 +63,14 @@
 				m.log.Warn("lease not renewed; other gateways remove this one when it expires", "lease", m.leaseNumber(), "error", err.Error())
 			}
 			failing = true
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			continue
 		}
 		if failing {
 			m.log.Info("lease renewed again", "lease", m.leaseNumber())
 		}
 		failing = false
-		pause.Reset()
+		backoff.Reset()
 		retry.Sleep(ctx, retry.Jitter(renewInterval))
 	}
 }
