--- a/internal/coordination/advisories/advisories.go
+++ b/internal/coordination/advisories/advisories.go
@@ -44,11 +44,12 @@
 // hookhall.AdvisoryObserver and safe for concurrent use; its exported fields are set before
 // the first use.
 type Advisories struct {
-	Book  *advisory.Registry
+	Book  *advisory.Registry // advisories of all targets, by incarnation
 	Meter Meter
 	Log   *log.Logger
-	// Leave marks an incarnation of a target as leaving. It must not block.
-	Leave func(l hookhall.Incarnation, from string)
+	// Leave marks an incarnation of a target as leaving; from names the source in the log. It
+	// must not block.
+	Leave func(incarnation hookhall.Incarnation, from string)
 	// Broadcast sends reports to all other instances. It must not block.
 	Broadcast func(list []advisory.Report)
 
@@ -57,8 +58,8 @@
 	lastBroadcast time.Time
 }
 
-// HandleAdvisory applies the advisory of an answer to a call that was sent at sent, and broadcasts
-// what is new. It implements hookhall.AdvisoryObserver.
+// HandleAdvisory applies the advisory of an answer to a call that was sent at sent, and
+// broadcasts a change that other instances need. It implements hookhall.AdvisoryObserver.
 func (s *Advisories) HandleAdvisory(t hookhall.Target, a hookhall.Advisory, sent time.Time) {
 	c := s.Book.Record(t.Incarnation(), a, sent, clock.Now())
 	s.apply(t, c, fromAnswer)
@@ -68,7 +69,7 @@
 }
 
 // Merge applies the reports of a peer, and returns those that are new here and should be
-// passed on to other peers.
+// passed on to other peers. from names the peer in the log.
 func (s *Advisories) Merge(list []advisory.Report, from string) (fresh []advisory.Report) {
 	for _, r := range list {
 		c := s.Book.Merge(r, clock.Now())
--- a/internal/coordination/advisories/advisories_test.go
+++ b/internal/coordination/advisories/advisories_test.go
@@ -28,7 +28,7 @@
 		var mu sync.Mutex
 		s := &Advisories{
 			Book: &advisory.Registry{}, Meter: noMeter{}, Log: log.New(io.Discard),
-			Leave: func(l hookhall.Incarnation, _ string) { left = append(left, l) },
+			Leave: func(incarnation hookhall.Incarnation, _ string) { left = append(left, incarnation) },
 			Broadcast: func(list []advisory.Report) {
 				mu.Lock()
 				defer mu.Unlock()
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestBroadcastInterval guards against a broadcast for each answer: a target that sets another
-// limit in each answer causes a few broadcasts a second. The last one has its last limit.
+// TestBroadcastInterval guards against a broadcast for each answer of a target that sets
+// another limit in each one: at most a few are sent per second, and the last has the last limit.
 func TestBroadcastInterval(t *testing.T) {
 	broadcasts, _ := observe(t, func(s *Advisories) {
 		for n := range 200 {
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestPauseIsNotBroadcast guards against a pause that holds for all instances though the target
-// asked only one for it.
+// TestPauseIsNotBroadcast guards against a pause that all instances keep though the target
+// asked only one of them.
 func TestPauseIsNotBroadcast(t *testing.T) {
 	broadcasts, left := observe(t, func(s *Advisories) {
 		s.HandleAdvisory(target, hookhall.Advisory{Pause: time.Second}, time.Now())
