--- a/internal/coordination/claims/claims.go
+++ b/internal/coordination/claims/claims.go
@@ -51,12 +51,13 @@
 	// find the owner at another epoch.
 	maxRequestAttempts = 4
 	// minHeldPause and maxHeldPause bound the pause between two requests for a key
-	// that another request holds, and between two attempts of requestClaim. An owner
-	// that asks for a longer pause than maxHeldPause is not asked again.
+	// that another request holds, and between two attempts of requestClaim. If an
+	// owner that may have lost records asks for a longer pause, the request fails.
 	minHeldPause = 20 * time.Millisecond
 	maxHeldPause = 200 * time.Millisecond
 	// maxSettleAttempts bounds the attempts to settle a claim; after them, the
-	// claim stays as it is until it expires. A release is given up after a quarter.
+	// claim stays as it is until it expires. A release stops after a quarter of them,
+	// since an owner that never recorded the claim never confirms its release.
 	maxSettleAttempts = 30
 	// MaxAnswerBytes is the size in bytes of the largest answer that is stored with a
 	// claim; a larger one is dropped.
@@ -92,7 +93,7 @@
 
 // Ticket is the right to run one request.
 type Ticket struct {
-	// Key is the account and the caller's key.
+	// Key is the account's name and the caller's key, as passed to Acquire.
 	Key string
 	// Token identifies the grant among those of the same key.
 	Token uint64
@@ -112,7 +113,7 @@
 // record of a claim that has finished, or a *hookhall.Error. Digest identifies
 // the request's content: a key that was used with another digest is refused.
 func (c *Claims) Acquire(ctx context.Context, key string, digest uint64) (*Ticket, *hookhall.Record, error) {
-	pause := retry.NewWithDelays(minHeldPause, maxHeldPause)
+	backoff := retry.NewWithDelays(minHeldPause, maxHeldPause)
 	for {
 		requestedAt := clock.Now()
 		q := hookhall.ClaimRequest{Key: key, Digest: digest, Origin: c.fleet.Self().ID, Token: c.lastToken.Add(1)}
@@ -132,7 +133,7 @@
 			return nil, &reply.Record, nil
 		}
 		if err == nil {
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 			if ctx.Err() == nil {
 				continue
 			}
@@ -187,10 +188,10 @@
 }
 
 // requestClaim sends a request to the key's owner until the claim is granted or
-// held, with at most maxRequestAttempts attempts. With token 0 it only reads, and
-// ends with ClaimRefused, too, which then says that there is no claim.
+// held, with at most maxRequestAttempts attempts. With token 0 it only reads; the
+// outcome ClaimRefused then means that there is no claim, and ends it, too.
 func (c *Claims) requestClaim(ctx context.Context, q hookhall.ClaimRequest) (hookhall.ClaimReply, error) {
-	pause := retry.NewWithDelays(minHeldPause, maxHeldPause)
+	backoff := retry.NewWithDelays(minHeldPause, maxHeldPause)
 	last := hookhall.Errorf(hookhall.MayHaveRun, hookhall.CauseNoClaim, "no owner of the key could be asked")
 	for i := 0; i < maxRequestAttempts && ctx.Err() == nil; i++ {
 		p := c.store.Placement()
@@ -222,7 +223,7 @@
 		case reply.Outcome == hookhall.ClaimBehind:
 			c.syncEpoch(ctx, *pair.Owner, reply.Epoch, q.Epoch)
 		}
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 	}
 	if last.RetryAfter == 0 {
 		last.RetryAfter = time.Second
@@ -253,7 +254,8 @@
 	_ = c.fleet.Probe(ctx, member)
 }
 
-// requestFromOwner sends one request to the owner, which may be this process.
+// requestFromOwner sends one request to the owner, which may be this process, and
+// waits for the reply for at most requestTimeout.
 func (c *Claims) requestFromOwner(ctx context.Context, owner hookhall.Member, q hookhall.ClaimRequest) (hookhall.ClaimReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -362,7 +364,7 @@
 // settleWithRetries sends a settlement until the owner has stored it, with at most
 // maxSettleAttempts attempts.
 func (c *Claims) settleWithRetries(s hookhall.Settlement) {
-	pause := retry.New()
+	backoff := retry.New()
 	ctx := context.Background()
 	for i := 0; i < maxSettleAttempts; i++ {
 		owner := c.store.Placement().Pairs[view.SlotOf(s.Key)].Owner
@@ -372,7 +374,7 @@
 		if s.State == hookhall.StateReleased && i >= maxSettleAttempts/4 {
 			return // the owner never recorded the claim, or has dropped it
 		}
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 	}
 	c.log.Warn("can't settle a claim; it will expire", "key", s.Key, "state", s.State)
 }
--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -53,19 +53,19 @@
 func newPair() *group { return newGroup("a", "b") }
 
 func newGroup(addresses ...string) *group {
-	p := &group{entries: map[string]*Claims{}, view: &hookhall.View{}}
+	g := &group{entries: map[string]*Claims{}, view: &hookhall.View{}}
 	for _, n := range addresses {
 		m := hookhall.Member{ID: n + "#1", Instance: n, Hall: n, Address: n}
-		p.entries[n] = newEntry(m, p)
-		p.view = view.Join(p.view, m)
+		g.entries[n] = newEntry(m, g)
+		g.view = view.Join(g.view, m)
 	}
-	for _, c := range p.entries {
-		c.fleet.Adopt(p.view)
+	for _, c := range g.entries {
+		c.fleet.Adopt(g.view)
 		for slot := range uint32(view.SlotCount) {
-			c.store.MarkCompleteBefore(slot, p.view.Epoch)
+			c.store.MarkCompleteBefore(slot, g.view.Epoch)
 		}
 	}
-	return p
+	return g
 }
 
 func newEntry(m hookhall.Member, p hookhall.Peers) *Claims {
@@ -77,7 +77,7 @@
 }
 
 // Peer returns the client of the entry at an address.
-func (p *group) Peer(address string) hookhall.Peer { return peerLink{group: p, to: p.entries[address]} }
+func (g *group) Peer(address string) hookhall.Peer { return peerLink{group: g, to: g.entries[address]} }
 
 // deliverCall makes one call, through the group's faults if these are set.
 func deliverCall[R any](ctx context.Context, l peerLink, handle func() R) (R, error) {
@@ -123,18 +123,18 @@
 
 // changeView edits the view, so that a member has left or joined, and makes all entries
 // adopt it.
-func (p *group) changeView(edit func(*hookhall.View) *hookhall.View) {
-	p.view = edit(p.view)
-	for _, c := range p.entries {
-		c.fleet.Adopt(p.view)
+func (g *group) changeView(edit func(*hookhall.View) *hookhall.View) {
+	g.view = edit(g.view)
+	for _, c := range g.entries {
+		c.fleet.Adopt(g.view)
 	}
 }
 
 // keyOwnedBy returns a key whose owner is the entry at an address.
-func (p *group) keyOwnedBy(address string) string {
+func (g *group) keyOwnedBy(address string) string {
 	for n := 0; ; n++ {
 		key := fmt.Sprintf("k%d", n)
-		if view.PairOf(p.view.Members, view.SlotOf(key)).Owner.Address == address {
+		if view.PairOf(g.view.Members, view.SlotOf(key)).Owner.Address == address {
 			return key
 		}
 	}
@@ -164,10 +164,10 @@
 	return func(v *hookhall.View) *hookhall.View { return view.Leave(v, id, true) }
 }
 
-// TestRefusedGrantIsGivenBack guards against a key that stays held for the whole retention:
+// TestRefusedGrantIsReleased guards against a key that stays held for the whole retention:
 // the standby has stored a grant that its owner then refuses, and becomes the owner. Without
 // a release, its copy blocks the key for the very caller that requested it.
-func TestRefusedGrantIsGivenBack(t *testing.T) {
+func TestRefusedGrantIsReleased(t *testing.T) {
 	Convey("The owner leaves the view while it waits for its standby", t, func() {
 		p := newPair()
 		key := p.keyOwnedBy("a")
