--- a/internal/coordination/forward/attempt.go
+++ b/internal/coordination/forward/attempt.go
@@ -20,13 +20,13 @@
 
 // attempt is one attempt to have a target answer the request, with its outcome.
 type attempt struct {
-	reply  *hookhall.Reply
-	use    *balance.ActiveCall
-	placed placement.Placement
-	// rolloutUse counts the attempt for a rollout, nil if no rollout includes the target.
-	rolloutUse *rollouts.Attempt
-	err        *hookhall.Error
-	began      time.Time
+	reply      *hookhall.Reply
+	activeCall *balance.ActiveCall
+	placed     placement.Placement
+	// rolloutAttempt counts the attempt for a rollout, nil if no rollout includes the target.
+	rolloutAttempt *rollouts.Attempt
+	err            *hookhall.Error
+	began          time.Time
 	// unread is set once the client has stalled the stream for unreadTimeLimit: the target may
 	// break it off then, which the gateway may notice long afterwards.
 	unread bool
@@ -34,17 +34,17 @@
 
 // recordRead records that the answer has begun, so that the target has read the prompt.
 func (a *attempt) recordRead() {
-	a.use.Read()
+	a.activeCall.Read()
 	duration := clock.Since(a.began)
-	a.use.Succeeded(duration)
-	a.rolloutUse.Answered(duration, false)
+	a.activeCall.Succeeded(duration)
+	a.rolloutAttempt.Answered(duration, false)
 	a.placed.Report(placement.PromptRead)
 }
 
 // recordFailure records a failure of the target. hard means that it could not be reached or did
 // not answer.
 func (a *attempt) recordFailure(hard bool) {
-	a.use.Failed(hard, clock.Now())
+	a.activeCall.Failed(hard, clock.Now())
 	if hard {
 		a.placed.Report(placement.Failed)
 	}
@@ -52,8 +52,8 @@
 
 // recordEnd records the end of the attempt.
 func (a *attempt) recordEnd() {
-	a.use.End()
-	a.rolloutUse.End()
+	a.activeCall.End()
+	a.rolloutAttempt.End()
 	a.placed.Report(placement.Ended)
 }
 
@@ -85,19 +85,19 @@
 // and targets of services of which some have a rate limit, are chosen by the service's
 // placement owner, if it answers; otherwise this process chooses.
 func (r *request) pickTarget(ctx context.Context) (hookhall.Target, *hookhall.Error) {
-	r.wish.LatencyBudget = max(clock.Until(r.firstByteDue), 0)
+	r.criteria.LatencyBudget = max(clock.Until(r.firstByteDue), 0)
 	r.placed = placement.Placement{}
 	for {
-		r.wish.Versions = r.Rollouts.Versions(r.service, r.attempts == 0)
+		r.criteria.Versions = r.Rollouts.Versions(r.service, r.attempts == 0)
 		targets := r.Catalog.Targets(r.service)
 		pauseLeft := r.exclude(targets)
 		limits, limited := r.Advisories.Reports(targets, clock.Now())
-		r.wish.Limiter = nil
+		r.criteria.Limiter = nil
 		if limited {
 			// Only the placement owner grants the rates of limited targets.
-			r.wish.Limiter = advisory.Grants{Registry: r.Advisories}
+			r.criteria.Limiter = advisory.Grants{Registry: r.Advisories}
 		}
-		if r.wish.IsEngineCall || limited || allCold(targets, clock.Now()) {
+		if r.criteria.IsEngineCall || limited || allCold(targets, clock.Now()) {
 			if target, ok := r.requestPlacement(ctx, limits); ok {
 				return target, nil
 			}
@@ -107,7 +107,7 @@
 		if ctx.Err() != nil {
 			return hookhall.Target{}, hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "the client has gone before a target was chosen")
 		}
-		if target, ok := r.Tracker.Choose(targets, r.wish, clock.Now()); ok {
+		if target, ok := r.Tracker.Choose(targets, r.criteria, clock.Now()); ok {
 			return target, nil
 		}
 		// All targets are cold and have got their limit of requests for this second.
@@ -122,10 +122,10 @@
 // until the first pause ends, 0 if none pauses.
 func (r *request) exclude(targets []hookhall.Target) (pauseLeft time.Duration) {
 	paused, pauseLeft := r.Advisories.Paused(targets, clock.Now())
-	r.wish.ExcludedTargets = r.tried
+	r.criteria.ExcludedTargets = r.tried
 	if len(paused) > 0 {
 		maps.Copy(paused, r.tried)
-		r.wish.ExcludedTargets = paused
+		r.criteria.ExcludedTargets = paused
 	}
 	return pauseLeft
 }
@@ -155,7 +155,7 @@
 // returns false if there is none, or if the target may not be used any more.
 func (r *request) requestPlacement(ctx context.Context, limits []advisory.Report) (hookhall.Target, bool) {
 	askedAt := clock.Now()
-	r.placed = r.Placement.Place(ctx, r.service, r.wish, limits)
+	r.placed = r.Placement.Place(ctx, r.service, r.criteria, limits)
 	if r.placed.Wait > 0 {
 		r.limitWait += r.placed.Wait
 		r.sleepUntil(ctx, askedAt.Add(r.placed.Wait))
@@ -164,7 +164,7 @@
 	targets := r.Catalog.Targets(r.service)
 	r.exclude(targets)
 	for _, target := range targets {
-		if target.ID != r.placed.Target || !r.wish.Allow(target) || r.wish.ExcludedTargets[target.ID] {
+		if target.ID != r.placed.Target || !r.criteria.Allow(target) || r.criteria.ExcludedTargets[target.ID] {
 			continue
 		}
 		if expired && (r.placed.Wait > 0 || r.Advisories.Status(target.Incarnation()).Limit.Named) {
@@ -182,17 +182,17 @@
 	return len(targets) > 0 && !slices.ContainsFunc(targets, func(t hookhall.Target) bool { return !t.Cold(now) })
 }
 
-// send sends the request to target. after is the id of the last event that the client has, ""
-// if there is none. A refusal by the target is an error of the attempt.
-func (r *request) send(ctx context.Context, target hookhall.Target, after string) *attempt {
+// send sends the request to target. resumeAfter is the id of the last event that the client
+// has, "" if there is none. A refusal by the target is an error of the attempt.
+func (r *request) send(ctx context.Context, target hookhall.Target, resumeAfter string) *attempt {
 	now := clock.Now()
-	a := &attempt{use: r.Tracker.Begin(target, r.wish, now), placed: r.placed, rolloutUse: r.Rollouts.Begin(r.route.Name, target), began: now}
+	a := &attempt{activeCall: r.Tracker.Begin(target, r.criteria, now), placed: r.placed, rolloutAttempt: r.Rollouts.Begin(r.route.Name, target), began: now}
 	if ctx.Err() != nil {
 		a.err = hookhall.Errorf(hookhall.NotRun, hookhall.CauseCanceled, "not sent: %v", ctx.Err())
 		a.recordEnd()
 		return a
 	}
-	if !r.renewRetry(now) {
+	if !r.revalidateRetry(now) {
 		a.err = hookhall.Errorf(hookhall.NotRun, hookhall.CauseRefused, "the repeat was granted too long ago")
 		a.recordEnd()
 		return a
@@ -202,7 +202,7 @@
 	defer r.scheduleRelease()()
 	reply, err := r.Sender.Send(ctx, r.call, hookhall.Attempt{
 		Target: target, Account: r.accountName(), Remaining: clock.Until(r.deadline), Urgency: r.urgency(), Inputs: r.results.Handles(),
-		AtMostOnce: !r.route.Repeatable(), ResumeAfter: after,
+		AtMostOnce: !r.route.Repeatable(), ResumeAfter: resumeAfter,
 	})
 	if err != nil {
 		a.err = hookhall.AsError(err)
@@ -222,9 +222,9 @@
 	return a
 }
 
-// renewRetry reports whether an attempt may be sent now: if it is the first one, or a retry that
-// the budget still allows.
-func (r *request) renewRetry(now time.Time) bool {
+// revalidateRetry reports whether an attempt may be sent now: it is the first one, or a retry
+// that the budget still allows. It counts the time since the retry was granted.
+func (r *request) revalidateRetry(now time.Time) bool {
 	if r.retryGrantedAt.IsZero() {
 		return true
 	}
@@ -260,7 +260,7 @@
 		}
 		return hookhall.Errorf(hookhall.NotRun, hookhall.CauseStage, "a result is gone")
 	}
-	a.use.Refused(now)
+	a.activeCall.Refused(now)
 	a.placed.Report(placement.AtCapacity)
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseRefused, "the target refused with status %d", a.reply.Status)
 }
@@ -292,9 +292,9 @@
 	switch {
 	case a.unread:
 	case ctx.Err() == nil:
-		a.rolloutUse.Answered(clock.Since(a.began), true)
+		a.rolloutAttempt.Answered(clock.Since(a.began), true)
 	case a.reply == nil:
-		a.rolloutUse.Unanswered()
+		a.rolloutAttempt.Unanswered()
 	}
 }
 
--- a/internal/coordination/forward/doc.go
+++ b/internal/coordination/forward/doc.go
@@ -13,9 +13,9 @@
 // retried at another target after any failure, within the route's attempts and the retry
 // budget.
 //
-// The results of stages are released as soon as the target should have read them, after a
-// time that is learned. The stages run again if the target had not read the results, or if
-// the request is sent to a further target after the release.
+// The results of stages are released as soon as the target should have read them, after a time
+// that is estimated from earlier attempts. The stages run again if the target had not read the
+// results, or if the request is sent to a further target after the release.
 //
 // Answers of plain requests are read completely before a byte is sent to the client, so that
 // a truncated answer can be retried; answers larger than the memory limit are passed on
--- a/internal/coordination/forward/forwarder.go
+++ b/internal/coordination/forward/forwarder.go
@@ -32,7 +32,7 @@
 	// one is known.
 	defaultRetryAfter = 300 * time.Millisecond
 	// stoppingRetryAfter is the delay after which a client should retry that is refused because
-	// this instance stops. It is short, since a new connection reaches another instance.
+	// this instance is stopping. It is short, since a new connection reaches another instance.
 	stoppingRetryAfter = 50 * time.Millisecond
 	// minOutageRetryAfter and maxOutageRetryAfter bound the delay after which a client should
 	// retry that is refused because no route table is known. The store is unavailable then, since
@@ -58,13 +58,13 @@
 	// Table returns the route table in force, nil if none is known yet.
 	Table() *routetable.Table
 	// Targets returns the known targets of a service.
-	Targets(pool string) []hookhall.Target
+	Targets(service string) []hookhall.Target
 	// TargetsAge returns the age of the list of targets.
 	TargetsAge(now time.Time) time.Duration
 	// TimeSinceAnswer returns the time since the store last answered this process.
 	TimeSinceAnswer(now time.Time) time.Duration
 	// Evacuated reports whether a service has targets, but all usable ones are in evacuated halls.
-	Evacuated(pool string) bool
+	Evacuated(service string) bool
 }
 
 // Stages runs the stages of a request.
@@ -75,9 +75,9 @@
 
 // Placement chooses targets for the requests of all gateways.
 type Placement interface {
-	// Place returns where to send a request. An empty target in it means that the caller
-	// chooses. limits are the rate limits of targets that the caller knows.
-	Place(ctx context.Context, service string, w balance.Criteria, limits []advisory.Report) placement.Placement
+	// Place returns where to send a request. If its target is empty, the caller chooses one.
+	// limits are the rate limits of targets that the caller knows of.
+	Place(ctx context.Context, service string, criteria balance.Criteria, limits []advisory.Report) placement.Placement
 }
 
 // Quarantine records request contents that crash the targets which run them.
@@ -144,7 +144,7 @@
 	return 0
 }
 
-// Serve answers call by way of answer. If it returns a *hookhall.Error, nothing was written to
+// Serve answers call by writing to answer. If it returns a *hookhall.Error, nothing was written to
 // answer; hookhall.ErrTruncated means that the answer was begun and could not be completed.
 func (f *Forwarder) Serve(ctx context.Context, call *hookhall.Call, answer hookhall.AnswerWriter) error {
 	r, err := f.newRequest(call)
@@ -273,7 +273,7 @@
 	fields := []any{
 		"request", r.call.ID, "route", route, "service", r.service, "outcome", cause, "took_ms", took.Milliseconds(),
 		"stages_ms", r.stagesElapsed.Milliseconds(), "first_ms", r.firstByteElapsed.Milliseconds(), "gap_ms", r.maxEventGap.Milliseconds(),
-		"tokens", r.wish.SharedTokens, "own_tokens", r.wish.OwnTokens, "sends", r.attempts, "repeat_wait_ms", r.retryWait.Milliseconds(), "limit_wait_ms", r.limitWait.Milliseconds(), "target", r.target.ID, "status", r.status,
+		"tokens", r.criteria.SharedTokens, "own_tokens", r.criteria.OwnTokens, "sends", r.attempts, "repeat_wait_ms", r.retryWait.Milliseconds(), "limit_wait_ms", r.limitWait.Milliseconds(), "target", r.target.ID, "status", r.status,
 	}
 	if r.table != nil {
 		fields = append(fields, "table", r.table.Version(), "targets_age_ms", f.Catalog.TargetsAge(clock.Now()).Milliseconds())
--- a/internal/coordination/forward/plain.go
+++ b/internal/coordination/forward/plain.go
@@ -16,7 +16,8 @@
 // maxHeldBytes limits how much of one answer is held in memory, in bytes (4 MiB).
 const maxHeldBytes = 4 << 20
 
-// servePlain reads an answer and passes it on.
+// servePlain answers a plain request: it reads the answer of a target, up to maxHeldBytes,
+// before it sends any of it to the client.
 func (r *request) servePlain(ctx context.Context) error {
 	sendCtx, cancel := r.sendContext(ctx)
 	defer cancel()
@@ -111,7 +112,7 @@
 	}
 	if a.reply.Status >= http.StatusInternalServerError {
 		a.recordFailure(false)
-		a.rolloutUse.Answered(clock.Since(a.began), true)
+		a.rolloutAttempt.Answered(clock.Since(a.began), true)
 	} else {
 		a.recordRead()
 	}
--- a/internal/coordination/forward/reading_test.go
+++ b/internal/coordination/forward/reading_test.go
@@ -10,7 +10,8 @@
 
 // TestReadTimeEstimate guards against an estimate that releases results too early or holds them
 // too long: with targets that take 20, 150 or 700 ms to read results, at most 30 of 10,000
-// attempts find them released, and the estimate ends at no more than twice that time (or at minReadTime).
+// attempts find them released, and the estimate ends at no more than twice that time, or at
+// minReadTime if that is longer.
 func TestReadTimeEstimate(t *testing.T) {
 	for _, readTime := range []time.Duration{20 * time.Millisecond, 150 * time.Millisecond, 700 * time.Millisecond} {
 		t.Run(readTime.String(), func(t *testing.T) {
--- a/internal/coordination/forward/request.go
+++ b/internal/coordination/forward/request.go
@@ -40,13 +40,13 @@
 	*Forwarder
 	call    *hookhall.Call
 	answer  hookhall.AnswerWriter
-	table   *routetable.Table
-	route   *hookhall.Route
-	account *hookhall.AccountKeys
-	service string
-	halls   []string // halls in which it may run, nil for all
+	table   *routetable.Table     // in force when the request arrived
+	route   *hookhall.Route       // nil if none matches
+	account *hookhall.AccountKeys // nil if the route needs none
+	service string                // drawn from the route's services
+	halls   []string              // halls in which it may run, nil for all
 	arrived time.Time
-	// firstByteDue is the latency target: the arrival plus the route's Objective.
+	// firstByteDue is the latency target: the arrival plus the route's LatencyObjective.
 	firstByteDue time.Time
 	// deadline is when the request gets its final answer.
 	deadline time.Time
@@ -57,7 +57,7 @@
 	stagesElapsed    time.Duration
 	firstByteElapsed time.Duration // from the arrival to the first event of a stream
 	maxEventGap      time.Duration // longest time between two events of a stream
-	wish             balance.Criteria
+	criteria         balance.Criteria
 	tried            map[string]bool // excluded targets: they refused the request, may have run it, or would crash
 	isResultLost     bool            // a target did not find a result of a stage
 	stageReruns      int             // how often the stages ran again
@@ -70,10 +70,10 @@
 	retryWait      time.Duration
 	// limitWait is how long the request waited for targets with rate limits.
 	limitWait time.Duration
-	runs      int // attempts whose target may have run the request
-	target    hookhall.Target
-	placed    placement.Placement
-	status    int
+	runs      int                 // attempts whose target may have run the request
+	target    hookhall.Target     // of the last attempt
+	placed    placement.Placement // of the next attempt; Target is "" if this process chose
+	status    int                 // of the last answer
 	// cutDetail says why an answer that was begun could not be completed.
 	cutDetail string
 	// cachedDigest is the digest of the request content, zero until contentDigest is called.
@@ -100,7 +100,7 @@
 // serve runs the stages and answers the request.
 func (r *request) serve(ctx context.Context) error {
 	r.Budget.RecordRequest(r.service, r.arrived)
-	r.wish = r.makeWish()
+	r.criteria = r.newCriteria()
 	if refusal := r.refuseEvacuated(); refusal != nil {
 		return refusal
 	}
@@ -134,28 +134,28 @@
 	return nil
 }
 
-// makeWish returns the criteria by which the target is chosen.
-func (r *request) makeWish() balance.Criteria {
-	wish := balance.Criteria{ExcludedTargets: r.tried, MaxOutputTokens: r.call.MaxOutputTokens, Halls: r.halls}
+// newCriteria returns the criteria by which the target is chosen.
+func (r *request) newCriteria() balance.Criteria {
+	criteria := balance.Criteria{ExcludedTargets: r.tried, MaxOutputTokens: r.call.MaxOutputTokens, Halls: r.halls}
 	service := r.table.Service(r.service)
 	if service != nil && service.Engine != nil {
-		wish.IsEngineCall = true
-		wish.EngineSpec = service.Engine
+		criteria.IsEngineCall = true
+		criteria.EngineSpec = service.Engine
 	}
 	if service != nil && service.ColdRate > 0 {
-		wish.MaxColdRequests = func(target string) int { return r.ColdShare(target, service) }
+		criteria.MaxColdRequests = func(target string) int { return r.ColdShare(target, service) }
 	}
 	last := len(r.call.Prompt) - 1
 	for i, part := range r.call.Prompt {
-		wish.Parts = append(wish.Parts, part.ID)
+		criteria.Parts = append(criteria.Parts, part.ID)
 		if i == last {
-			wish.OwnTokens = part.Tokens
+			criteria.OwnTokens = part.Tokens
 			break
 		}
-		wish.SharedPart = part.ID
-		wish.SharedTokens += part.Tokens
+		criteria.SharedPart = part.ID
+		criteria.SharedTokens += part.Tokens
 	}
-	return wish
+	return criteria
 }
 
 // rerunStages runs the stages again if their results are gone: they were released before the
@@ -184,7 +184,7 @@
 		r.stagesElapsed = clock.Since(r.arrived)
 		if err == nil {
 			r.results = results
-			r.wish.BytesByHall = results.BytesByHall()
+			r.criteria.BytesByHall = results.BytesByHall()
 			return nil
 		}
 		failure := hookhall.AsError(err)
@@ -208,10 +208,10 @@
 // the answer. It lets the stages of requests with long prompts run earlier. It assumes that
 // the engine has read the shared parts of the prompt before.
 func (r *request) expectedAnswerTime() time.Duration {
-	if !r.wish.IsEngineCall {
+	if !r.criteria.IsEngineCall {
 		return minAnswerTime
 	}
-	return minAnswerTime + time.Duration(concurrentReadFactor*float64(balance.PromptReadTime(r.wish.OwnTokens)))
+	return minAnswerTime + time.Duration(concurrentReadFactor*float64(balance.PromptReadTime(r.criteria.OwnTokens)))
 }
 
 // firstByteDeadline returns when the client stops waiting for the first byte: the route's stall
@@ -230,11 +230,11 @@
 // expectedEngineHall returns the hall of the engine that will probably read the results, "" if
 // the engine will be chosen by the hall of the results or is not known.
 func (r *request) expectedEngineHall() string {
-	if !r.wish.IsEngineCall || r.wish.SharedTokens < minSharedTokens {
+	if !r.criteria.IsEngineCall || r.criteria.SharedTokens < minSharedTokens {
 		return ""
 	}
 	targets := r.Catalog.Targets(r.service)
-	first := r.Tracker.PreferredTarget(r.wish.SharedPart, targets)
+	first := r.Tracker.PreferredTarget(r.criteria.SharedPart, targets)
 	for _, target := range targets {
 		if target.ID == first {
 			return target.Hall
--- a/internal/coordination/forward/request_test.go
+++ b/internal/coordination/forward/request_test.go
@@ -17,8 +17,8 @@
 // must grow with the prompt.
 func TestExpectedAnswerTime(t *testing.T) {
 	plain := &request{}
-	long := &request{wish: balance.Criteria{IsEngineCall: true, OwnTokens: 30000, SharedTokens: 13000}}
-	longer := &request{wish: balance.Criteria{IsEngineCall: true, OwnTokens: 60000, SharedTokens: 13000}}
+	long := &request{criteria: balance.Criteria{IsEngineCall: true, OwnTokens: 30000, SharedTokens: 13000}}
+	longer := &request{criteria: balance.Criteria{IsEngineCall: true, OwnTokens: 60000, SharedTokens: 13000}}
 	if got := plain.expectedAnswerTime(); got != minAnswerTime {
 		t.Errorf("a request without a prompt: %v expected, want the minimum", got)
 	}
--- a/internal/coordination/forward/unread_test.go
+++ b/internal/coordination/forward/unread_test.go
@@ -44,7 +44,7 @@
 				target := hookhall.Target{ID: "t"}
 				broken := iotest.ErrReader(errors.New("connection reset"))
 				a := &attempt{
-					use: tracker.Begin(target, balance.Criteria{}, clock.Now()), began: clock.Now(),
+					activeCall: tracker.Begin(target, balance.Criteria{}, clock.Now()), began: clock.Now(),
 					reply: &hookhall.Reply{Body: io.NopCloser(io.MultiReader(strings.NewReader("id: 1\ndata: a\n\n"), broken))},
 				}
 				s := &stream{r: &request{answer: pacedClient{c.pace}}}
