--- a/internal/coordination/limits/cooldowns.go
+++ b/internal/coordination/limits/cooldowns.go
@@ -10,20 +10,21 @@
 
 // cooldowns maps the ID of an owner to the time until which it is not called. Its
 // zero value is ready, and it is safe for concurrent use.
-type cooldowns struct{ untilByName sync.Map }
+type cooldowns struct{ untilByOwner sync.Map }
 
-func (c *cooldowns) add(name string, until time.Time) { c.untilByName.Store(name, until) }
+// add sets the cooldown of an owner; it replaces an earlier one.
+func (c *cooldowns) add(ownerID string, until time.Time) { c.untilByOwner.Store(ownerID, until) }
 
-// isActive reports whether name has a cooldown that has not ended at now. It
+// isActive reports whether an owner has a cooldown that has not ended at now. It
 // removes one that has.
-func (c *cooldowns) isActive(name string, now time.Time) bool {
-	until, ok := c.untilByName.Load(name)
+func (c *cooldowns) isActive(ownerID string, now time.Time) bool {
+	until, ok := c.untilByOwner.Load(ownerID)
 	if !ok {
 		return false
 	}
 	if now.Before(until.(time.Time)) {
 		return true
 	}
-	c.untilByName.Delete(name)
+	c.untilByOwner.Delete(ownerID)
 	return false
 }
--- a/internal/coordination/limits/limits.go
+++ b/internal/coordination/limits/limits.go
@@ -14,7 +14,8 @@
 //
 // # Invariants
 //
-//   - Requests have at most one call at a time in progress per account and entry.
+//   - The requests of an account cause at most one call at a time from an entry to the
+//     owner.
 //   - A refusal by the owner is cached for up to 50 ms, so that an account that
 //     floods the fleet causes at most some tens of calls a second from each entry
 //     to its owner.
@@ -43,8 +44,8 @@
 	// renewInterval is a quarter of a lease, so that a lease survives a failed
 	// renewal.
 	renewInterval = share.LeaseTime / 4
-	// maxRefills bounds the refills of one request: concurrent requests may spend
-	// the units that it asked for.
+	// maxRefills bounds the leases that one request waits for: concurrent requests may
+	// spend the units before it does. After them the request is refused.
 	maxRefills = 3
 )
 
@@ -60,9 +61,10 @@
 	unresponsiveOwners cooldowns
 }
 
-// New returns a Limits without leases.
-func New(members *fleet.Fleet, accounts *tables.Follower, peers hookhall.Peers) *Limits {
-	return &Limits{fleet: members, tables: accounts, peers: peers}
+// New returns a Limits without leases. It finds owners by the members of f, and reads the
+// limits of accounts from the table of follower.
+func New(f *fleet.Fleet, follower *tables.Follower, peers hookhall.Peers) *Limits {
+	return &Limits{fleet: f, tables: follower, peers: peers}
 }
 
 // Enter takes the units that one request needs of its account's limits. The caller
@@ -99,6 +101,8 @@
 	return allocation.Done, nil
 }
 
+// limitError returns the refusal of a request of an account that is at its limit. The
+// client should retry after retryAfter, but not in less than 1 ms.
 func limitError(account *hookhall.Account, retryAfter time.Duration) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseLimit,
 		"account %s is at its limit", account.Name).WithRetryAfter(max(retryAfter, time.Millisecond))
