--- a/internal/coordination/pipeline/run.go
+++ b/internal/coordination/pipeline/run.go
@@ -19,7 +19,8 @@
 	// settleTimeout is how long a finished run waits for its claim to be settled.
 	// After it the caller gets the answer while the claim is still being settled.
 	settleTimeout = 50 * time.Millisecond
-	// releaseTimeout is the same for a run of which nothing ran.
+	// releaseTimeout is the same for a failed run without side effects, whose claim is
+	// released.
 	releaseTimeout = 10 * time.Millisecond
 	// waitSafetyFactor multiplies the estimated waits of the queues at admission, so
 	// that an admitted request is rarely refused at a later stage.
@@ -35,12 +36,12 @@
 	request  *hookhall.Request
 	account  *hookhall.Account
 	pipeline *hookhall.Pipeline
-	emit     Emit
-	start    time.Time
-	priority int
-	weight   float64
-	costs    []hookhall.StageCost
-	// ticket is the right to run the request; nil if it needs no claim.
+	emit     Emit                 // nil discards the output
+	start    time.Time            // when Runner.Run was called
+	priority int                  // of the request's class if that sets one, else of the account
+	weight   float64              // of the account, times that of the class
+	costs    []hookhall.StageCost // of each stage
+	// ticket is the grant of the claim; nil if the request needs none.
 	ticket *claims.Ticket
 	// mayHaveEffects is true once a stage with side effects may have run.
 	mayHaveEffects bool
@@ -54,12 +55,14 @@
 	gatesReached int
 }
 
-// needsClaim reports whether the request must be claimed before it runs.
+// needsClaim reports whether the request must be claimed before it runs: it has a key
+// and is not repeatable.
 func (x *run) needsClaim() bool {
 	return !x.request.Repeatable && x.request.Key != "" && !x.policy.NoClaims
 }
 
-// execute takes the request through limits, admission, claim and stages.
+// execute passes the limits of the account and admission, claims the request if that is
+// needed, and runs its stages.
 func (x *run) execute(ctx context.Context) (*hookhall.Answer, error) {
 	ctx, cancel := clock.WithDeadline(ctx, x.request.Deadline)
 	defer cancel()
--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -53,7 +53,7 @@
 
 // Event is one part of a streamed answer.
 type Event struct {
-	Text []byte
+	Text []byte // output of the last stage that follows the text of earlier events
 	// Restart means that the caller must discard the text received so far, because
 	// another target runs the last stage from its beginning.
 	Restart bool
@@ -84,7 +84,7 @@
 	RecordRequest(r *hookhall.Request, took time.Duration, err *hookhall.Error)
 }
 
-// Dependencies is what a Runner needs to run requests.
+// Dependencies holds the parts that a Runner calls. All but Policy must be set.
 type Dependencies struct {
 	Tables  *tables.Follower
 	Targets *targets.Directory
@@ -96,10 +96,10 @@
 }
 
 // New returns a Runner without estimates.
-func New(parts Dependencies) *Runner {
+func New(deps Dependencies) *Runner {
 	return &Runner{
-		tables: parts.Tables, targets: parts.Targets, claims: parts.Claims, limits: parts.Limits,
-		backend: parts.Backend, meter: parts.Meter, policy: parts.Policy, estimates: &estimate.Set{},
+		tables: deps.Tables, targets: deps.Targets, claims: deps.Claims, limits: deps.Limits,
+		backend: deps.Backend, meter: deps.Meter, policy: deps.Policy, estimates: &estimate.Set{},
 	}
 }
 
--- a/internal/coordination/pipeline/stage.go
+++ b/internal/coordination/pipeline/stage.go
@@ -19,8 +19,8 @@
 const (
 	// maxAttempts bounds the calls of one stage of one request.
 	maxAttempts = 3
-	// prefixBytes is the length of the part of an input by which calls with the same
-	// prompt prefix are sent to the same target.
+	// prefixBytes is the length in bytes of the start of an input that is hashed, so
+	// that calls with the same prompt prefix prefer the same target.
 	prefixBytes = 64
 )
 
@@ -56,13 +56,14 @@
 }
 
 // noTargetError returns the refusal for a pool that is unknown or has no usable
-// target.
+// target. The caller should retry after a second.
 func noTargetError(pool string) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseNoTarget, "pool %q has no target that takes work", pool).WithRetryAfter(time.Second)
 }
 
-// isOnce reports whether the stage must not run twice.
-func (s *stageRun) isOnce() bool { return !s.request.Repeatable && !s.stage.Pure }
+// isAtMostOnce reports whether the stage must not run twice: it has side effects, and
+// the request is not repeatable.
+func (s *stageRun) isAtMostOnce() bool { return !s.request.Repeatable && !s.stage.Pure }
 
 // mayRetry reports whether a further attempt is allowed after err.
 func (s *stageRun) mayRetry(ctx context.Context, err error, attempt int) bool {
@@ -71,7 +72,7 @@
 		failure.Cause == hookhall.CauseNoTarget || failure.Cause == hookhall.CauseCanceled {
 		return false
 	}
-	return failure.Verdict == hookhall.NotRun || !s.isOnce()
+	return failure.Verdict == hookhall.NotRun || !s.isAtMostOnce()
 }
 
 // poolsHaveCapacity reports whether all pools of the pipeline have free capacity.
@@ -149,7 +150,7 @@
 	stageCall := hookhall.StageCall{
 		Request: s.request.ID, Stage: s.stage.Name, Attempt: attempt,
 		Digest: xxhash.Sum64(s.input), Input: s.input, MaxTokens: s.maxTokens(s.index),
-		Priority: s.priority, Deadline: s.request.Deadline, AtMostOnce: s.isOnce(),
+		Priority: s.priority, Deadline: s.request.Deadline, AtMostOnce: s.isAtMostOnce(),
 	}
 	if s.ticket != nil {
 		stageCall.Key, stageCall.Epoch, stageCall.Token = s.claimKey(), s.ticket.Epoch, s.ticket.Token
@@ -239,4 +240,5 @@
 	return s.emit(event)
 }
 
+// milliseconds returns d in milliseconds, 0 for a negative d.
 func milliseconds(d time.Duration) float64 { return float64(max(d, 0)) / float64(time.Millisecond) }
