--- a/internal/coordination/placement/client.go
+++ b/internal/coordination/placement/client.go
@@ -18,7 +18,7 @@
 
 const (
 	// placeTimeout is how long the placement owner may take to choose. After it the caller
-	// chooses itself.
+	// chooses itself, and suspects that the owner has failed.
 	placeTimeout = 120 * time.Millisecond
 	// noteBatchDelay is how long notes are collected before they are sent together.
 	noteBatchDelay = 5 * time.Millisecond
@@ -32,8 +32,8 @@
 // Remote is a client of the placement owner in another process.
 type Remote interface {
 	// Place calls Owner.Place. limits are the rate limits that the caller knows of.
-	Place(ctx context.Context, ticket, service string, w balance.Criteria, limits []advisory.Report) (Choice, error)
-	// Note calls Owner.Take.
+	Place(ctx context.Context, ticket, service string, criteria balance.Criteria, limits []advisory.Report) (Choice, error)
+	// Note calls Owner.ProcessNotes.
 	Note(ctx context.Context, notes []Note) error
 }
 
@@ -55,7 +55,7 @@
 	// Remote returns the client of the placement owner at address.
 	Remote func(address string) Remote
 
-	ticketCount    atomic.Uint64
+	ticketCount    atomic.Uint64 // tickets issued; makes them unique in this process
 	mu             sync.Mutex
 	notesByAddress map[string][]Note // notes to send; guarded by mu
 }
@@ -74,17 +74,17 @@
 // Place asks the placement owner of a service for a target. If the Target of the result is
 // empty, the caller chooses one without a rate limit itself. limits are the rate limits that
 // the caller knows of, for an owner that has not learned them yet.
-func (c *Client) Place(ctx context.Context, service string, w balance.Criteria, limits []advisory.Report) Placement {
+func (c *Client) Place(ctx context.Context, service string, criteria balance.Criteria, limits []advisory.Report) Placement {
 	owner := c.Fleet.Owner(OwnerKey(service), nil, clock.Now())
 	placement := Placement{client: c, address: owner.Address}
 	placement.ticket = c.Fleet.Self().Address + "/" + strconv.FormatUint(c.ticketCount.Add(1), 36)
 	if owner.Address == c.Fleet.Self().Address {
-		placement.Choice = c.Local.Place(placement.ticket, service, w)
+		placement.Choice = c.Local.Place(placement.ticket, service, criteria)
 		return placement
 	}
 	ctx, cancel := context.WithTimeout(ctx, placeTimeout)
 	defer cancel()
-	choice, err := c.Remote(owner.Address).Place(ctx, placement.ticket, service, w, limits)
+	choice, err := c.Remote(owner.Address).Place(ctx, placement.ticket, service, criteria, limits)
 	if err != nil {
 		if ctx.Err() == context.DeadlineExceeded {
 			c.Fleet.Suspect(owner.Address, clock.Now())
@@ -131,5 +131,5 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), noteTimeout)
 	defer cancel()
-	_ = c.Remote(address).Note(ctx, notes) // Owner.Tidy makes up for lost notes
+	_ = c.Remote(address).Note(ctx, notes) // Owner.Prune makes up for lost notes
 }
--- a/internal/coordination/placement/doc.go
+++ b/internal/coordination/placement/doc.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package placement chooses engines for the whole fleet.
+// Package placement chooses the targets of requests for the whole fleet: engines, cold targets
+// and targets with a rate limit.
 //
 // # Model
 //
@@ -9,14 +10,14 @@
 // load report is old when it arrives. Each gateway sees a part of the load only. One
 // gateway, the placement owner of a service, therefore chooses for all; it is found by
 // rendezvous hashing over the members. A gateway asks it for an engine for each request,
-// and reports in notes when the answer began, ended or failed. Notes are batched for some
-// milliseconds. A failure that one gateway reports thus counts in the choices for all.
+// and reports in notes when the answer began, ended or failed. Notes are batched for 5 ms.
+// A failure that one gateway reports thus counts in the choices for all.
 //
-// Cold engines bear a few requests a second from the whole fleet. The placement owner
-// counts the requests that it places at them; gateways that choose themselves have a small
-// share, divided so that all of them together stay within the bound.
+// A cold target may get a few requests a second from the whole fleet. The placement owner
+// counts the requests that it places there; gateways that choose themselves have a small
+// share, divided so that all of them together stay within the limit.
 //
-// Targets that name a rate limit get their requests through the placement owner only, which
+// Targets that set a rate limit get their requests through the placement owner only, which
 // grants that rate to the whole fleet. A request that has to wait gets a reservation, or
 // the time after which a target accepts another request.
 //
--- a/internal/coordination/placement/limited_test.go
+++ b/internal/coordination/placement/limited_test.go
@@ -23,7 +23,7 @@
 
 // TestPlaceAtLimitedTarget guards against requests that are placed at a rate-limited target
 // although they can't wait for it, and against refusals without the time after which the
-// client should retry. No time is given if this process grants nothing.
+// client should retry. That time is 0 if this process grants nothing.
 func TestPlaceAtLimitedTarget(t *testing.T) {
 	for name, c := range map[string]struct {
 		share  float64
@@ -38,11 +38,11 @@
 		"nothing is granted":                      {0, time.Minute, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			book := &advisory.Registry{}
-			book.Record(hookhall.Incarnation{ID: "target"}, hookhall.Advisory{Limited: true, Limit: 1}, clock.Now(), clock.Now())
-			p := NewOwner(oneTarget{}, balance.ColdLimits{})
-			p.Grants = func(string) advisory.Grants { return advisory.Grants{Registry: book, Share: c.share} }
-			got := p.Place("ticket", "service", balance.Criteria{LatencyBudget: c.slack})
+			registry := &advisory.Registry{}
+			registry.Record(hookhall.Incarnation{ID: "target"}, hookhall.Advisory{Limited: true, Limit: 1}, clock.Now(), clock.Now())
+			owner := NewOwner(oneTarget{}, balance.ColdLimits{})
+			owner.Grants = func(string) advisory.Grants { return advisory.Grants{Registry: registry, Share: c.share} }
+			got := owner.Place("ticket", "service", balance.Criteria{LatencyBudget: c.slack})
 			if placed := got.Target != ""; placed != c.placed || (got.Wait > 0) != c.placed {
 				t.Errorf("placed at %q after %v", got.Target, got.Wait)
 			}
--- a/internal/coordination/placement/owner.go
+++ b/internal/coordination/placement/owner.go
@@ -19,7 +19,7 @@
 	// it must have been lost. It is longer than engines take to read the longest prompts.
 	maxReadTime = 4 * time.Second
 	// maxRunTime is the time after which a request counts as ended, as the note that reports
-	// it must have been lost. It is the longest deadline that clients use today.
+	// it must have been lost. It is the longest deadline that clients use.
 	maxRunTime = 20 * time.Second
 )
 
@@ -49,7 +49,7 @@
 	// Table returns the current routing table, nil before the first one was loaded.
 	Table() *routetable.Table
 	// Targets returns the targets of a service.
-	Targets(pool string) []hookhall.Target
+	Targets(service string) []hookhall.Target
 }
 
 // Owner chooses targets for the whole fleet while this process is the placement owner. It
@@ -62,28 +62,28 @@
 	// before the Owner is used.
 	Grants func(service string) advisory.Grants
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards requestsByTicket and what it holds
 	requestsByTicket map[string]*placedRequest
 }
 
 // placedRequest is a request whose end was not reported yet.
 type placedRequest struct {
-	use      *balance.ActiveCall
-	placedAt time.Time
+	activeCall *balance.ActiveCall
+	placedAt   time.Time
 }
 
 // NewOwner returns an Owner without recorded load and without rate limits. Cold targets get
-// no more requests than l allows.
-func NewOwner(d Directory, l balance.ColdLimits) *Owner {
+// no more requests than limits allows.
+func NewOwner(d Directory, limits balance.ColdLimits) *Owner {
 	none := advisory.Grants{Registry: &advisory.Registry{}}
 	return &Owner{
-		directory: d, tracker: balance.NewTracker(), limits: l, requestsByTicket: map[string]*placedRequest{},
+		directory: d, tracker: balance.NewTracker(), limits: limits, requestsByTicket: map[string]*placedRequest{},
 		Grants: func(string) advisory.Grants { return none },
 	}
 }
 
-// maxWaitShare is the share of the time until its latency target that a request may wait for
-// a target with a rate limit.
+// maxWaitShare is the share of the time until its latency target, from 0 to 1, that a
+// request may wait for a target with a rate limit.
 const maxWaitShare = 0.5
 
 // Choice is the choice for a request.
@@ -100,31 +100,31 @@
 
 // Place chooses a target and counts the request there. ticket identifies the request in
 // later notes; it must be unique in the fleet.
-func (o *Owner) Place(ticket, service string, w balance.Criteria) Choice {
+func (o *Owner) Place(ticket, service string, criteria balance.Criteria) Choice {
 	now := clock.Now()
-	w.Limiter = o.Grants(service)
+	criteria.Limiter = o.Grants(service)
 	if table := o.directory.Table(); table != nil {
-		if s := table.Service(service); s != nil {
-			w.EngineSpec = s.Engine
-			maxRequests := o.limits.MaxFromPlacementOwner(s)
-			w.MaxColdRequests = func(string) int { return maxRequests }
+		if spec := table.Service(service); spec != nil {
+			criteria.EngineSpec = spec.Engine
+			maxRequests := o.limits.MaxFromPlacementOwner(spec)
+			criteria.MaxColdRequests = func(string) int { return maxRequests }
 		}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	targets := o.directory.Targets(service)
-	t, ok := o.tracker.Choose(targets, w, now)
+	target, ok := o.tracker.Choose(targets, criteria, now)
 	choice := Choice{}
 	if !ok {
-		if t, choice.Wait, ok = o.tracker.NextLimited(targets, w, now); !ok {
+		if target, choice.Wait, ok = o.tracker.NextLimited(targets, criteria, now); !ok {
 			return choice
 		}
-		if choice.Wait, ok = w.Limiter.Reserve(t.Incarnation(), time.Duration(maxWaitShare*float64(w.LatencyBudget)), now); !ok {
+		if choice.Wait, ok = criteria.Limiter.Reserve(target.Incarnation(), time.Duration(maxWaitShare*float64(criteria.LatencyBudget)), now); !ok {
 			return Choice{RetryAfter: knownWait(choice.Wait)}
 		}
 	}
-	choice.Target = t.ID
-	o.requestsByTicket[ticket] = &placedRequest{o.tracker.Begin(t, w, now), now}
+	choice.Target = target.ID
+	o.requestsByTicket[ticket] = &placedRequest{o.tracker.Begin(target, criteria, now), now}
 	return choice
 }
 
@@ -149,33 +149,33 @@
 		}
 		switch note.Kind {
 		case PromptRead:
-			request.use.Read()
-			request.use.Succeeded(now.Sub(request.placedAt))
+			request.activeCall.Read()
+			request.activeCall.Succeeded(now.Sub(request.placedAt))
 			continue
 		case Failed:
-			request.use.Failed(true, now)
+			request.activeCall.Failed(true, now)
 		case AtCapacity:
-			request.use.Refused(now)
+			request.activeCall.Refused(now)
 		}
-		request.use.End()
+		request.activeCall.End()
 		delete(o.requestsByTicket, note.Ticket)
 	}
 }
 
-// Prune drops placements whose notes must have been lost, and the records of targets that
-// current does not report as current incarnations. The process calls it periodically.
-func (o *Owner) Prune(current func(l hookhall.Incarnation) bool, now time.Time) {
+// Prune drops placements whose notes must have been lost, and the records of incarnations
+// of targets for which isCurrent returns false. The process calls it periodically.
+func (o *Owner) Prune(isCurrent func(incarnation hookhall.Incarnation) bool, now time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for ticket, request := range o.requestsByTicket {
 		age := now.Sub(request.placedAt)
 		if age > maxReadTime {
-			request.use.Read()
+			request.activeCall.Read()
 		}
 		if age > maxRunTime {
-			request.use.End()
+			request.activeCall.End()
 			delete(o.requestsByTicket, ticket)
 		}
 	}
-	o.tracker.Prune(current, now)
+	o.tracker.Prune(isCurrent, now)
 }
