--- a/internal/coordination/quarantine/crashcheck.go
+++ b/internal/coordination/quarantine/crashcheck.go
@@ -18,13 +18,13 @@
 	// refusal takes one round trip.
 	probeTimeout = 250 * time.Millisecond
 	// restartTimeout is how long a target whose address accepts connections again may take to
-	// be listed as another incarnation. It lists itself at its start, and a change of the
-	// list reaches every gateway within 1.4 s.
+	// be listed as another incarnation. It registers itself at its start, and a change of
+	// the list reaches every gateway within 1.4 s.
 	restartTimeout = 2 * time.Second
-	// restartPollInterval is the time between two looks at the list meanwhile.
+	// restartPollInterval is the time between two reads of the list meanwhile.
 	restartPollInterval = 100 * time.Millisecond
-	// checkTTL is how long the result of a check is kept. The answers that a crashed
-	// incarnation left unfinished break off within seconds, and share its check.
+	// checkTTL is how long the result of a check is kept. All answers of a crashed
+	// incarnation break off within seconds of the crash, and share its check.
 	checkTTL = 10 * time.Second
 )
 
@@ -34,23 +34,23 @@
 	refused   bool          // the probe was refused; set before probed is closed
 	done      chan struct{} // closed after the check
 	crashed   bool          // set before done is closed
-	startedAt time.Time
+	startedAt time.Time     // dates the crash, if one is found
 }
 
-// Suspect records that t's answer to a request content broke off, and starts a check of
-// whether t has crashed; it does not wait for that. The zero digest is ignored: a gateway of
-// an earlier version sends no content.
+// Suspect starts a check of whether t, whose answer to a request content broke off, has
+// crashed, and records the crash if it has. It does not wait for the check. The zero digest
+// is ignored: a gateway of an earlier version sends no content.
 func (q *Quarantine) Suspect(content crashes.Digest, account string, t hookhall.Target) {
 	if content == (crashes.Digest{}) {
 		return
 	}
-	e := crashes.Crash{Content: content, Account: account, Incarnation: t.Incarnation(), Software: t.Software(), RecentlyServed: q.recentlyServed.Has(content, clock.Now())}
-	check := q.startCheck(e.Incarnation, t)
+	crash := crashes.Crash{Content: content, Account: account, Incarnation: t.Incarnation(), Software: t.Software(), RecentlyServed: q.recentlyServed.Has(content, clock.Now())}
+	check := q.startCheck(crash.Incarnation, t)
 	go func() {
 		<-check.done
 		if check.crashed {
-			e.ReportedAt = check.startedAt
-			q.recordCrash(e)
+			crash.ReportedAt = check.startedAt
+			q.recordCrash(crash)
 		}
 	}()
 }
@@ -66,14 +66,14 @@
 
 // startCheck starts a check of an incarnation, or returns the one that is running or has
 // found a crash. All answers that break off at one target share one probe.
-func (q *Quarantine) startCheck(l hookhall.Incarnation, t hookhall.Target) *crashCheck {
+func (q *Quarantine) startCheck(incarnation hookhall.Incarnation, t hookhall.Target) *crashCheck {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if check := q.checksByLife[l]; check != nil && (!check.isDone() || check.crashed) {
+	if check := q.checksByIncarnation[incarnation]; check != nil && (!check.isDone() || check.crashed) {
 		return check
 	}
 	check := &crashCheck{probed: make(chan struct{}), done: make(chan struct{}), startedAt: clock.Now()}
-	q.checksByLife[l] = check
+	q.checksByIncarnation[incarnation] = check
 	go q.runCheck(check, t)
 	return check
 }
@@ -119,9 +119,9 @@
 func (q *Quarantine) expireChecks(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for l, check := range q.checksByLife {
+	for incarnation, check := range q.checksByIncarnation {
 		if check.isDone() && now.Sub(check.startedAt) > checkTTL {
-			delete(q.checksByLife, l)
+			delete(q.checksByIncarnation, incarnation)
 		}
 	}
 }
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -27,8 +27,8 @@
 	// fifth of 620 targets with 30 requests each crash at once, it holds 3,720 contents.
 	maxContents           = 4096
 	maxContentsPerAccount = 1024
-	// broadcastDelay is how long crashes are collected before they are broadcast: a crash
-	// breaks off several answers within a few milliseconds.
+	// broadcastDelay is how long crashes are collected before they are broadcast together:
+	// a crash breaks off several answers within a few milliseconds.
 	broadcastDelay = 5 * time.Millisecond
 	// expireInterval is the time between two removals of expired crashes from the ledger.
 	expireInterval = 5 * time.Second
@@ -60,7 +60,7 @@
 	Ledger *crashes.Ledger
 	// IsStoreWriter reports whether this process is the one that writes to the store for all.
 	IsStoreWriter func() bool
-	// Era returns how often the store was restored from an older copy.
+	// Era returns how many times the store was restored from an older copy.
 	Era func() uint64
 	// Broadcast sends crashes to all other gateways. It must not block.
 	Broadcast func(list []crashes.Crash)
@@ -71,12 +71,12 @@
 	store   hookhall.Store
 	log     *log.Logger
 
-	mu             sync.Mutex // guards checksByLife, pending and loggedRefusals
-	checksByLife   map[hookhall.Incarnation]*crashCheck
-	recentlyServed *crashes.RecentContents
-	pending        []crashes.Crash         // not broadcast yet
-	loggedRefusals map[crashes.Digest]bool // contents whose refusal was logged
-	writeSignal    chan struct{}           // filled when the store may have to be written
+	mu                  sync.Mutex // guards checksByIncarnation, pending and loggedRefusals
+	checksByIncarnation map[hookhall.Incarnation]*crashCheck
+	recentlyServed      *crashes.RecentContents
+	pending             []crashes.Crash         // not broadcast yet
+	loggedRefusals      map[crashes.Digest]bool // contents whose refusal was logged
+	writeSignal         chan struct{}           // has a value while the store may have to be written
 }
 
 // New returns a Quarantine with an empty ledger. Until its fields are set, it writes nothing
@@ -85,7 +85,7 @@
 	return &Quarantine{
 		Ledger: crashes.NewLedger(Limits()), prober: p, catalog: c, store: s, log: l,
 		IsStoreWriter: func() bool { return false }, Era: func() uint64 { return 0 }, Broadcast: func([]crashes.Crash) {},
-		checksByLife: map[hookhall.Incarnation]*crashCheck{}, recentlyServed: crashes.NewRecentContents(clock.Now()), loggedRefusals: map[crashes.Digest]bool{}, writeSignal: make(chan struct{}, 1),
+		checksByIncarnation: map[hookhall.Incarnation]*crashCheck{}, recentlyServed: crashes.NewRecentContents(clock.Now()), loggedRefusals: map[crashes.Digest]bool{}, writeSignal: make(chan struct{}, 1),
 	}
 }
 
@@ -102,8 +102,8 @@
 	wg.Wait()
 }
 
-// Standing returns the crashes that count against a request's content. content computes the
-// digest and is called only if there are crashes under any content.
+// Standing returns the crashes that count against a request content. content computes the
+// digest and is called only if the ledger holds any crashes.
 func (q *Quarantine) Standing(content func() crashes.Digest) crashes.Status {
 	if q.Ledger.Empty() {
 		return crashes.Status{}
@@ -111,9 +111,8 @@
 	return q.Ledger.Status(content())
 }
 
-// Served records that a target gave a complete answer to a request's content. The content
-// does not crash each target that runs it, so its earlier crashes had another cause and are
-// cleared.
+// Served records that a target gave a complete answer to a request content. A content that a
+// target has served is taken not to be the cause of its earlier crashes, which are cleared.
 func (q *Quarantine) Served(content func() crashes.Digest) {
 	q.recentlyServed.Add(content(), clock.Now())
 	if q.Standing(content).Crashes == 0 {
@@ -158,19 +157,19 @@
 // All returns all crashes in the ledger, also cleared ones.
 func (q *Quarantine) All() []crashes.Crash { return q.Ledger.All() }
 
-// Sum returns the checksum of the ledger at now; equal ledgers have equal ones.
+// Sum returns the checksum of the ledger at now. Equal ledgers have equal checksums.
 func (q *Quarantine) Sum(now time.Time) uint64 { return q.Ledger.Checksum(now) }
 
 // recordCrash enters a crash that this process found, and broadcasts it.
-func (q *Quarantine) recordCrash(e crashes.Crash) {
-	fresh := q.Ledger.Merge([]crashes.Crash{e}, clock.Now())
+func (q *Quarantine) recordCrash(crash crashes.Crash) {
+	fresh := q.Ledger.Merge([]crashes.Crash{crash}, clock.Now())
 	if len(fresh) == 0 {
 		return
 	}
-	q.log.Warn("target crashed while running a request", "content", e.Content, "account", e.Account, "target", e.Incarnation.ID,
-		"born", e.Incarnation.Start, "software", e.Software, "ends", q.Ledger.Status(e.Content).Crashes)
+	q.log.Warn("target crashed while running a request", "content", crash.Content, "account", crash.Account, "target", crash.Incarnation.ID,
+		"born", crash.Incarnation.Start, "software", crash.Software, "ends", q.Ledger.Status(crash.Content).Crashes)
 	if q.Meter != nil {
-		q.Meter.TargetCrashed(e.Software)
+		q.Meter.TargetCrashed(crash.Software)
 	}
 	q.updateRefusals()
 	q.enqueue(fresh)
@@ -197,7 +196,7 @@
 }
 
 // updateRefusals logs which contents are newly refused or no longer refused, sets the
-// metric, and signals that the store may have to be written.
+// metric, and signals syncStore that the store may have to be written.
 func (q *Quarantine) updateRefusals() {
 	refused := q.Ledger.Refused()
 	q.mu.Lock()
@@ -228,9 +227,9 @@
 // sorted.
 func (q *Quarantine) crashedTargets(d crashes.Digest) []string {
 	var ids []string
-	for _, e := range q.Ledger.ByContent(d) {
-		if !e.Cleared {
-			ids = append(ids, e.Incarnation.ID)
+	for _, crash := range q.Ledger.ByContent(d) {
+		if !crash.Cleared {
+			ids = append(ids, crash.Incarnation.ID)
 		}
 	}
 	slices.Sort(ids)
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -41,8 +41,8 @@
 	startedAt time.Time
 }
 
-func (l fakeCatalog) HasEnded(hookhall.Target) bool {
-	return l.ended && time.Since(l.startedAt) >= l.endsAfter
+func (c fakeCatalog) HasEnded(hookhall.Target) bool {
+	return c.ended && time.Since(c.startedAt) >= c.endsAfter
 }
 
 func target(id string) hookhall.Target {
@@ -114,8 +114,8 @@
 			t.Errorf("%d crashes", n)
 		}
 		q.expireChecks(time.Now().Add(time.Minute))
-		if len(q.checksByLife) != 0 {
-			t.Errorf("%d checks were not expired", len(q.checksByLife))
+		if len(q.checksByIncarnation) != 0 {
+			t.Errorf("%d checks were not expired", len(q.checksByIncarnation))
 		}
 	})
 }
--- a/internal/coordination/quarantine/stored.go
+++ b/internal/coordination/quarantine/stored.go
@@ -26,8 +26,8 @@
 	// minWriteInterval is the minimum time between two rounds of writes: the targets that were
 	// sent a content before its refusal crash one by one, and each changes the record.
 	minWriteInterval = 200 * time.Millisecond
-	// writerPollInterval is the maximum time until a process notices that it has become the one
-	// that writes.
+	// writerPollInterval is the maximum time until a process that has become the one that
+	// writes begins to write.
 	writerPollInterval = 2 * time.Second
 )
 
@@ -55,7 +55,7 @@
 type storedRecord struct {
 	lease   hookhall.Lease // 0 when another process wrote it
 	crashes int            // how many counted against the content
-	era     uint64         // of the store when it had the record
+	era     uint64         // Quarantine.Era when the record was read or written
 }
 
 // recordWriter keeps the store's records up to date. One goroutine uses it.
@@ -68,17 +68,17 @@
 // the one that writes for all, until ctx ends.
 func (q *Quarantine) syncStore(ctx context.Context) {
 	w := &recordWriter{q, map[crashes.Digest]storedRecord{}}
-	pause := retry.NewWithDelays(minStoreRetryDelay, maxStoreRetryDelay)
+	backoff := retry.NewWithDelays(minStoreRetryDelay, maxStoreRetryDelay)
 	for ctx.Err() == nil && w.read(ctx) != nil {
-		pause.Wait(ctx)
+		backoff.Wait(ctx)
 	}
-	pause.Reset()
+	backoff.Reset()
 	for retry.Sleep(ctx, minWriteInterval) {
 		w.waitForChange(ctx)
 		for ctx.Err() == nil && !w.write(ctx) {
-			pause.Wait(ctx)
+			backoff.Wait(ctx)
 		}
-		pause.Reset()
+		backoff.Reset()
 	}
 }
 
@@ -99,10 +99,10 @@
 		return err
 	}
 	now := clock.Now()
-	for _, i := range items {
-		list, err := parseRecord(i, now)
+	for _, item := range items {
+		list, err := parseRecord(item, now)
 		if err != nil {
-			w.log.Error("could not decode record of refused content", "key", i.Key, "error", err.Error())
+			w.log.Error("could not decode record of refused content", "key", item.Key, "error", err.Error())
 			continue
 		}
 		w.Merge(list, "store")
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// write writes the changed records if this process is the one that writes, and reports
-// whether none is left to write.
+// write writes the changed records if this process is the one that writes. It returns false
+// if a write failed.
 func (w *recordWriter) write(ctx context.Context) bool {
 	if !w.IsStoreWriter() {
 		return true
@@ -131,13 +131,13 @@
 // ledger. A store that was restored from an older copy may have lost any record.
 func (w *recordWriter) changed() map[crashes.Digest]bool {
 	differing := map[crashes.Digest]bool{}
-	for d, s := range w.Ledger.Refused() {
-		if was, isStored := w.storedByDigest[d]; !isStored || was.crashes != s.Crashes || was.era < w.Era() {
+	for d, status := range w.Ledger.Refused() {
+		if stored, isStored := w.storedByDigest[d]; !isStored || stored.crashes != status.Crashes || stored.era < w.Era() {
 			differing[d] = true
 		}
 	}
-	for d, was := range w.storedByDigest {
-		if (w.Ledger.Status(d).Crashes != was.crashes || was.era < w.Era()) && len(w.Ledger.ByContent(d)) > 0 {
+	for d, stored := range w.storedByDigest {
+		if (w.Ledger.Status(d).Crashes != stored.crashes || stored.era < w.Era()) && len(w.Ledger.ByContent(d)) > 0 {
 			differing[d] = true
 		}
 	}
@@ -183,43 +183,43 @@
 func newRecord(list []crashes.Crash) record {
 	r := record{Content: list[0].Content.String(), Account: list[0].Account}
 	first := list[0].ReportedAt
-	for _, e := range list {
-		if e.ReportedAt.Before(first) {
-			first = e.ReportedAt
+	for _, crash := range list {
+		if crash.ReportedAt.Before(first) {
+			first = crash.ReportedAt
 		}
 	}
-	for _, e := range list {
+	for _, crash := range list {
 		r.Crashes = append(r.Crashes, recordedCrash{
-			Target: e.Incarnation.ID, Born: e.Incarnation.Start, Software: e.Software, AfterMS: e.ReportedAt.Sub(first).Milliseconds(), Served: e.RecentlyServed, Cleared: e.Cleared,
+			Target: crash.Incarnation.ID, Born: crash.Incarnation.Start, Software: crash.Software, AfterMS: crash.ReportedAt.Sub(first).Milliseconds(), Served: crash.RecentlyServed, Cleared: crash.Cleared,
 		})
 	}
 	return r
 }
 
-// parseRecord returns the crashes of a stored record, at least one. The record does not tell
-// their age: the last one is dated now, so that it counts for crashTTL after the record was
-// read, which is at most the record's lease and crashTTL after the last write.
-func parseRecord(i hookhall.Item, now time.Time) ([]crashes.Crash, error) {
+// parseRecord returns the crashes of a stored record, at least one. The record does not
+// contain their age: the last one is dated now, so that it counts for crashTTL after the
+// record was read, which is at most the record's lease and crashTTL after the last write.
+func parseRecord(item hookhall.Item, now time.Time) ([]crashes.Crash, error) {
 	var r record
-	if err := json.Unmarshal(i.Value, &r); err != nil {
-		return nil, errors.Wrap(err, i.Key)
+	if err := json.Unmarshal(item.Value, &r); err != nil {
+		return nil, errors.Wrap(err, item.Key)
 	}
 	var content crashes.Digest
 	b, err := hex.DecodeString(r.Content)
 	if err != nil || len(b) != len(content) || len(r.Crashes) == 0 {
-		return nil, errors.Errorf("%s: invalid record of a refused content: digest %q, %d crashes", i.Key, r.Content, len(r.Crashes))
+		return nil, errors.Errorf("%s: invalid record of a refused content: digest %q, %d crashes", item.Key, r.Content, len(r.Crashes))
 	}
 	copy(content[:], b)
 	last := int64(0)
-	for _, e := range r.Crashes {
-		last = max(last, e.AfterMS)
+	for _, crash := range r.Crashes {
+		last = max(last, crash.AfterMS)
 	}
 	var list []crashes.Crash
-	for _, e := range r.Crashes {
+	for _, crash := range r.Crashes {
 		list = append(list, crashes.Crash{
-			Content: content, Account: r.Account, Incarnation: hookhall.Incarnation{ID: e.Target, Start: e.Born},
-			Software: e.Software, RecentlyServed: e.Served, Cleared: e.Cleared,
-			ReportedAt: now.Add(-time.Duration(min(last-e.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
+			Content: content, Account: r.Account, Incarnation: hookhall.Incarnation{ID: crash.Target, Start: crash.Born},
+			Software: crash.Software, RecentlyServed: crash.Served, Cleared: crash.Cleared,
+			ReportedAt: now.Add(-time.Duration(min(last-crash.AfterMS, int64(crashTTL/time.Millisecond))) * time.Millisecond),
 		})
 	}
 	return list, nil
