--- a/internal/coordination/retry/retry.go
+++ b/internal/coordination/retry/retry.go
@@ -16,13 +16,14 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// Minimum and maximum delay of a backoff that New returns.
+// DefaultMinDelay and DefaultMaxDelay bound the delays of a Backoff that New returns.
 const (
 	DefaultMinDelay = 100 * time.Millisecond
 	DefaultMaxDelay = 3 * time.Second
 )
 
-// Backoff computes the delays between attempts and waits for them. It is not safe for concurrent use.
+// Backoff computes the delays between attempts and waits for them. It is not safe for
+// concurrent use.
 type Backoff struct {
 	nextDelay, minDelay, maxDelay time.Duration
 }
@@ -30,12 +31,14 @@
 // New returns a backoff with the default minimum and maximum delay.
 func New() *Backoff { return NewWithDelays(DefaultMinDelay, DefaultMaxDelay) }
 
-// NewWithDelays returns a backoff whose delay starts at minDelay and doubles up to maxDelay.
+// NewWithDelays returns a backoff whose delay starts at minDelay and doubles up to
+// maxDelay; minDelay must not be negative.
 func NewWithDelays(minDelay, maxDelay time.Duration) *Backoff {
 	return &Backoff{nextDelay: minDelay, minDelay: minDelay, maxDelay: maxDelay}
 }
 
-// Wait sleeps for the next delay, or until ctx ends, and doubles the delay.
+// Wait doubles the next delay, and sleeps for a random time between half of the present one
+// and all of it, or until ctx ends.
 func (b *Backoff) Wait(ctx context.Context) {
 	d := b.nextDelay/2 + rand.N(b.nextDelay/2+1)
 	b.nextDelay = min(b.nextDelay*2, b.maxDelay)
