--- a/internal/coordination/rollouts/owner.go
+++ b/internal/coordination/rollouts/owner.go
@@ -17,7 +17,7 @@
 
 const (
 	// reportInterval is the mean time between two reports of a process: short enough that a
-	// version is rolled back within a second of the answers that show that it is bad.
+	// version is rolled back within a second of the answers that show it to be bad.
 	reportInterval = 250 * time.Millisecond
 	// reportTimeout bounds the call that sends a report to an owner.
 	reportTimeout = 300 * time.Millisecond
@@ -45,13 +45,13 @@
 // step runs one round of Run.
 func (r *Rollouts) step(ctx context.Context) {
 	talliesByOwner := map[string][]Tally{}
-	for _, t := range r.tallies() {
-		owner := r.Fleet.Owner(ownerKeyPrefix+t.Service, nil, clock.Now()).Address
+	for _, tally := range r.tallies() {
+		owner := r.Fleet.Owner(ownerKeyPrefix+tally.Service, nil, clock.Now()).Address
 		switch {
 		case owner == r.Fleet.Self().Address:
-			r.decide(ctx, t.Service)
-		case !t.Phase.Final():
-			talliesByOwner[owner] = append(talliesByOwner[owner], t)
+			r.decide(ctx, tally.Service)
+		case !tally.Phase.Final():
+			talliesByOwner[owner] = append(talliesByOwner[owner], tally)
 		}
 	}
 	for owner, tallies := range talliesByOwner {
@@ -83,40 +83,41 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, s := range reply {
-		if known := r.rolloutsByService[s.Service]; known != nil && known.Revision == s.Revision {
-			r.advance(known, s.Phase, owner, clock.Now())
+	for _, progress := range reply {
+		if known := r.rolloutsByService[progress.Service]; known != nil && known.Revision == progress.Revision {
+			r.advance(known, progress.Phase, owner, clock.Now())
 		}
 	}
 }
 
 // MergeReport stores the totals that another process reports to this one as the owner, and
-// returns the progress of the reported rollouts. It leaves out those of which this process
-// knows a later revision.
+// returns the progress of the reported rollouts, except for those of which this process
+// has a later revision.
 func (r *Rollouts) MergeReport(report Report) []Progress {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := clock.Now()
 	var list []Progress
-	for _, t := range report.Tallies {
-		known := r.rolloutsByService[t.Service]
-		if known == nil || known.Revision < t.Revision {
+	for _, tally := range report.Tallies {
+		known := r.rolloutsByService[tally.Service]
+		if known == nil || known.Revision < tally.Revision {
 			// The reporter learned of the rollout before this process did.
-			r.merge(t.Progress, report.Reporter)
+			r.merge(tally.Progress, report.Reporter)
 			r.hasRollouts.Store(true)
-			known = r.rolloutsByService[t.Service]
+			known = r.rolloutsByService[tally.Service]
 		}
-		if known.Revision != t.Revision {
+		if known.Revision != tally.Revision {
 			continue
 		}
-		r.merge(t.Progress, report.Reporter)
-		known.tallyByReporter[report.Reporter] = receivedTally{t, now}
+		r.merge(tally.Progress, report.Reporter)
+		known.tallyByReporter[report.Reporter] = receivedTally{tally, now}
 		list = append(list, known.progress(now))
 	}
 	return list
 }
 
-// decide advances a rollout that this process owns, and writes its status if that changed.
+// decide evaluates a rollout that this process owns, and writes its status to the store if
+// that changed. Only Run calls it.
 func (r *Rollouts) decide(ctx context.Context, service string) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -138,10 +139,10 @@
 func (r *Rollouts) evaluate(tracked *trackedRollout, now time.Time) hookhall.RolloutState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s := tracked.situation(now)
-	next, why := s.Next()
+	progress := tracked.aggregate(now)
+	next, why := progress.Next()
 	if next != tracked.phase {
-		r.Log.Info("rollout phase decided", "service", tracked.Service, "version", tracked.Version, "phase", next, "why", why, "age", s.Age, "at_old", s.ActiveAtOld, "evidence", s.Evidence)
+		r.Log.Info("rollout phase decided", "service", tracked.Service, "version", tracked.Version, "phase", next, "why", why, "age", progress.Age, "at_old", progress.ActiveAtOld, "evidence", progress.Evidence)
 	}
 	if next != rollout.Completed {
 		r.advance(tracked, next, "this process", now)
@@ -152,21 +153,21 @@
 	return ""
 }
 
-// situation returns what the owner's decision is based on: the totals of this process and
+// aggregate returns what the owner's decision is based on: the totals of this process and
 // the latest report of each other one. Rollouts.mu must be held.
-func (t *trackedRollout) situation(now time.Time) rollout.Progress {
-	s := rollout.Progress{Phase: t.phase, Age: now.Sub(t.learnedAt), TimeLimit: t.Time, ActiveAtOld: t.ownAtOld, Evidence: rollout.Evidence{}}
+func (t *trackedRollout) aggregate(now time.Time) rollout.Progress {
+	progress := rollout.Progress{Phase: t.phase, Age: now.Sub(t.learnedAt), TimeLimit: t.Time, ActiveAtOld: t.ownAtOld, Evidence: rollout.Evidence{}}
 	if !t.movedAt.IsZero() {
-		s.DrainingTime = now.Sub(t.movedAt)
+		progress.DrainingTime = now.Sub(t.movedAt)
 	}
-	s.Evidence.Add(t.ownEvidence)
+	progress.Evidence.Add(t.ownEvidence)
 	for _, received := range t.tallyByReporter {
-		s.Evidence.Add(received.Evidence)
+		progress.Evidence.Add(received.Evidence)
 		if now.Sub(received.receivedAt) < inFlightMaxAge {
-			s.ActiveAtOld += received.InFlightAtOld
+			progress.ActiveAtOld += received.InFlightAtOld
 		}
 	}
-	return s
+	return progress
 }
 
 // loadStatus reads the status in the store, unless it was read before, and reports whether
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -39,7 +39,7 @@
 // Directory lists targets.
 type Directory interface {
 	// Targets returns the targets of a service, of all versions.
-	Targets(pool string) []hookhall.Target
+	Targets(service string) []hookhall.Target
 }
 
 // Progress is a rollout with its phase and age, as one process knows them.
@@ -60,8 +60,8 @@
 // Tally is the totals that one process has counted for a rollout.
 type Tally struct {
 	Progress
-	Evidence      rollout.Evidence
-	InFlightAtOld int // requests in progress at targets of the old version
+	Evidence      rollout.Evidence // answers of both versions
+	InFlightAtOld int              // requests in progress at targets of the old version
 }
 
 // Report carries the totals of one process to an owner.
@@ -83,12 +83,11 @@
 	MaxCanaryShare float64
 	Log            *log.Logger
 
-	// hasRollouts is set while there are rollouts, so that without any a request takes no
-	// lock.
+	// hasRollouts is set while there are rollouts; without any, requests take no lock.
 	hasRollouts atomic.Bool
 
 	mu                sync.Mutex
-	revision          hookhall.Revision // of the store, at which the rollouts were in force
+	revision          hookhall.Revision // of the store, as of which the rollouts are in force
 	rolloutsByService map[string]*trackedRollout
 }
 
@@ -115,11 +114,11 @@
 	receivedAt time.Time
 }
 
-// Read applies the items of operators' keys that the store had at a revision, and reports
+// Read applies items under the operators' keys, as of revision at of the store, and reports
 // whether any rollout was added, replaced or withdrawn. If complete is set, the items are all
-// that the store had, and other rollouts are withdrawn; otherwise they are changes. Revisions
-// before the present one are ignored. A rollout whose item can't be decoded stays in force as
-// it was.
+// that the store has, and rollouts not among them are withdrawn; otherwise they are changes.
+// A revision before the known one is ignored. A rollout whose item can't be decoded stays in
+// force as it was.
 func (r *Rollouts) Read(items []hookhall.Item, at hookhall.Revision, complete bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -132,35 +131,35 @@
 			listed[service] = tracked.Rollout
 		}
 	}
-	for _, i := range items {
-		service, ok := r.Keys.RolloutService(i.Key)
+	for _, item := range items {
+		service, ok := r.Keys.RolloutService(item.Key)
 		if !ok {
 			continue
 		}
-		if i.Deleted {
+		if item.Deleted {
 			delete(listed, service)
 			continue
 		}
-		o, _, err := r.Keys.Rollout(i.Key, i.Value)
+		listedRollout, _, err := r.Keys.Rollout(item.Key, item.Value)
 		if err != nil {
-			r.Log.Warn("could not decode rollout; keeping the previous one", "key", i.Key, "bytes", len(i.Value), "error", err.Error())
+			r.Log.Warn("could not decode rollout; keeping the previous one", "key", item.Key, "bytes", len(item.Value), "error", err.Error())
 			if previous := r.rolloutsByService[service]; previous != nil {
 				listed[service] = previous.Rollout
 			}
 			continue
 		}
-		o.Revision = i.Revision
-		listed[service] = o
+		listedRollout.Revision = item.Revision
+		listed[service] = listedRollout
 	}
 	var list []Progress
-	for _, o := range listed {
-		list = append(list, Progress{Rollout: o})
+	for _, listedRollout := range listed {
+		list = append(list, Progress{Rollout: listedRollout})
 	}
 	return r.replaceAll(Snapshot{at, list}, "store")
 }
 
-// ApplySnapshot applies the rollouts that a peer knows, unless they are of an earlier
-// revision than those known here. Rollouts that the peer does not list are withdrawn.
+// ApplySnapshot applies the rollouts that a peer has in force, unless they are of an earlier
+// revision than those here. Rollouts that the peer does not list are withdrawn.
 // Revision 0, that of a peer that has not read the store, is ignored.
 func (r *Rollouts) ApplySnapshot(latest Snapshot, from string) {
 	if latest.Revision == 0 {
@@ -253,8 +252,8 @@
 }
 
 // Versions returns which versions of a service may run a request now; first is set for the
-// request's first attempt. The canary is drawn only for that: a retry is better served by
-// the old version. While all targets run one version, any may be used.
+// request's first attempt. Only that may go to the canary, at random; a retry goes to the old
+// version, since the new one may be bad. While all targets run one version, any may be used.
 func (r *Rollouts) Versions(service string, first bool) balance.Versions {
 	if !r.hasRollouts.Load() {
 		return balance.Versions{}
@@ -337,48 +336,48 @@
 	if tracked == nil || tracked.phase.Final() {
 		return nil
 	}
-	u := &Attempt{rollouts: r, rollout: tracked, route: route, isNewVersion: t.Version == tracked.Version, startedAt: clock.Now()}
-	if !u.isNewVersion {
+	a := &Attempt{rollouts: r, rollout: tracked, route: route, isNewVersion: t.Version == tracked.Version, startedAt: clock.Now()}
+	if !a.isNewVersion {
 		tracked.ownAtOld++
 	}
-	return u
+	return a
 }
 
 // Answered counts an answer. took is the time to the head of the answer, and failed is set
 // for a failure.
-func (u *Attempt) Answered(took time.Duration, failed bool) {
-	if u == nil {
+func (a *Attempt) Answered(took time.Duration, failed bool) {
+	if a == nil {
 		return
 	}
-	t := rollout.Tally{Answers: 1, Took: took}
+	tally := rollout.Tally{Answers: 1, Took: took}
 	if failed {
-		t.Bad = 1
+		tally.Bad = 1
 	}
-	v := rollout.Comparison{Old: t}
-	if u.isNewVersion {
-		v = rollout.Comparison{New: t}
+	comparison := rollout.Comparison{Old: tally}
+	if a.isNewVersion {
+		comparison = rollout.Comparison{New: tally}
 	}
-	u.rollouts.mu.Lock()
-	defer u.rollouts.mu.Unlock()
-	u.rollout.ownEvidence.Add(rollout.Evidence{u.route: v})
+	a.rollouts.mu.Lock()
+	defer a.rollouts.mu.Unlock()
+	a.rollout.ownEvidence.Add(rollout.Evidence{a.route: comparison})
 }
 
 // Unanswered counts an attempt that was abandoned before the target answered. It counts as
 // an answer that took the time so far, not as a failure.
-func (u *Attempt) Unanswered() {
-	if u != nil {
-		u.Answered(clock.Since(u.startedAt), false)
+func (a *Attempt) Unanswered() {
+	if a != nil {
+		a.Answered(clock.Since(a.startedAt), false)
 	}
 }
 
 // End counts the end of the attempt. Further calls have no effect.
-func (u *Attempt) End() {
-	if u == nil || u.isNewVersion {
+func (a *Attempt) End() {
+	if a == nil || a.isNewVersion {
 		return
 	}
-	u.endOnce.Do(func() {
-		u.rollouts.mu.Lock()
-		defer u.rollouts.mu.Unlock()
-		u.rollout.ownAtOld--
+	a.endOnce.Do(func() {
+		a.rollouts.mu.Lock()
+		defer a.rollouts.mu.Unlock()
+		a.rollout.ownAtOld--
 	})
 }
--- a/internal/coordination/rollouts/rollouts_test.go
+++ b/internal/coordination/rollouts/rollouts_test.go
@@ -34,14 +34,14 @@
 
 func (fakeKeys) RolloutService(key string) (string, bool) { return strings.CutPrefix(key, "order/") }
 
-func (k fakeKeys) Rollout(key string, value []byte) (o hookhall.Rollout, ok bool, err error) {
-	o.Service, ok = k.RolloutService(key)
+func (k fakeKeys) Rollout(key string, value []byte) (decoded hookhall.Rollout, ok bool, err error) {
+	decoded.Service, ok = k.RolloutService(key)
 	var seconds int
-	if _, err := fmt.Sscanf(string(value), "%s %d", &o.Version, &seconds); err != nil {
-		return o, ok, err
+	if _, err := fmt.Sscanf(string(value), "%s %d", &decoded.Version, &seconds); err != nil {
+		return decoded, ok, err
 	}
-	o.Time = time.Duration(seconds) * time.Second
-	return o, ok, nil
+	decoded.Time = time.Duration(seconds) * time.Second
+	return decoded, ok, nil
 }
 
 func (fakeKeys) StatusKey(service string) string { return "status/" + service }
@@ -225,17 +225,17 @@
 func (f *fleet) request(p *process) {
 	versions := p.Versions(service, true)
 	var allowed []hookhall.Target
-	for _, t := range f.targets {
-		if versions.Allow(t) {
-			allowed = append(allowed, t)
+	for _, target := range f.targets {
+		if versions.Allow(target) {
+			allowed = append(allowed, target)
 		}
 	}
-	t := allowed[rand.IntN(len(allowed))]
-	u := p.Begin("route", t)
-	fails, took := f.answer(t, time.Since(f.startedAt))
+	target := allowed[rand.IntN(len(allowed))]
+	attempt := p.Begin("route", target)
+	fails, took := f.answer(target, time.Since(f.startedAt))
 	f.mu.Lock()
 	f.sent++
-	if t.Version == newVersion {
+	if target.Version == newVersion {
 		f.sentToNew++
 		f.lastSentToNewAt = time.Now()
 		if fails {
@@ -248,9 +248,9 @@
 	}
 	f.mu.Unlock()
 	time.Sleep(took)
-	u.Answered(clock.Since(u.startedAtOr(clock.Now())), fails)
-	u.End()
-	if t.Version != newVersion {
+	attempt.Answered(clock.Since(attempt.startedAtOr(clock.Now())), fails)
+	attempt.End()
+	if target.Version != newVersion {
 		f.mu.Lock()
 		f.inFlightAtOld--
 		f.mu.Unlock()
@@ -258,11 +258,11 @@
 }
 
 // startedAtOr returns when an attempt began, or otherwise for nil.
-func (u *Attempt) startedAtOr(otherwise time.Time) time.Time {
-	if u == nil {
+func (a *Attempt) startedAtOr(otherwise time.Time) time.Time {
+	if a == nil {
 		return otherwise
 	}
-	return u.startedAt
+	return a.startedAt
 }
 
 // healthy is a version that answers every request, after 50 to 350 ms.
