--- a/internal/coordination/stages/admission.go
+++ b/internal/coordination/stages/admission.go
@@ -10,9 +10,9 @@
 	"github.com/hookhall/hookhall/internal/state/advisory"
 )
 
-// updateAdmission lets the queue use only targets that accept a call now, neither rate
-// limited nor paused, and refuses jobs that end before any target accepts a call. q.mu
-// must be held.
+// updateAdmission lets the queue use only targets that accept a call now, which no rate
+// limit and no pause prevents, and fails jobs whose deadline is before any target accepts
+// a call. q.mu must be held.
 func (q *serviceQueue) updateAdmission(now time.Time) {
 	grants := q.broker.Grants(q.service)
 	restricted := grants.Registry.Restricted(q.targets)
--- a/internal/coordination/stages/broker.go
+++ b/internal/coordination/stages/broker.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	// callTimeoutMargin is added to the timeout of each call, whatever its expected duration.
+	// callTimeoutMargin is the part of a call's timeout that does not depend on its expected
+	// duration.
 	callTimeoutMargin = 500 * time.Millisecond
-	// callTimeoutFactor times its expected duration is the timeout of a call, without
-	// callTimeoutMargin.
+	// callTimeoutFactor is the ratio of the rest of the timeout to the expected duration.
 	callTimeoutFactor = 5
 	// freeTimeout bounds a call that frees results.
 	freeTimeout = time.Second
@@ -37,17 +37,19 @@
 	// Table returns the current routing table, nil before the first one was loaded.
 	Table() *routetable.Table
 	// Targets returns the targets of a service as an immutable list.
-	Targets(pool string) []hookhall.Target
+	Targets(service string) []hookhall.Target
 	// Evacuated reports whether a service has no targets only because the halls of its
 	// targets are evacuated.
-	Evacuated(pool string) bool
+	Evacuated(service string) bool
 }
 
 // Quarantine tracks request contents that crash the targets running them.
 type Quarantine interface {
-	// Standing returns the crashes recorded for a request's content.
+	// Standing returns the crashes recorded for a request content, whose digest content
+	// returns.
 	Standing(content func() crashes.Digest) crashes.Status
-	// Suspect records that the answer of t to a request with this content broke off.
+	// Suspect records that the answer of t to a request content of a client account broke
+	// off.
 	Suspect(content crashes.Digest, account string, t hookhall.Target)
 	// HasCrashed reports whether t, whose answer broke off, has crashed.
 	HasCrashed(t hookhall.Target) bool
@@ -125,17 +127,17 @@
 	PieceCount int      // number of pieces to make
 	PieceKey   string   // piece key of the request; "" for stages that read results
 	Inputs     []string // handles that each piece reads
-	// Content is the digest of the request, and Account its client account.
+	// Content is the digest of the request content, and Account its client account.
 	Content     crashes.Digest
 	Account     string
-	ResultBytes float64 // approximate size of one result
+	ResultBytes float64 // approximate size of one result in bytes
 	// LatestStart is the latest start with which the answer begins in time.
 	LatestStart time.Time
 	// Deadline is when the results must exist for the request to be served at all.
 	Deadline time.Time
 	Urgency  int // rank of the request, lower first
 	// Hall is where the inputs are stored or the results will be read, "" for any;
-	// Cross is how many bytes pass between halls if the stage runs in another one.
+	// CrossHallBytes is how many bytes pass between halls if the stage runs in another one.
 	Hall           string
 	CrossHallBytes float64
 	// OnInputsRead is called once when all inputs were read; from then on they are needed
@@ -173,7 +175,7 @@
 	}
 }
 
-// standing returns the crashes recorded for a request's content.
+// standing returns the crashes recorded for a request content.
 func (b *Broker) standing(content crashes.Digest) crashes.Status {
 	return b.quarantine.Standing(func() crashes.Digest { return content })
 }
@@ -318,14 +320,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeoutFactor*b.Expected+callTimeoutMargin)
 	stallTimer := time.AfterFunc(b.StallTimeout, func() { q.retryOverdue(b) })
 	readTimer := time.AfterFunc(b.InputsReadAfter, func() { q.recordInputsRead(b) })
-	rolloutUse := q.broker.rollouts.Begin(stageCallRoute, b.Target)
+	rolloutAttempt := q.broker.rollouts.Begin(stageCallRoute, b.Target)
 	results, err := q.broker.pool.Make(ctx, b.Target, b.Pieces)
-	rolloutUse.End()
+	rolloutAttempt.End()
 	readTimer.Stop()
 	stallTimer.Stop()
 	cancel()
 	if err == nil || hookhall.AsError(err).Verdict != hookhall.NotRun {
-		rolloutUse.Answered(clock.Since(startedAt), err != nil || hasPieceError(results))
+		rolloutAttempt.Answered(clock.Since(startedAt), err != nil || hasPieceError(results))
 	}
 	if err != nil {
 		results = nil
@@ -363,8 +365,8 @@
 }
 
 // recordAbort reports the requests of a call that broke off to the quarantine, and returns
-// whether the target crashed. It returns only once that is known, so that the pieces are
-// not retried before.
+// whether the target refuses connections, that is, has crashed. It waits for that probe, so
+// that the pieces are not retried before.
 func (q *serviceQueue) recordAbort(b *batch.Batch, err error) bool {
 	if err == nil || hookhall.AsError(err).Verdict != hookhall.MayHaveRun {
 		return false
--- a/internal/coordination/stages/doc.go
+++ b/internal/coordination/stages/doc.go
@@ -27,5 +27,5 @@
 //   - A stage begins only after all pieces of all stages that it reads were made.
 //   - A result is read by its own request only: handles are returned by request,
 //     stage and piece.
-//   - Every handle is freed by its holder when the request ends.
+//   - Every result is freed when its request ends, if it was not freed earlier.
 package stages
--- a/internal/coordination/stages/execution_test.go
+++ b/internal/coordination/stages/execution_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestAnswerTimeMovesStageStarts guards against a latest start that ignores how long the
-// answer takes to begin: with a long prompt, the answer would begin late.
+// TestAnswerTimeMovesStageStarts guards against a latest start of stages that ignores how
+// long the answer takes to begin, so that the answer to a long prompt begins late.
 func TestAnswerTimeMovesStageStarts(t *testing.T) {
 	t.Run("a later first byte moves the start of every stage forward by as much", func(t *testing.T) {
 		f := newFixture(2, 1, 3, 4)
--- a/internal/coordination/stages/runner.go
+++ b/internal/coordination/stages/runner.go
@@ -22,8 +22,8 @@
 	pingInterval = 250 * time.Millisecond
 	// pingTimeout is how long a ping may take before the broker counts as unreachable.
 	pingTimeout = 500 * time.Millisecond
-	// maxBrokers is how many members are tried as broker of one stage; after them the stage
-	// is run by this process.
+	// maxBrokers is how many members are tried as broker of one stage; after them this
+	// process acts as its broker.
 	maxBrokers = 4
 	// expectedWaitShare is the expected wait of a stage for its call, as a share of the
 	// duration of that call.
@@ -71,7 +71,7 @@
 	FirstByteDue      time.Time // latency target: when the answer should begin
 	FirstByteDeadline time.Time // when the answer has to begin at the latest
 	Urgency           int       // rank of the request, lower first
-	// Content is the digest of the request, and Account its client account.
+	// Content is the digest of the request content, and Account its client account.
 	Content crashes.Digest
 	Account string
 	// TimeToFirstByte is how long the answer is expected to take to begin once all stages
