--- a/internal/coordination/tables/editor.go
+++ b/internal/coordination/tables/editor.go
@@ -100,13 +100,13 @@
 // ErrOutcomeUnknown instead of hookhall.ErrUnavailable.
 func (e *Editor) writeEdits(ctx context.Context, id string, edits []hookhall.Edit) (uint64, error) {
 	backoff := retry.New()
-	sent := false
+	anyUnknown := false
 	for {
-		version, swapped, err := e.tryWriteEdits(ctx, id, edits)
+		version, unknown, err := e.tryWriteEdits(ctx, id, edits)
 		if version > 0 {
 			return version, nil
 		}
-		sent = sent || swapped
+		anyUnknown = anyUnknown || unknown
 		if err != nil && !errors.Is(err, hookhall.ErrUnavailable) {
 			return 0, err
 		}
@@ -117,14 +117,14 @@
 		if ctx.Err() == nil {
 			continue
 		}
-		if sent {
+		if anyUnknown {
 			return 0, ErrOutcomeUnknown
 		}
 		return 0, errors.Wrap(hookhall.ErrUnavailable, "nothing was changed")
 	}
 }
 
-// tryWriteEdits makes one attempt to store the edits. Version is 0 if they were
+// tryWriteEdits makes one attempt to store the edits. version is 0 if they were
 // not stored; sent is true if a swap was sent and its result is unknown.
 func (e *Editor) tryWriteEdits(ctx context.Context, id string, edits []hookhall.Edit) (version uint64, sent bool, err error) {
 	doc, index, err := e.Read(ctx)
--- a/internal/coordination/tables/follower.go
+++ b/internal/coordination/tables/follower.go
@@ -130,7 +130,7 @@
 }
 
 // adopt puts a document in force. One that is not newer is ignored; one that
-// doesn't compile is an error. From names its source in the log.
+// doesn't compile is an error. from names its source in the log.
 func (f *Follower) adopt(doc *table.Document, from string) error {
 	snapshot, err := table.Compile(doc)
 	if err != nil {
--- a/internal/coordination/tables/follower_test.go
+++ b/internal/coordination/tables/follower_test.go
@@ -47,8 +47,8 @@
 }
 
 // TestFollowerReadyWithEmptyTable checks that an entry of a fleet without any table becomes
-// ready within seconds. It once watched the missing root without reading it first,
-// and so was not ready before the first edit.
+// ready within seconds. An entry that watches the missing root without reading it first
+// would not be ready before the first edit.
 func TestFollowerReadyWithEmptyTable(t *testing.T) {
 	for _, fail := range []int{0, 3} {
 		synctest.Test(t, func(t *testing.T) {
