--- a/internal/coordination/targets/directory.go
+++ b/internal/coordination/targets/directory.go
@@ -6,10 +6,10 @@
 //
 // # Model
 //
-// The platform's list of instances names the targets. A target counts as leaving
-// as soon as any source says so: the platform's list, the table, the target's own
-// load report or refusal, or a report of another entry. Load reports come with
-// every answer; targets without recent calls are polled. In a pool of more than
+// The platform's list of instances contains the targets. A target counts as leaving
+// as soon as any source reports it: the platform's list, the table, the target's
+// own load report or refusal, or another entry. Load reports come with every
+// answer; targets without recent calls are polled. In a pool of more than
 // SubsetSize targets an entry uses the SubsetSize targets that rank highest by the
 // hash of the entry's and the target's ID, so that neither its polls nor its
 // connections grow with the pool.
@@ -47,8 +47,8 @@
 	refreshInterval = 200 * time.Millisecond
 	// A target is polled by an entry every minPollInterval, or every
 	// pollIntervalPerEntry times the number of entries if that is longer: all
-	// entries together then send a target about ten polls a second at most. Rare
-	// polls lose little, because answers and refusals report the same sooner.
+	// entries together then send a target about ten polls a second at most. Polls may
+	// be rare because answers and refusals report the same sooner.
 	minPollInterval      = time.Second
 	pollIntervalPerEntry = 100 * time.Millisecond
 	// shedInterval is the time between two searches of the queues for calls that
@@ -98,8 +98,8 @@
 }
 
 // New returns a Directory without pools; Refresh and Run add them.
-func New(members *fleet.Fleet, table *tables.Follower, backend hookhall.Backend, policy Policy, logger *log.Logger) *Directory {
-	d := &Directory{fleet: members, tables: table, backend: backend, policy: policy, log: logger}
+func New(f *fleet.Fleet, follower *tables.Follower, backend hookhall.Backend, policy Policy, logger *log.Logger) *Directory {
+	d := &Directory{fleet: f, tables: follower, backend: backend, policy: policy, log: logger}
 	d.poolsByName.Store(&map[string]*Pool{})
 	return d
 }
@@ -155,6 +155,7 @@
 	second  int64
 }
 
+// currentInputs returns what the pools would be built from now.
 func (d *Directory) currentInputs() poolInputs {
 	return poolInputs{d.fleet.LatestListing(), d.tables.Current(), d.fleet.View(), clock.Stamp(clock.Now()) / int64(time.Second)}
 }
