--- a/internal/coordination/claims/claims.go
+++ b/internal/coordination/claims/claims.go
@@ -110,8 +110,8 @@
 
 // Acquire requests the right to run the request with a key, and waits until ctx
 // ends while another run of it is in progress. It returns a ticket, or the
-// record of a claim that has finished, or a *hookhall.Error. Digest identifies
-// the request's content: a key that was used with another digest is refused.
+// record of a claim that has finished, or a *hookhall.Error. digest identifies
+// the request content: a key that was used with another digest is refused.
 func (c *Claims) Acquire(ctx context.Context, key string, digest uint64) (*Ticket, *hookhall.Record, error) {
 	backoff := retry.NewWithDelays(minHeldPause, maxHeldPause)
 	for {
@@ -147,7 +147,7 @@
 }
 
 // logNotGranted logs why a key was not granted: who holds it, with which token,
-// and how long the last request took.
+// and how long ago the last request was sent.
 func (c *Claims) logNotGranted(key string, r hookhall.Record, requestedAt time.Time, err error) {
 	c.log.Info("claim not granted", "key", key, "error", err.Error(), "epoch", c.store.Placement().View.Epoch,
 		"holder", r.Origin, "token", r.Token, "state", r.State, "sequence", r.Sequence, "took", clock.Now().Sub(requestedAt))
