--- a/internal/coordination/pipeline/run.go
+++ b/internal/coordination/pipeline/run.go
@@ -248,7 +248,7 @@
 
 // estimateRest returns the expected duration of the stages from an index on, without
 // the waits at gates. The next stage counts with its high estimate and those after
-// it with their medians, because it is unlikely that all of them are slow. Size is
+// it with their medians, because it is unlikely that all of them are slow. size is
 // the length of the input in bytes, for estimateKey.
 func (x *run) estimateRest(first, size int) time.Duration {
 	var sum time.Duration
@@ -264,8 +264,8 @@
 }
 
 // estimateKey returns the key of the series of estimates for stage i. If the number
-// of generated tokens is limited, there is a series per bucket of that limit. Size,
-// the length of the input, is not used.
+// of generated tokens is limited, there is a series per bucket of that limit. size,
+// the length of the input in bytes, is not used.
 func (x *run) estimateKey(i, size int) estimate.Key {
 	key := estimate.Key{Pipeline: x.pipeline.Name, Stage: x.pipeline.Stages[i].Name}
 	if n := x.maxTokens(i); n > 0 {
--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -6,11 +6,12 @@
 //
 // # Model
 //
-// A request has one deadline for all of its stages. At admission and again before
-// every stage, the remaining time is compared with the expected duration of the
-// remaining stages (package estimate) and with the waits in the queues of their
-// pools (package admission). A request that can't meet its deadline is refused at
-// once, with a time to retry after, and no further work is done for it.
+// A request has one deadline for all of its stages. At admission the remaining time
+// is compared with the expected duration of the stages (package estimate) and of the
+// waits in the queues of their pools (package admission), and before every stage with
+// the expected duration of the remaining stages. A request that can't meet its
+// deadline is refused at once, and no further work is done for it. If queues delay it,
+// the refusal has a time to retry after.
 //
 // A run passes the limits of the account, then admission, then the claim (if it is
 // not repeatable and has a key). Each stage then passes the gate of its pool and is
@@ -40,8 +41,8 @@
 	"github.com/hookhall/hookhall/internal/state/estimate"
 )
 
-// Policy has settings that experiments vary. The zero value is the policy for
-// production.
+// Policy holds settings that are varied in experiments. The zero value is the policy
+// for production.
 type Policy struct {
 	// NoEarlyRefusal disables the refusal of requests that are not expected to meet
 	// their deadline; they run until it passes.
