--- a/internal/coordination/placement/client.go
+++ b/internal/coordination/placement/client.go
@@ -50,7 +50,7 @@
 // Client asks the placement owner of each service. Its exported fields must be set before
 // use; it is safe for concurrent use.
 type Client struct {
-	Local *Owner // that of this process
+	Local *Owner // used while this process is the placement owner
 	Fleet Fleet
 	// Remote returns the client of the placement owner at address.
 	Remote func(address string) Remote
