--- a/internal/coordination/targets/directory.go
+++ b/internal/coordination/targets/directory.go
@@ -68,8 +68,8 @@
 	maxWindowFactor = 1.5
 )
 
-// Policy has settings that experiments vary. The zero value is the policy for
-// production.
+// Policy holds settings that are varied in experiments. The zero value is the policy
+// for production.
 type Policy struct {
 	// Order is the order in which a gate's queue is served.
 	Order admission.Order
@@ -77,7 +77,7 @@
 	Choice routing.Choice
 	// NoWindow leaves the number of calls in progress per pool unbounded.
 	NoWindow bool
-	// NoPrefix doesn't prefer a target by the prefix of a call's input.
+	// NoPrefix disables the preference for a target by the prefix of a call's input.
 	NoPrefix bool
 }
 
