--- a/internal/coordination/pipeline/runner.go
+++ b/internal/coordination/pipeline/runner.go
@@ -6,11 +6,12 @@
 //
 // # Model
 //
-// A request has one deadline for all of its stages. At admission and again before
-// every stage, the remaining time is compared with the expected duration of the
-// remaining stages (package estimate) and with the waits in the queues of their
-// pools (package admission). A request that can't meet its deadline is refused at
-// once, with a time to retry after, and no further work is done for it.
+// A request has one deadline for all of its stages. At admission the remaining time
+// is compared with the expected duration of the stages (package estimate) and of the
+// waits in the queues of their pools (package admission), and before every stage with
+// the expected duration of the remaining stages. A request that can't meet its
+// deadline is refused at once, and no further work is done for it. If queues delay it,
+// the refusal has a time to retry after.
 //
 // A run passes the limits of the account, then admission, then the claim (if it is
 // not repeatable and has a key). Each stage then passes the gate of its pool and is
@@ -40,8 +41,8 @@
 	"github.com/hookhall/hookhall/internal/state/estimate"
 )
 
-// Policy has settings that experiments vary. The zero value is the policy for
-// production.
+// Policy holds settings that are varied in experiments. The zero value is the policy
+// for production.
 type Policy struct {
 	// NoEarlyRefusal disables the refusal of requests that are not expected to meet
 	// their deadline; they run until it passes.
@@ -53,7 +54,7 @@
 
 // Event is one part of a streamed answer.
 type Event struct {
-	Text []byte
+	Text []byte // output of the last stage that follows the text of earlier events
 	// Restart means that the caller must discard the text received so far, because
 	// another target runs the last stage from its beginning.
 	Restart bool
@@ -84,7 +85,7 @@
 	RecordRequest(r *hookhall.Request, took time.Duration, err *hookhall.Error)
 }
 
-// Dependencies is what a Runner needs to run requests.
+// Dependencies holds the parts that a Runner calls. All but Policy must be set.
 type Dependencies struct {
 	Tables  *tables.Follower
 	Targets *targets.Directory
@@ -96,10 +97,10 @@
 }
 
 // New returns a Runner without estimates.
-func New(parts Dependencies) *Runner {
+func New(deps Dependencies) *Runner {
 	return &Runner{
-		tables: parts.Tables, targets: parts.Targets, claims: parts.Claims, limits: parts.Limits,
-		backend: parts.Backend, meter: parts.Meter, policy: parts.Policy, estimates: &estimate.Set{},
+		tables: deps.Tables, targets: deps.Targets, claims: deps.Claims, limits: deps.Limits,
+		backend: deps.Backend, meter: deps.Meter, policy: deps.Policy, estimates: &estimate.Set{},
 	}
 }
 
