--- a/internal/transport/upstream/conn_test.go
+++ b/internal/transport/upstream/conn_test.go
@@ -44,7 +44,7 @@
 }
 
 var replies = []reply{
-	{name: "whole", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer(id, "") }},
+	{name: "complete", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer(id, "") }},
 	{name: "chunked", complete: true, kept: true, raw: func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\nfor %s\r\n0\r\n\r\n", id, len("for "+id), id)
 	}},
@@ -54,8 +54,8 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nCall: %s\r\n\r\nfor %s", id, id)
 	}},
 	{name: "surplus bytes", complete: true, raw: func(id string) string { return fixedLengthAnswer(id, "") + fixedLengthAnswer("other", "") }},
-	{name: "another's answer first", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer("late", "") + fixedLengthAnswer(id, "") }},
-	{name: "only another's answer", close: true, raw: func(string) string { return fixedLengthAnswer("late", "") }},
+	{name: "answer to another request first", complete: true, kept: true, raw: func(id string) string { return fixedLengthAnswer("late", "") + fixedLengthAnswer(id, "") }},
+	{name: "only an answer to another request", close: true, raw: func(string) string { return fixedLengthAnswer("late", "") }},
 	{name: "cut in the body", close: true, raw: func(id string) string { return strings.TrimSuffix(fixedLengthAnswer(id, ""), id) }},
 	{name: "cut in the head", close: true, raw: func(id string) string { return fixedLengthAnswer(id, "")[:20] }},
 	{name: "no answer", close: true, raw: func(string) string { return "" }},
--- a/internal/transport/upstream/doc.go
+++ b/internal/transport/upstream/doc.go
@@ -16,7 +16,7 @@
 //
 // A target accepts a limited number of connections from all processes together and
 // resets others. So an idle connection is kept only while requests for kept
-// connections arrive, and within this process's part of the idle connections that the
+// connections arrive, and within this process's share of the idle connections that the
 // target allows. After a new connection was reset, the next ones are watched for a
 // reset for about a round trip before a request is written.
 //
--- a/internal/transport/upstream/pool.go
+++ b/internal/transport/upstream/pool.go
@@ -28,12 +28,12 @@
 	dialTimeout = 250 * time.Millisecond
 	// maxIdlePerAddress bounds the idle connections to one address.
 	maxIdlePerAddress = 8
-	// resetWatchDuration is for how long new connections to a target are watched for a
-	// reset after it has reset one before its answer: its connection slots are taken,
-	// and stay so for a while.
+	// resetWatchDuration is how long new connections to a target are watched for a reset
+	// after it has reset one: its connection slots are then all taken, and stay so for a
+	// while.
 	resetWatchDuration = 10 * time.Second
 	// resetWaitMargin is the time a target may take to reset a new connection, in
-	// addition to a round trip; maxResetWait bounds the sum.
+	// addition to the time that connecting took; maxResetWait bounds the sum.
 	resetWaitMargin = 2 * time.Millisecond
 	maxResetWait    = 25 * time.Millisecond
 	// maxSkippedAnswers bounds the answers that are read for one request, those to
@@ -111,9 +111,9 @@
 	return nil
 }
 
-// recentlyTaken reports whether a request asked for a kept connection to an address within
-// defaultIdleTimeout. Otherwise an idle connection would occupy a slot at its target
-// without use.
+// recentlyTaken reports whether a request asked for a kept connection to an address less
+// than defaultIdleTimeout before now. If none did, an idle connection would occupy a slot at
+// its target without use.
 func (p *Pool) recentlyTaken(address string, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,8 +137,8 @@
 	p.idleByAddress[c.address] = append(p.idleByAddress[c.address], c)
 }
 
-// CloseIdle closes the idle connections to an address. It is called after a kept
-// connection has failed, because the cause may affect all others of its age.
+// CloseIdle closes the idle connections to an address. It is called after a connection to
+// it has failed, because the cause may affect the idle ones as well.
 func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -216,8 +216,8 @@
 	p.lastResetByAddress[address] = now
 }
 
-// Refuses implements hookhall.Prober. It opens a connection and, if that succeeds, closes
-// it again.
+// Refuses implements hookhall.Prober. It reports whether an address refuses a connection;
+// one that opens is closed at once.
 func (p *Pool) Refuses(ctx context.Context, address string) bool {
 	c, err := p.dial(ctx, address)
 	if err != nil {
--- a/internal/transport/upstream/resets_test.go
+++ b/internal/transport/upstream/resets_test.go
@@ -51,16 +51,16 @@
 }
 
 // accept serves a connection, or resets it if maxConns are open.
-func (s *limitedTarget) accept(c *net.TCPConn) {
-	if s.openConns.Add(1) > s.maxConns.Load() {
-		s.openConns.Add(-1)
-		s.resets.Add(1)
+func (t *limitedTarget) accept(c *net.TCPConn) {
+	if t.openConns.Add(1) > t.maxConns.Load() {
+		t.openConns.Add(-1)
+		t.resets.Add(1)
 		_ = c.SetLinger(0)
 		_ = c.Close()
 		return
 	}
 	go func() {
-		defer func() { _ = c.Close(); s.openConns.Add(-1) }()
+		defer func() { _ = c.Close(); t.openConns.Add(-1) }()
 		reader := bufio.NewReader(c)
 		for {
 			r, err := http.ReadRequest(reader)
@@ -69,7 +69,7 @@
 			}
 			_, _ = io.Copy(io.Discard, r.Body)
 			time.Sleep(2 * time.Millisecond)
-			s.served.Add(1)
+			t.served.Add(1)
 			if _, err := io.WriteString(c, fixedLengthAnswer(r.Header.Get(callField), "")); err != nil {
 				return
 			}
@@ -94,7 +94,7 @@
 // TestConnectionsOfAFleet guards against targets that reset connections because the idle
 // ones of all gateways occupy their connection slots. It runs bursts of 60 gateways against
 // three targets with 100 slots each. As each gateway keeps idle connections only within its
-// part, no target resets one; without parts, the idle ones alone would occupy all slots.
+// share, no target resets one; without shares, the idle ones alone would occupy all slots.
 func TestConnectionsOfAFleet(t *testing.T) {
 	const gateways, maxConns, bursts, requestsPerTarget = 60, 100, 4, 3
 	var targets []*limitedTarget
@@ -104,9 +104,9 @@
 	running := make(chan struct{}, 40) // requests in progress, of all gateways
 	var wg sync.WaitGroup
 	for rank := range gateways {
-		sharers := quota.Position{Count: gateways, Index: rank}
+		position := quota.Position{Count: gateways, Index: rank}
 		pool := NewPool()
-		pool.MaxIdle = func(address string) int { return sharers.Share(maxConns/2, address) }
+		pool.MaxIdle = func(address string) int { return position.Share(maxConns/2, address) }
 		t.Cleanup(func() { pool.Sweep(time.Now().Add(time.Hour)) })
 		for burst := range bursts {
 			for n := range requestsPerTarget * len(targets) {
@@ -159,7 +159,7 @@
 }
 
 // TestIdleLimit guards against idle connections that occupy slots of a target without use:
-// they are kept only while requests for kept ones arrive, and within the process's part.
+// they are kept only while requests for kept ones arrive, and within the process's share.
 func TestIdleLimit(t *testing.T) {
 	idleCount := func(p *Pool, address string) int {
 		p.mu.Lock()
@@ -168,20 +168,20 @@
 	}
 	for _, test := range []struct {
 		name          string
-		part          int
+		share         int
 		newConnection []bool // of each request in turn
 		want          int
 	}{
 		{"only requests for a new connection", 5, []bool{true, true, true}, 0},
 		{"a request that may use a kept connection", 5, []bool{true, false}, 1},
 		{"with requests for new connections beside it", 5, []bool{false, true, true}, 3},
-		{"a part of one connection", 1, []bool{false, true, true}, 1},
-		{"a part of zero", 0, []bool{false, true, false}, 0},
+		{"a share of one connection", 1, []bool{false, true, true}, 1},
+		{"a share of zero", 0, []bool{false, true, false}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			target := newLimitedTarget(t, 100)
 			p := NewPool()
-			p.MaxIdle = func(string) int { return test.part }
+			p.MaxIdle = func(string) int { return test.share }
 			defer p.Sweep(time.Now().Add(time.Hour))
 			for i, newConnection := range test.newConnection {
 				if err := send(t, p, target.address, fmt.Sprint(i), newConnection); err != nil {
