--- a/internal/transport/callers/callers.go
+++ b/internal/transport/callers/callers.go
@@ -64,7 +64,7 @@
 // Handler serves the HTTP requests of callers.
 type Handler struct{ service Service }
 
-// New returns a Handler that runs requests by s.
+// New returns a Handler that passes requests to s.
 func New(s Service) *Handler { return &Handler{s} }
 
 // Run serves POST /v1/run.
