--- a/internal/transport/keyvalue/keyvalue.go
+++ b/internal/transport/keyvalue/keyvalue.go
@@ -13,8 +13,9 @@
 //
 // # Invariants
 //
-//   - Any failure without an answer is hookhall.ErrUnavailable: a write may
-//     have taken effect.
+//   - A call that gets no answer, or one with a status other than 200 and 404,
+//     returns an error that wraps hookhall.ErrUnavailable. Its write may have
+//     taken effect.
 //   - A value larger than MaxValueBytes is refused before it is sent.
 package keyvalue
 
@@ -99,7 +100,7 @@
 	return c.readPair(ctx, key, query, wait+watchTimeoutMargin)
 }
 
-// readPair reads a key. A missing key is a zero Entry.
+// readPair reads a key. A missing key is a zero KeyValueEntry.
 func (c *Client) readPair(ctx context.Context, key string, query url.Values, timeout time.Duration) (hookhall.KeyValueEntry, error) {
 	status, body, err := c.call(ctx, http.MethodGet, key, query, nil, timeout)
 	if err != nil || status == http.StatusNotFound {
@@ -137,11 +138,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	address := c.baseURL + key
+	callURL := c.baseURL + key
 	if len(query) > 0 {
-		address += "?" + query.Encode()
+		callURL += "?" + query.Encode()
 	}
-	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(value))
+	req, err := http.NewRequestWithContext(ctx, method, callURL, bytes.NewReader(value))
 	if err != nil {
 		return 0, nil, errors.Wrap(err, "key-value service")
 	}
@@ -151,6 +152,7 @@
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: %v", method, key, err)
 	}
 	defer resp.Body.Close()
+	// Twice the size of a value leaves room for its encoding in base64.
 	body, err := io.ReadAll(io.LimitReader(resp.Body, 2*MaxValueBytes))
 	if err != nil {
 		return 0, nil, errors.Wrapf(hookhall.ErrUnavailable, "%s %s: %v", method, key, err)
