--- a/internal/transport/operators/operators.go
+++ b/internal/transport/operators/operators.go
@@ -14,8 +14,8 @@
 //
 //   - The key of a client account gives no access.
 //   - An edit is answered with 200 only if it is accepted (package tables); 409
-//     lists conflicts, 422 invalid cells, 503 stands for an edit whose outcome is
-//     unknown.
+//     lists conflicts, 422 invalid cells. Any other failure is 503, and its verdict
+//     states whether the edit may be in force.
 package operators
 
 import (
@@ -63,7 +63,8 @@
 	Cells     table.CellErrors `json:"cells,omitempty"`
 }
 
-// TableAnswer is the body of GET /v1/table.
+// TableAnswer is the answer to GET /v1/table. Edits are the latest edit requests that were
+// applied, oldest first.
 type TableAnswer struct {
 	Version uint64              `json:"version"`
 	Rows    []hookhall.Row      `json:"rows"`
@@ -100,7 +101,7 @@
 	timeout time.Duration
 }
 
-// NewTableHandler returns a handler that reads and edits the table by editor. timeout
+// NewTableHandler returns a handler that reads and edits the table through editor. timeout
 // bounds each read and each edit.
 func NewTableHandler(editor *tables.Editor, timeout time.Duration) *TableHandler {
 	return &TableHandler{editor, timeout}
@@ -125,7 +126,7 @@
 	wire.WriteJSON(w, http.StatusOK, answer)
 }
 
-// Edit serves POST /v1/table/edits. An edit continues if its client disconnects.
+// Edit serves POST /v1/table/edits.
 func (t *TableHandler) Edit(w http.ResponseWriter, r *http.Request) {
 	var request EditRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxEditBytes))
