--- a/internal/transport/peers/client.go
+++ b/internal/transport/peers/client.go
@@ -72,8 +72,8 @@
 	return &Clients{secret: secret, byAddress: map[string]*client{}}
 }
 
-// Peer implements hookhall.Peers. It returns the client of address, whose connection
-// stays until it is closed because the address is unused, or with all others.
+// Peer implements hookhall.Peers. It returns the client of address, which can be used until
+// CloseUnused or Close closes it.
 func (c *Clients) Peer(address string) hookhall.Peer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -158,13 +158,14 @@
 // client implements hookhall.Peer.
 type client struct {
 	conn *grpc.ClientConn
-	err  error
+	err  error // set if the address is invalid
 	rpc  pb.PeerClient
 }
 
+// close closes the connection, if there is one.
 func (c *client) close() {
 	if c.conn != nil {
-		_ = c.conn.Close() // no calls are left that could fail
+		_ = c.conn.Close() // fails only if it is already closed
 	}
 }
 
@@ -193,8 +194,8 @@
 }
 
 // Copy implements hookhall.Peer.
-func (c *client) Copy(ctx context.Context, epoch uint64, n hookhall.Record) (hookhall.CopyReply, error) {
-	r, err := c.rpc.Copy(ctx, &pb.CopyRequest{Epoch: epoch, Record: convert.Record(n, clock.Now())})
+func (c *client) Copy(ctx context.Context, epoch uint64, record hookhall.Record) (hookhall.CopyReply, error) {
+	r, err := c.rpc.Copy(ctx, &pb.CopyRequest{Epoch: epoch, Record: convert.Record(record, clock.Now())})
 	return hookhall.CopyReply{Stored: r.GetStored(), Epoch: r.GetEpoch()}, err
 }
 
@@ -220,15 +221,16 @@
 }
 
 // LeaseShares implements hookhall.Peer.
-func (c *client) LeaseShares(ctx context.Context, t hookhall.ShareRequest) (hookhall.ShareReply, error) {
-	r, err := c.rpc.Take(ctx, convert.TakeRequest(t))
+func (c *client) LeaseShares(ctx context.Context, q hookhall.ShareRequest) (hookhall.ShareReply, error) {
+	r, err := c.rpc.Take(ctx, convert.TakeRequest(q))
 	if err != nil {
 		return hookhall.ShareReply{}, err
 	}
 	return convert.FromTakeReply(r), nil
 }
 
-// Table implements hookhall.Peer.
+// Table implements hookhall.Peer. It reads the peer's table, of which the caller has the
+// version have.
 func (c *client) Table(ctx context.Context, have uint64) (hookhall.TableDocument, error) {
 	r, err := c.rpc.Table(ctx, &pb.TableRequest{Have: have})
 	return hookhall.TableDocument{Version: r.GetVersion(), Root: r.GetRoot(), Chunks: r.GetChunks()}, err
--- a/internal/transport/peers/server.go
+++ b/internal/transport/peers/server.go
@@ -29,8 +29,9 @@
 	maxRefusalLogsPerSecond = 1
 )
 
-// Handler processes the messages of peers. Each method answers the message of that
-// name in peer.proto, and may be called concurrently.
+// Handler processes the calls of peers, which peer.proto documents: HandleIsComplete those
+// of Whole, HandleLeaseShares those of Take, and the others those of the same name. Its
+// methods may be called concurrently.
 type Handler interface {
 	HandleProbe(context.Context, hookhall.Probe) hookhall.ProbeReply
 	// HandleProbeFor reports whether the member at address answers a probe.
@@ -51,17 +52,17 @@
 // Server is the gRPC service that passes messages of peers to a Handler.
 type Server struct {
 	pb.UnimplementedPeerServer
-	handler Handler
-	secret  string
-	log     *log.Logger
-	limit   *rate.Limiter
-	refused atomic.Int64
+	handler    Handler
+	secret     string
+	log        *log.Logger
+	logLimiter *rate.Limiter
+	refused    atomic.Int64
 }
 
 // NewServer returns a Server that passes messages to h. Register adds it to a gRPC
-// server, which must use Check as its unary interceptor.
+// server, which must use Authenticate as its unary interceptor.
 func NewServer(h Handler, secret string, l *log.Logger) *Server {
-	return &Server{handler: h, secret: secret, log: l, limit: rate.NewLimiter(maxRefusalLogsPerSecond, maxRefusalLogsPerSecond)}
+	return &Server{handler: h, secret: secret, log: l, logLimiter: rate.NewLimiter(maxRefusalLogsPerSecond, maxRefusalLogsPerSecond)}
 }
 
 // Register adds the service to g.
@@ -83,7 +84,7 @@
 	return next(ctx, req)
 }
 
-// firstValue returns the first value of key, "" for none.
+// firstValue returns the first value of a metadata key, "" for none.
 func firstValue(md metadata.MD, key string) string {
 	if v := md.Get(key); len(v) > 0 {
 		return v[0]
@@ -91,10 +92,11 @@
 	return ""
 }
 
-// refuse counts and logs a refused call, and returns the error for its caller.
+// refuse counts a refused call, logs it unless maxRefusalLogsPerSecond is reached, and returns
+// the error for its caller.
 func (s *Server) refuse(c codes.Code, reason string) error {
 	s.refused.Add(1)
-	if s.limit.Allow() {
+	if s.logLimiter.Allow() {
 		s.log.Warn("peer call refused", "why", reason, "refused", s.refused.Load())
 	}
 	return status.Error(c, reason)
