--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -7,9 +7,9 @@
 //
 // A Handler reads a complete request with the header fields of the platform's
 // protocol, passes it to a Service and writes the answer. The verdict and cause
-// of a refusal determine its status: 429 and 503 only if the request has not run
-// and never will; 502 and 504 if it may have run, and 502 for request content that
-// crashes targets.
+// of a refusal determine its status: 503 only if the request has not run and never
+// will; 502 and 504 if it may have run, and 502 for request content that crashes
+// targets. A Drain stops the server without cutting off requests.
 //
 // # Invariants
 //
@@ -57,10 +57,10 @@
 	log        *log.Logger
 }
 
-// NewHandler returns a Handler. bodies is the memory budget that the bodies of all
+// NewHandler returns a Handler. bodyBudget is the memory budget that the bodies of all
 // requests in progress share.
-func NewHandler(service Service, dialect hookhall.Dialect, bodies *buffer.Budget, logger *log.Logger) *Handler {
-	return &Handler{service, dialect, bodies, logger}
+func NewHandler(service Service, dialect hookhall.Dialect, bodyBudget *buffer.Budget, logger *log.Logger) *Handler {
+	return &Handler{service, dialect, bodyBudget, logger}
 }
 
 // ServeHTTP implements http.Handler.
@@ -94,7 +94,7 @@
 	return defaultMaxBodyBytes
 }
 
-// read reads a complete request. Its body lies in the given buffer and is valid until
+// read reads a complete request. Its body is held in the given buffer and is valid until
 // the buffer is released.
 func (h *Handler) read(w http.ResponseWriter, r *http.Request, body *buffer.Buffer) (*hookhall.Call, *hookhall.Error) {
 	bufferFull, err := body.Fill(http.MaxBytesReader(w, r.Body, int64(h.maxBody())))
