--- a/internal/transport/fleet/advisories.go
+++ b/internal/transport/fleet/advisories.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// wireAdvisories converts reports for a message that is sent now.
+// wireAdvisories converts reports for a message that is sent at now.
 func wireAdvisories(list []advisory.Report, now time.Time) []*pb.TargetAdvisory {
 	out := make([]*pb.TargetAdvisory, 0, len(list))
 	for _, r := range list {
@@ -49,18 +49,20 @@
 	return out
 }
 
-// unknownAge is the age that is sent for a limit that no target has announced.
-const unknownAge = -1
+// unknownAgeMS is the age that is sent for a limit that no target has announced.
+const unknownAgeMS = -1
 
-// limitAgeMS returns the milliseconds since a limit was announced, or unknownAge.
+// limitAgeMS returns the milliseconds since a limit or its end was announced, or
+// unknownAgeMS.
 func limitAgeMS(l advisory.Limit, now time.Time) int64 {
 	if l.Heard.IsZero() {
-		return unknownAge
+		return unknownAgeMS
 	}
 	return ageMS(now.Sub(l.Heard))
 }
 
-// readAdvisories converts the reports of a message that was received at a time.
+// readAdvisories converts the reports of a message that was received at receivedAt. It
+// raises negative limits to 0.
 func readAdvisories(list []*pb.TargetAdvisory, receivedAt time.Time) []advisory.Report {
 	out := make([]advisory.Report, 0, len(list))
 	for _, a := range list {
--- a/internal/transport/fleet/bootstrap.go
+++ b/internal/transport/fleet/bootstrap.go
@@ -70,27 +70,27 @@
 	s.Log.Info("state fetched from peer", "peer", peer)
 }
 
-// fetchState fetches and applies the state of the peer at seed.
-func (s *Bootstrapper) fetchState(ctx context.Context, seed string) error {
+// fetchState fetches and applies the state of the peer at an address.
+func (s *Bootstrapper) fetchState(ctx context.Context, peer string) error {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	began := clock.Now()
-	b, err := s.Clients.Client(seed).FetchState(ctx)
+	state, err := s.Clients.Client(peer).FetchState(ctx)
 	if err != nil {
 		return err
 	}
-	if b.GetHallsRevision() > 0 {
-		s.Catalog.ApplyHalls(catalog.Halls{Revision: hookhall.Revision(b.GetHallsRevision()), Evacuated: b.GetEvacuated()}, hostOf(seed))
+	if state.GetHallsRevision() > 0 {
+		s.Catalog.ApplyHalls(catalog.Halls{Revision: hookhall.Revision(state.GetHallsRevision()), Evacuated: state.GetEvacuated()}, hostOf(peer))
 	}
-	s.Crashes.Merge(readCrashes(b.GetEnds().GetEnds(), clock.Now()), hostOf(seed))
-	s.Advisories.Merge(readAdvisories(b.GetAdvisories(), began), hostOf(seed))
-	s.Catalog.ApplyPackedTable(b.GetTable().GetPacked(), hookhall.Revision(b.GetTable().GetRevision()), hostOf(seed), began)
-	r := catalog.Reading{Revision: hookhall.Revision(b.GetTargetsRevision()), Began: began.Add(-milliseconds(b.GetAgeMs()))}
-	if r.Items, _, err = unpackBulk(b.GetTargets()); err != nil {
+	s.Crashes.Merge(readCrashes(state.GetEnds().GetEnds(), clock.Now()), hostOf(peer))
+	s.Advisories.Merge(readAdvisories(state.GetAdvisories(), began), hostOf(peer))
+	s.Catalog.ApplyPackedTable(state.GetTable().GetPacked(), hookhall.Revision(state.GetTable().GetRevision()), hostOf(peer), began)
+	r := catalog.Reading{Revision: hookhall.Revision(state.GetTargetsRevision()), Began: began.Add(-milliseconds(state.GetAgeMs()))}
+	if r.Items, _, err = unpackBulk(state.GetTargets()); err != nil {
 		return err
 	}
-	s.Catalog.ApplyReading(r, hostOf(seed))
-	s.Members.AddFromPeer(readMembers(b.GetMembers()))
+	s.Catalog.ApplyReading(r, hostOf(peer))
+	s.Members.AddFromPeer(readMembers(state.GetMembers()))
 	return nil
 }
 
--- a/internal/transport/fleet/clients.go
+++ b/internal/transport/fleet/clients.go
@@ -99,6 +99,8 @@
 	rpc  pb.FleetClient
 }
 
+// newClient returns a Client of the peer at address. If the address is invalid, all of its
+// calls fail.
 func newClient(address string, l *log.Logger) *Client {
 	c := &Client{address: address, log: l}
 	first, err := connect(address)
@@ -125,17 +127,18 @@
 // rpc returns the stub of the current connection.
 func (c *Client) rpc() pb.FleetClient { return c.link.Load().rpc }
 
+// close closes the connection, which cancels its calls, and prevents another one.
 func (c *Client) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	if l := c.link.Load(); l != nil {
-		_ = l.conn.Close() // no calls are left that could fail
+		_ = l.conn.Close() // fails only if it is already closed
 	}
 }
 
-// checkAfterTimeout is called with the result of each short call. After a call without an
-// answer it starts a check of the connection, at most one per minCheckInterval.
+// checkAfterTimeout is called with the result of each short call. After a call that timed
+// out it starts a check of the connection, at most one per minCheckInterval.
 func (c *Client) checkAfterTimeout(err error) {
 	if status.Code(err) != codes.DeadlineExceeded {
 		return
--- a/internal/transport/fleet/clients_test.go
+++ b/internal/transport/fleet/clients_test.go
@@ -54,22 +54,22 @@
 // to a peer that does not answer on a new connection either, and one of a closed
 // client, is kept.
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	w, err := standin.NewStallingProxy(startPingServer(t))
+	proxy, err := standin.NewStallingProxy(startPingServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
+	defer proxy.Close()
 	clients := NewClients(log.New(io.Discard))
-	c := clients.Client(w.Address())
+	c := clients.Client(proxy.Address())
 	pingUntilAnswered(t, c)
 	t.Run("unresponsive connection", func(t *testing.T) {
 		for range 2 {
-			w.Stall()
+			proxy.Stall()
 			if took := pingUntilAnswered(t, c); took > 3*time.Second {
 				t.Errorf("the peer answers again only after %v", took)
 			}
 		}
-		if n := w.OpenedCount(); n > 4 {
+		if n := proxy.OpenedCount(); n > 4 {
 			t.Errorf("%d connections were opened, want 4 at most", n)
 		}
 	})
--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -38,7 +38,7 @@
 	s.relayCrashes(&pb.Ends{Reporter: s.Peers.Self().Address, Ends: wireCrashes(list, clock.Now())}, clock.Now())
 }
 
-// relayCrashes sends crashes that were received at a time to the peers below this
+// relayCrashes sends crashes that were received at receivedAt to the peers below this
 // process in the tree.
 func (s *Broadcaster) relayCrashes(m *pb.Ends, receivedAt time.Time) {
 	s.sendToSubtree(m.GetReporter(), int(m.GetPosition()), func(address string, position int) bool {
@@ -140,7 +140,7 @@
 	return crashes.Digest(b)
 }
 
-// readCrashes converts the crashes of a message that was received at a time. It omits
+// readCrashes converts the crashes of a message that was received at receivedAt. It omits
 // those whose digest has a wrong length, and treats negative ages as 0.
 func readCrashes(list []*pb.End, receivedAt time.Time) []crashes.Crash {
 	var out []crashes.Crash
@@ -156,7 +156,7 @@
 	return out
 }
 
-// addAge returns crashes whose ages include the time that this process held them.
+// addAge returns copies of crashes whose ages include the time that this process held them.
 func addAge(list []*pb.End, heldFor time.Duration) []*pb.End {
 	aged := make([]*pb.End, 0, len(list))
 	for _, e := range list {
--- a/internal/transport/fleet/fleet.go
+++ b/internal/transport/fleet/fleet.go
@@ -104,17 +104,17 @@
 
 // Place implements pb.FleetServer.
 func (s *Server) Place(_ context.Context, r *pb.PlaceRequest) (*pb.PlaceReply, error) {
-	w := balance.Criteria{
+	criteria := balance.Criteria{
 		IsEngineCall: !r.GetPlain(), Halls: r.GetHalls(), SharedPart: r.GetShared(), SharedTokens: int(r.GetSharedTokens()), OwnTokens: int(r.GetOwnTokens()),
 		Parts: r.GetParts(), BytesByHall: r.GetNear(), LatencyBudget: milliseconds(r.GetSlackMs()), MaxOutputTokens: int(r.GetOutTokens()), ExcludedTargets: map[string]bool{},
 		Versions: balance.Versions{Only: r.GetOnlyVersion(), Not: r.GetNotVersion(), MaxTargets: int(r.GetAmong())},
 	}
 	for _, id := range r.GetExclude() {
-		w.ExcludedTargets[id] = true
+		criteria.ExcludedTargets[id] = true
 	}
 	s.Broadcaster.Advisories.Merge(readAdvisories(r.GetLimits(), clock.Now()), "request")
-	c := s.PlacementOwner.Place(r.GetTicket(), r.GetService(), w)
-	return &pb.PlaceReply{Target: c.Target, WaitUs: c.Wait.Microseconds(), RetryAfterUs: c.RetryAfter.Microseconds()}, nil
+	choice := s.PlacementOwner.Place(r.GetTicket(), r.GetService(), criteria)
+	return &pb.PlaceReply{Target: choice.Target, WaitUs: choice.Wait.Microseconds(), RetryAfterUs: choice.RetryAfter.Microseconds()}, nil
 }
 
 // Note implements pb.FleetServer. It ignores notes of unknown kinds.
@@ -137,8 +137,8 @@
 }
 
 // Share implements pb.FleetServer.
-func (s *Server) Share(_ context.Context, n *pb.News) (*pb.NewsReply, error) {
-	s.Broadcaster.HandleUpdate(n)
+func (s *Server) Share(_ context.Context, m *pb.News) (*pb.NewsReply, error) {
+	s.Broadcaster.HandleUpdate(m)
 	return &pb.NewsReply{}, nil
 }
 
@@ -209,11 +209,11 @@
 }
 
 // Free implements stages.Remote.
-func (c *Client) Free(ctx context.Context, service string, handles []string, ifCrowded bool) error {
+func (c *Client) Free(ctx context.Context, service string, handles []string, ifMemoryConstrained bool) error {
 	if c.err != nil {
 		return c.err
 	}
-	_, err := c.rpc().Free(ctx, &pb.FreeRequest{Service: service, Handles: handles, IfCrowded: ifCrowded})
+	_, err := c.rpc().Free(ctx, &pb.FreeRequest{Service: service, Handles: handles, IfCrowded: ifMemoryConstrained})
 	return err
 }
 
@@ -228,18 +228,18 @@
 }
 
 // Place implements placement.Remote.
-func (c *Client) Place(ctx context.Context, ticket, service string, w balance.Criteria, limits []advisory.Report) (placement.Choice, error) {
+func (c *Client) Place(ctx context.Context, ticket, service string, criteria balance.Criteria, limits []advisory.Report) (placement.Choice, error) {
 	if c.err != nil {
 		return placement.Choice{}, c.err
 	}
 	request := &pb.PlaceRequest{
-		Ticket: ticket, Service: service, Shared: w.SharedPart, SharedTokens: int64(w.SharedTokens), OwnTokens: int64(w.OwnTokens),
-		Parts: w.Parts, Near: w.BytesByHall, SlackMs: w.LatencyBudget.Milliseconds(),
-		OutTokens: int64(w.MaxOutputTokens), Plain: !w.IsEngineCall, Halls: w.Halls,
-		OnlyVersion: w.Only, NotVersion: w.Not, Among: int32(w.MaxTargets),
+		Ticket: ticket, Service: service, Shared: criteria.SharedPart, SharedTokens: int64(criteria.SharedTokens), OwnTokens: int64(criteria.OwnTokens),
+		Parts: criteria.Parts, Near: criteria.BytesByHall, SlackMs: criteria.LatencyBudget.Milliseconds(),
+		OutTokens: int64(criteria.MaxOutputTokens), Plain: !criteria.IsEngineCall, Halls: criteria.Halls,
+		OnlyVersion: criteria.Only, NotVersion: criteria.Not, Among: int32(criteria.MaxTargets),
 		Limits: wireAdvisories(limits, clock.Now()),
 	}
-	for id := range w.ExcludedTargets {
+	for id := range criteria.ExcludedTargets {
 		request.Exclude = append(request.Exclude, id)
 	}
 	reply, err := c.rpc().Place(ctx, request)
@@ -270,12 +270,12 @@
 	return err
 }
 
-// SendUpdate sends update n to the peer.
-func (c *Client) SendUpdate(ctx context.Context, n *pb.News) error {
+// SendUpdate sends update m to the peer.
+func (c *Client) SendUpdate(ctx context.Context, m *pb.News) error {
 	if c.err != nil {
 		return c.err
 	}
-	_, err := c.rpc().Share(ctx, n)
+	_, err := c.rpc().Share(ctx, m)
 	c.checkAfterTimeout(err)
 	return err
 }
--- a/internal/transport/fleet/lostpeers.go
+++ b/internal/transport/fleet/lostpeers.go
@@ -30,39 +30,39 @@
 //
 // Each process sends to one address at a time, drawn at random: while the store does not
 // answer this process, from all gateways, and else from those that were listed within
-// the last minute and are not listed now. For example, while the store is unavailable, a
-// restarted process of a fleet of nine receives an update within about half a second.
+// lostRetention and are not listed now. For example, while the store is unavailable, a
+// restarted process of a fleet of nine receives an update every half a second on average.
 type LostPeerNotifier struct {
 	Broadcaster *Broadcaster
 
-	lastListed map[string]time.Time // address to when it was last listed
+	lastListed map[string]time.Time // when a gateway was last listed, by address
 }
 
 // Run sends updates until ctx ends.
-func (v *LostPeerNotifier) Run(ctx context.Context) {
-	v.lastListed = map[string]time.Time{}
+func (n *LostPeerNotifier) Run(ctx context.Context) {
+	n.lastListed = map[string]time.Time{}
 	for retry.Sleep(ctx, retry.Jitter(notifyInterval)) {
-		if list := v.lostAddresses(clock.Now()); len(list) > 0 {
-			go v.Broadcaster.notifyLostPeer(list[rand.IntN(len(list))])
+		if list := n.lostAddresses(clock.Now()); len(list) > 0 {
+			go n.Broadcaster.notifyLostPeer(list[rand.IntN(len(list))])
 		}
 	}
 }
 
-// lostAddresses returns the addresses of gateways that may know no peers. It is called
-// only by Run's goroutine.
-func (v *LostPeerNotifier) lostAddresses(now time.Time) []string {
-	b := v.Broadcaster
+// lostAddresses returns the addresses of gateways that may know no peers. It may be called
+// by one goroutine at a time, which is Run's.
+func (n *LostPeerNotifier) lostAddresses(now time.Time) []string {
+	b := n.Broadcaster
 	for _, m := range b.Peers.All() {
-		v.lastListed[m.Address] = now
+		n.lastListed[m.Address] = now
 	}
 	if !b.Catalog.Ready() {
 		return nil
 	}
 	var list []string
-	for address, at := range v.lastListed {
+	for address, at := range n.lastListed {
 		switch {
 		case now.Sub(at) > lostRetention:
-			delete(v.lastListed, address)
+			delete(n.lastListed, address)
 		case address == b.Peers.Self().Address:
 		case at.Before(now) || b.Catalog.Failing():
 			list = append(list, address)
@@ -81,11 +81,11 @@
 // bootstrap handles an update at a process that has no state to apply it to: it fetches
 // the complete state of the sender.
 func (s *Broadcaster) bootstrap(m *pb.News) {
-	if s.Bootstrapper == nil || m.GetFrom() == "" || !s.starting.CompareAndSwap(false, true) {
+	if s.Bootstrapper == nil || m.GetFrom() == "" || !s.bootstrapping.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.starting.Store(false)
+		defer s.bootstrapping.Store(false)
 		ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 		defer cancel()
 		s.Bootstrapper.Ask(ctx, m.GetFrom())
--- a/internal/transport/fleet/lostpeers_test.go
+++ b/internal/transport/fleet/lostpeers_test.go
@@ -88,46 +88,46 @@
 // them updates, and against updates without need. Addresses count as lost for lostRetention
 // after they left the list, or while the store does not answer.
 func TestLostAddresses(t *testing.T) {
-	inviter := func(p *fixedPeers, c *catalog.Catalog) *LostPeerNotifier {
+	newNotifier := func(p *fixedPeers, c *catalog.Catalog) *LostPeerNotifier {
 		return &LostPeerNotifier{Broadcaster: &Broadcaster{Peers: p, Catalog: c}, lastListed: map[string]time.Time{}}
 	}
 	now := time.Now()
 	t.Run("none while all are listed", func(t *testing.T) {
-		if got := inviter(newFixedPeers(4), readyCatalog(t)).lostAddresses(now); len(got) != 0 {
+		if got := newNotifier(newFixedPeers(4), readyCatalog(t)).lostAddresses(now); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
 	t.Run("one that left the list, for lostRetention", func(t *testing.T) {
 		p := newFixedPeers(4)
-		v := inviter(p, readyCatalog(t))
-		v.lostAddresses(now)
+		notifier := newNotifier(p, readyCatalog(t))
+		notifier.lostAddresses(now)
 		gone := p.list[3].Address
 		p.list = p.list[:3]
-		if got := v.lostAddresses(now.Add(time.Second)); !slices.Equal(got, []string{gone}) {
+		if got := notifier.lostAddresses(now.Add(time.Second)); !slices.Equal(got, []string{gone}) {
 			t.Errorf("lost addresses %v, want %s", got, gone)
 		}
-		if got := v.lostAddresses(now.Add(lostRetention + time.Second)); len(got) != 0 {
+		if got := notifier.lostAddresses(now.Add(lostRetention + time.Second)); len(got) != 0 {
 			t.Errorf("%v after lostRetention", got)
 		}
 	})
 	t.Run("none after one is listed again", func(t *testing.T) {
 		p := newFixedPeers(4)
-		v := inviter(p, readyCatalog(t))
-		v.lostAddresses(now)
+		notifier := newNotifier(p, readyCatalog(t))
+		notifier.lostAddresses(now)
 		all := p.list
 		p.list = all[:3]
-		v.lostAddresses(now.Add(time.Second))
+		notifier.lostAddresses(now.Add(time.Second))
 		p.list = all
-		if got := v.lostAddresses(now.Add(2 * time.Second)); len(got) != 0 {
+		if got := notifier.lostAddresses(now.Add(2 * time.Second)); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
 	t.Run("none at a process without state", func(t *testing.T) {
 		p := newFixedPeers(4)
-		v := inviter(p, newCatalog())
-		v.lostAddresses(now)
+		notifier := newNotifier(p, newCatalog())
+		notifier.lostAddresses(now)
 		p.list = p.list[:3]
-		if got := v.lostAddresses(now.Add(time.Second)); len(got) != 0 {
+		if got := notifier.lostAddresses(now.Add(time.Second)); len(got) != 0 {
 			t.Errorf("%v", got)
 		}
 	})
@@ -138,7 +138,7 @@
 			done := make(chan struct{})
 			go func() { c.Run(ctx); close(done) }()
 			time.Sleep(5 * time.Second)
-			got := inviter(newFixedPeers(4), c).lostAddresses(time.Now())
+			got := newNotifier(newFixedPeers(4), c).lostAddresses(time.Now())
 			cancel()
 			<-done
 			slices.Sort(got)
--- a/internal/transport/fleet/repair.go
+++ b/internal/transport/fleet/repair.go
@@ -32,7 +32,7 @@
 		askedAt := clock.Now()
 		t, err := s.Clients.Client(peer).FetchTargets(ctx, own)
 		if err != nil {
-			return // the store or the next update will provide it
+			return // the next update starts another repair
 		}
 		items, _, err := unpackBulk(t.GetItems())
 		if err != nil {
--- a/internal/transport/fleet/rollouts.go
+++ b/internal/transport/fleet/rollouts.go
@@ -15,12 +15,12 @@
 
 // Rollouts stores the rollouts that operators ordered.
 type Rollouts interface {
-	// Snapshot returns all known orders, with the store's revision at which they were read.
+	// Snapshot returns all known rollouts, with the store's revision at which they were read.
 	Snapshot() rollouts.Snapshot
-	// ApplySnapshot applies the orders that a peer knows; from names the peer in logs.
-	ApplySnapshot(o rollouts.Snapshot, from string)
-	// MergeReport adds the counts of a process, at the owner of the rollouts, and returns the
-	// state of the rollouts that they are for.
+	// ApplySnapshot applies the rollouts that a peer knows; from names the peer in logs.
+	ApplySnapshot(latest rollouts.Snapshot, from string)
+	// MergeReport stores the counts that a process reported to this one, as the owner of the
+	// rollouts, and returns the progress of these rollouts.
 	MergeReport(r rollouts.Report) []rollouts.Progress
 }
 
@@ -30,7 +30,7 @@
 	for _, t := range r.GetTallies() {
 		report.Tallies = append(report.Tallies, readTally(t))
 	}
-	return &pb.RolloutReply{Orders: wireOrders(s.Broadcaster.Rollouts.MergeReport(report))}, nil
+	return &pb.RolloutReply{Orders: wireRollouts(s.Broadcaster.Rollouts.MergeReport(report))}, nil
 }
 
 // Tally implements rollouts.Remote.
@@ -47,32 +47,33 @@
 	if err != nil {
 		return nil, err
 	}
-	return readOrders(reply.GetOrders()), nil
+	return readRollouts(reply.GetOrders()), nil
 }
 
-// wireOrders converts orders for a message.
-func wireOrders(list []rollouts.Progress) []*pb.RolloutOrder {
+// wireRollouts converts rollouts for a message.
+func wireRollouts(list []rollouts.Progress) []*pb.RolloutOrder {
 	var out []*pb.RolloutOrder
-	for _, s := range list {
+	for _, p := range list {
 		out = append(out, &pb.RolloutOrder{
-			Service: s.Service, Version: s.Version, TimeMs: s.Time.Milliseconds(), Revision: uint64(s.Revision),
-			AgeMs: s.Age.Milliseconds(), Phase: int32(s.Phase),
+			Service: p.Service, Version: p.Version, TimeMs: p.Time.Milliseconds(), Revision: uint64(p.Revision),
+			AgeMs: p.Age.Milliseconds(), Phase: int32(p.Phase),
 		})
 	}
 	return out
 }
 
-func readOrders(list []*pb.RolloutOrder) []rollouts.Progress {
+// readRollouts is the inverse of wireRollouts.
+func readRollouts(list []*pb.RolloutOrder) []rollouts.Progress {
 	var out []rollouts.Progress
 	for _, o := range list {
-		out = append(out, readOrder(o))
+		out = append(out, readRollout(o))
 	}
 	return out
 }
 
-// readOrder converts an order of a message. It limits the phase and the age to valid
+// readRollout converts a rollout of a message. It limits the phase and the age to valid
 // values.
-func readOrder(o *pb.RolloutOrder) rollouts.Progress {
+func readRollout(o *pb.RolloutOrder) rollouts.Progress {
 	return rollouts.Progress{
 		Rollout: hookhall.Rollout{
 			Service: o.GetService(), Version: o.GetVersion(), Time: milliseconds(o.GetTimeMs()), Revision: hookhall.Revision(o.GetRevision()),
@@ -82,28 +83,30 @@
 	}
 }
 
-// wireTally converts a tally for a message.
+// wireTally converts the counts of a process for a message.
 func wireTally(t rollouts.Tally) *pb.RolloutTally {
-	out := &pb.RolloutTally{Order: wireOrders([]rollouts.Progress{t.Progress})[0], AtOld: int64(t.InFlightAtOld)}
+	out := &pb.RolloutTally{Order: wireRollouts([]rollouts.Progress{t.Progress})[0], AtOld: int64(t.InFlightAtOld)}
 	for route, v := range t.Evidence {
 		out.Routes = append(out.Routes, &pb.RouteTally{Route: route, Old: wireVersion(v.Old), New: wireVersion(v.New)})
 	}
 	return out
 }
 
+// wireVersion converts the counts of one version on one route for a message.
 func wireVersion(t rollout.Tally) *pb.VersionTally {
 	return &pb.VersionTally{Answers: int64(t.Answers), Bad: int64(t.Bad), TookUs: t.Took.Microseconds()}
 }
 
 // readTally is the inverse of wireTally.
 func readTally(t *pb.RolloutTally) rollouts.Tally {
-	out := rollouts.Tally{Progress: readOrder(t.GetOrder()), InFlightAtOld: int(t.GetAtOld()), Evidence: rollout.Evidence{}}
+	out := rollouts.Tally{Progress: readRollout(t.GetOrder()), InFlightAtOld: int(t.GetAtOld()), Evidence: rollout.Evidence{}}
 	for _, v := range t.GetRoutes() {
 		out.Evidence[v.GetRoute()] = rollout.Comparison{Old: readVersion(v.GetOld()), New: readVersion(v.GetNew())}
 	}
 	return out
 }
 
+// readVersion is the inverse of wireVersion.
 func readVersion(t *pb.VersionTally) rollout.Tally {
 	return rollout.Tally{Answers: int(t.GetAnswers()), Bad: int(t.GetBad()), Took: time.Duration(t.GetTookUs()) * time.Microsecond}
 }
--- a/internal/transport/fleet/updates.go
+++ b/internal/transport/fleet/updates.go
@@ -38,8 +38,8 @@
 	Self() hookhall.Member
 	// All returns all gateways, including this process, sorted by address.
 	All() []hookhall.Member
-	// OutgoingUpdate returns the recent changes of the list that this process read from the store,
-	// or the zero value if another process reads the list.
+	// OutgoingUpdate returns the recent changes of the list that this process read from
+	// the store, or the zero value if another process reads the list.
 	OutgoingUpdate(now time.Time) members.Update
 	// ApplyUpdate applies the changes that a peer read.
 	ApplyUpdate(n members.Update, now time.Time)
@@ -67,14 +67,14 @@
 	// disables that.
 	Bootstrapper *Bootstrapper
 	// OnUpdate is called for each update that is newer than the known state, with
-	// the time at which the read of the store began that it comes from; nil
+	// the time at which the reader of the update began to read the store; nil
 	// disables that.
 	OnUpdate func(began time.Time)
 
 	repairing         atomic.Bool  // whether a gap in the targets is being repaired
-	starting          atomic.Bool  // whether the state of a peer is being fetched
-	fetching          atomic.Bool  // whether a table is being fetched
-	unresponsiveSince sync.Map     // address to the time.Time of the call that failed
+	bootstrapping     atomic.Bool  // whether the state of a peer is being fetched
+	fetchingTable     atomic.Bool  // whether a table is being fetched
+	unresponsiveSince sync.Map     // time.Time of the call that failed, by address
 	comparing         atomic.Bool  // whether crashes are being compared with a peer's
 	nextComparison    atomic.Int64 // earliest time of the next comparison, as clock.Stamp
 }
@@ -107,8 +107,8 @@
 	halls := s.Catalog.Halls()
 	m.HallsRevision, m.Evacuated = uint64(halls.Revision), halls.Evacuated
 	m.EndsSum = s.Crashes.Sum(now)
-	orders := s.Rollouts.Snapshot()
-	m.RolloutsRevision, m.Rollouts = uint64(orders.Revision), wireOrders(orders.List)
+	snapshot := s.Rollouts.Snapshot()
+	m.RolloutsRevision, m.Rollouts = uint64(snapshot.Revision), wireRollouts(snapshot.List)
 	peers := s.Peers.OutgoingUpdate(now)
 	m.MembersRevision, m.MembersDigest, m.MembersGone = uint64(peers.Revision), peers.Digest, peers.Gone
 	var err error
@@ -118,11 +118,11 @@
 	return m
 }
 
-// ageMS returns an age in milliseconds, rounded up, so that no receiver takes data for
-// newer than it is.
+// ageMS returns an age in milliseconds, rounded up, so that no receiver treats data as newer
+// than it is.
 func ageMS(d time.Duration) int64 { return d.Milliseconds() + 1 }
 
-// relayUpdate forwards an update that was received at a time to the peers below this
+// relayUpdate forwards an update that was received at receivedAt to the peers below this
 // process in the tree.
 func (s *Broadcaster) relayUpdate(m *pb.News, receivedAt time.Time) {
 	s.sendToSubtree(m.GetReader(), int(m.GetPosition()), func(address string, position int) bool {
@@ -183,10 +183,10 @@
 }
 
 // sendUpdate sends an update to one peer and reports whether it answered.
-func (s *Broadcaster) sendUpdate(address string, n *pb.News) bool {
+func (s *Broadcaster) sendUpdate(address string, m *pb.News) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), sendTimeout)
 	defer cancel()
-	return s.Clients.Client(address).SendUpdate(ctx, n) == nil
+	return s.Clients.Client(address).SendUpdate(ctx, m) == nil
 }
 
 // HandleUpdate applies an update of a peer and forwards it if it was newer than the
@@ -205,7 +205,7 @@
 	s.Peers.ApplyUpdate(members.Update{
 		Revision: hookhall.Revision(m.GetMembersRevision()), Digest: m.GetMembersDigest(), Changed: changed, Gone: m.GetMembersGone(),
 	}, receivedAt)
-	n := catalog.Update{
+	update := catalog.Update{
 		Revision: hookhall.Revision(m.GetTargetsRevision()), Began: receivedAt.Add(-milliseconds(m.GetAgeMs())), Digest: m.GetDigest(),
 		Changed: targets, Gone: m.GetGone(),
 	}
@@ -213,18 +213,18 @@
 	// The halls come before the table, so that a table isn't confirmed while the halls
 	// of the same update are unknown.
 	hallsChanged := m.GetHallsRevision() > 0 && s.Catalog.ApplyHalls(catalog.Halls{Revision: hookhall.Revision(m.GetHallsRevision()), Evacuated: m.GetEvacuated()}, from)
-	s.Rollouts.ApplySnapshot(rollouts.Snapshot{Revision: hookhall.Revision(m.GetRolloutsRevision()), List: readOrders(m.GetRollouts())}, from)
+	s.Rollouts.ApplySnapshot(rollouts.Snapshot{Revision: hookhall.Revision(m.GetRolloutsRevision()), List: readRollouts(m.GetRollouts())}, from)
 	s.compareCrashes(m, receivedAt)
-	fresh, gap := s.Catalog.ApplyUpdate(n, from)
+	fresh, gap := s.Catalog.ApplyUpdate(update, from)
 	if gap && m.GetFrom() != "" {
 		s.repairTargets(m.GetFrom())
 	}
 	if fresh && s.OnUpdate != nil {
-		s.OnUpdate(n.Began)
+		s.OnUpdate(update.Began)
 	}
 	configRevision := hookhall.Revision(m.GetConfigRevision())
 	if configRevision > 0 && !s.Catalog.ConfirmTable(configRevision, receivedAt.Add(-milliseconds(m.GetConfigAgeMs()))) {
-		if s.fetching.CompareAndSwap(false, true) {
+		if s.fetchingTable.CompareAndSwap(false, true) {
 			go s.fetchTable(proto.Clone(m).(*pb.News), receivedAt)
 		}
 		// Peers below this process are notified of the table once they can fetch it here.
@@ -244,13 +244,13 @@
 
 // fetchTable reads the table from the sender of update m and then forwards m with it.
 func (s *Broadcaster) fetchTable(m *pb.News, receivedAt time.Time) {
-	defer s.fetching.Store(false)
+	defer s.fetchingTable.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), tableFetchTimeout)
 	defer cancel()
 	began := clock.Now()
 	t, err := s.Clients.Client(m.GetFrom()).FetchTable(ctx)
 	if err != nil {
-		return // the store or the next update will provide it
+		return // the table comes from the store, or is fetched after the next update
 	}
 	if s.Catalog.ApplyPackedTable(t.GetPacked(), hookhall.Revision(t.GetRevision()), hostOf(m.GetFrom()), began) {
 		revision, age := s.Catalog.TableAge(clock.Now())
