--- a/internal/protocol/convert/convert.go
+++ b/internal/protocol/convert/convert.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// ClaimReply converts r to protobuf at time now.
+// ClaimReply converts r to protobuf, with the expiry of its record as the time left at now.
 func ClaimReply(r hookhall.ClaimReply, now time.Time) *pb.ClaimReply {
 	return &pb.ClaimReply{
 		Outcome: int32(r.Outcome), Epoch: r.Epoch, Record: Record(r.Record, now),
@@ -50,7 +50,8 @@
 	}
 }
 
-// FetchReply converts r to protobuf at time now.
+// FetchReply converts r to protobuf, with the expiries of its records as the time left at
+// now.
 func FetchReply(r hookhall.FetchReply, now time.Time) *pb.FetchReply {
 	out := &pb.FetchReply{Epoch: r.Epoch}
 	for _, s := range r.Slots {
