--- a/internal/protocol/fleetpb/doc.go
+++ b/internal/protocol/fleetpb/doc.go
@@ -3,5 +3,5 @@
 
 // Package fleetpb contains the generated code of the messages between gateways, which
 // fleet.proto documents: stage work for brokers, placements, and updates of the
-// platform's store.
+// platform's store. Regenerate it with "make generate".
 package fleetpb
