--- a/internal/protocol/wire/caller.go
+++ b/internal/protocol/wire/caller.go
@@ -40,8 +40,8 @@
 	Class    string `json:"class,omitempty"`
 	// MaxTokens bounds the output in tokens.
 	MaxTokens int `json:"max_tokens,omitempty"`
-	// DeadlineMS is in milliseconds from the request's arrival. The deadline of the
-	// class, or of the account, applies if DeadlineMS is 0 or exceeds it.
+	// DeadlineMS is the deadline in milliseconds after the request's arrival. The deadline
+	// of the class, or of the account, applies if DeadlineMS is 0 or exceeds it.
 	DeadlineMS int `json:"deadline_ms,omitempty"`
 	// Repeatable is false for work that must run at most once. If it is absent,
 	// the value of the class applies, or true without a class. It can't override
@@ -52,9 +52,10 @@
 }
 
 // RunAnswer is the answer to POST /v1/run, and the End of a streamed answer,
-// where Output is empty. Length is in bytes, FirstTokenMS is the time from admission to
-// the first streamed chunk in milliseconds, and Replayed is set for the stored
-// answer of an earlier request with the same idempotency key.
+// where Output is empty. Length and Checksum are of the complete output, Length in
+// bytes. FirstTokenMS is the time from admission to the first streamed chunk in
+// milliseconds. Replayed is set for the stored answer of an earlier request with the
+// same idempotency key.
 type RunAnswer struct {
 	RequestID    string               `json:"request_id"`
 	Verdict      string               `json:"verdict"`
@@ -108,6 +109,7 @@
 	return q, q.validate()
 }
 
+// validate returns an error if a field is missing or out of its range.
 func (q *RunRequest) validate() error {
 	switch {
 	case q.Pipeline == "":
@@ -134,6 +136,7 @@
 	return nil
 }
 
+// badRequest returns the error of an invalid request, which has not run.
 func badRequest(format string, args ...any) error {
 	return hookhall.Errorf(hookhall.NotRun, hookhall.CauseBadRequest, format, args...)
 }
--- a/internal/protocol/wire/target.go
+++ b/internal/protocol/wire/target.go
@@ -18,14 +18,15 @@
 	PathLoad = "/v1/load"
 )
 
-// Headers of a stage call. A target copies the stage, attempt and digest, and
-// HeaderRequestID, into its answer.
+// Headers of a stage call. A target copies HeaderStage, HeaderAttempt, HeaderDigest and
+// HeaderRequestID into its answer.
 const (
 	HeaderStage   = "Hookhall-Stage"
 	HeaderAttempt = "Hookhall-Attempt"
 	HeaderDigest  = "Hookhall-Digest"
 	// HeaderTimeout carries the time left until the call's deadline in milliseconds.
-	HeaderTimeout   = "Hookhall-Timeout-Ms"
+	HeaderTimeout = "Hookhall-Timeout-Ms"
+	// HeaderPriority carries the call's priority; higher values run first.
 	HeaderPriority  = "Hookhall-Priority"
 	HeaderMaxTokens = "Hookhall-Max-Tokens"
 	// HeaderEpoch and HeaderToken identify the claim of a call with an idempotency key.
@@ -48,8 +49,10 @@
 	End  *TargetEnd `json:"end,omitempty"`
 }
 
-// TargetEnd marks a complete answer. Length is in bytes, QueueMS and BusyMS are the
-// milliseconds that the call spent waiting and running in the target.
+// TargetEnd marks a complete answer. Length and Checksum are of the complete output,
+// Length in bytes and Checksum as the function Checksum returns it. Tokens is the number
+// of output tokens. QueueMS and BusyMS are the milliseconds that the call spent waiting
+// and running in the target.
 type TargetEnd struct {
 	Length   int                 `json:"length"`
 	Checksum string              `json:"checksum"`
