--- a/internal/app/gateway/crashes.go
+++ b/internal/app/gateway/crashes.go
@@ -21,8 +21,8 @@
 	Content string `json:"content"` // hex digest, as in the log
 	Account string `json:"account,omitempty"`
 	AgeMS   int64  `json:"age_ms"` // since the first crash was reported
-	// Software lists what crashed, by service and version. Targets lists the IDs of
-	// the targets that crashed, once for each incarnation.
+	// Software lists the service and version of the crashed targets. Targets lists
+	// their IDs, once for each incarnation that crashed.
 	Software []string `json:"software"`
 	Targets  []string `json:"targets"`
 }
@@ -31,8 +31,8 @@
 // nil, if there are none, so that it is encoded as a JSON list.
 func (g *Gateway) refusedContents(now time.Time) []RefusedContent {
 	list := []RefusedContent{}
-	for digest, standing := range g.quarantine.Ledger.Refused() {
-		refused := RefusedContent{Content: digest.String(), AgeMS: now.Sub(standing.FirstReported).Milliseconds(), Software: standing.Software}
+	for digest, status := range g.quarantine.Ledger.Refused() {
+		refused := RefusedContent{Content: digest.String(), AgeMS: now.Sub(status.FirstReported).Milliseconds(), Software: status.Software}
 		for _, crash := range g.quarantine.Ledger.ByContent(digest) {
 			if !crash.Cleared {
 				refused.Account = crash.Account
@@ -52,7 +52,7 @@
 }
 
 // serveRelease releases a content from quarantine at all gateways. It answers 400 if
-// the path has no digest, and 404 if no crash is held against the content.
+// the path contains no valid digest, and 404 if no crash is recorded for the content.
 func (g *Gateway) serveRelease(w http.ResponseWriter, r *http.Request) {
 	var content crashes.Digest
 	decoded, err := hex.DecodeString(r.PathValue("content"))
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -77,8 +77,8 @@
 	idleTimeout = 75 * time.Second
 	// readHeaderTimeout bounds how long a client may take to send a request's header.
 	readHeaderTimeout = 10 * time.Second
-	// memoryLimitShare is the fraction of the memory that the process may use at which
-	// the garbage collector works harder.
+	// memoryLimitShare is the Go runtime's soft memory limit, as a fraction of the memory
+	// that the process may use. Near the limit the garbage collector runs more often.
 	memoryLimitShare = 0.7
 	// answerBuffersShare is the fraction of that memory for answers buffered for
 	// callers, and requestBodiesShare the fraction for request bodies.
@@ -116,25 +116,25 @@
 	log       *log.Logger
 	logWriter *logging.AsyncWriter
 
-	metrics       *metrics.Metrics
-	eras          *eras.Store
-	storeGate     *outage.Gate
-	catalog       *catalog.Catalog
-	members       *members.Members
-	clients       *fleet.Clients
-	broadcaster   *fleet.Broadcaster
-	starter       *fleet.Bootstrapper
-	tracker       *balance.Tracker
-	broker        *stages.Broker
-	placer        *placement.Owner
-	quarantine    *quarantine.Quarantine
-	advisories    *advisories.Advisories
-	rollouts      *rollouts.Rollouts
-	forward       *forward.Forwarder
-	drain         *front.Drain
-	bodies        *buffer.Budget
-	recentSharers atomic.Pointer[sharersSnapshot]
-	// Listeners. That of clients can stop accepting while its server runs on.
+	metrics        *metrics.Metrics
+	eras           *eras.Store
+	storeGate      *outage.Gate
+	catalog        *catalog.Catalog
+	members        *members.Members
+	clients        *fleet.Clients
+	broadcaster    *fleet.Broadcaster
+	bootstrapper   *fleet.Bootstrapper
+	tracker        *balance.Tracker
+	broker         *stages.Broker
+	placementOwner *placement.Owner
+	quarantine     *quarantine.Quarantine
+	advisories     *advisories.Advisories
+	rollouts       *rollouts.Rollouts
+	forwarder      *forward.Forwarder
+	drain          *front.Drain
+	bodyBudget     *buffer.Budget
+	cachedPosition atomic.Pointer[positionSnapshot]
+	// clientsListener can stop accepting connections while its server continues to run.
 	clientsListener *front.Listener
 	readyListener   net.Listener
 	peersListener   net.Listener
@@ -198,12 +198,12 @@
 	}
 	g.catalog.ApplyOperatorKeys = g.rollouts.Read
 	g.broadcaster = &fleet.Broadcaster{Peers: g.members, Clients: g.clients, Catalog: g.catalog, Crashes: g.quarantine, Rollouts: g.rollouts}
-	g.starter = &fleet.Bootstrapper{Clients: g.clients, Catalog: g.catalog, Members: g.members, Crashes: g.quarantine, Log: g.logger(logging.Catalog), StartedAt: clock.Now()}
+	g.bootstrapper = &fleet.Bootstrapper{Clients: g.clients, Catalog: g.catalog, Members: g.members, Crashes: g.quarantine, Log: g.logger(logging.Catalog), StartedAt: clock.Now()}
 	g.quarantine.IsStoreWriter = func() bool { return g.catalog.ReaderRank() == 0 }
 	g.quarantine.Era = g.eras.Era
 	g.quarantine.Broadcast = g.broadcaster.ReportCrashes
 	g.quarantine.Meter = g.metrics
-	g.broadcaster.Bootstrapper = g.starter
+	g.broadcaster.Bootstrapper = g.bootstrapper
 	g.broadcaster.OnUpdate = g.storeGate.ReportAnswered
 	g.catalog.OnStoreRead = g.broadcaster.Broadcast
 	g.catalog.ReaderRank = g.readerRank
@@ -215,7 +215,7 @@
 	}
 	g.members.IsLeader = func() bool { return g.catalog.ReaderRank() < 2 }
 	g.advisories = &advisories.Advisories{Book: &advisory.Registry{}, Meter: g.metrics, Log: g.logger(logging.Advised), Leave: g.catalog.MarkLeaving, Broadcast: g.broadcaster.Advise}
-	g.broadcaster.Advisories, g.starter.Advisories = g.advisories, g.advisories
+	g.broadcaster.Advisories, g.bootstrapper.Advisories = g.advisories, g.advisories
 	if g.adapters.Advisories != nil {
 		g.adapters.Advisories.SetObserver(g.advisories)
 	}
@@ -223,16 +223,16 @@
 	g.broker = stages.NewBroker(g.catalog, g.adapters.StagePool, g.quarantine, g.rollouts, g.logger(logging.Stages))
 	g.broker.Grants = g.grants
 	coldLimits := balance.ColdLimits{RateFactor: config.Bounds.ColdOver, ExtraRequests: config.Bounds.ColdSlack}
-	g.placer = placement.NewOwner(g.catalog, coldLimits)
-	g.placer.Grants = func(service string) advisory.Grants { return g.grants(placement.OwnerKey(service)) }
+	g.placementOwner = placement.NewOwner(g.catalog, coldLimits)
+	g.placementOwner.Grants = func(service string) advisory.Grants { return g.grants(placement.OwnerKey(service)) }
 	runner := &stages.Runner{
 		Local: g.broker, Fleet: g.members, Log: g.logger(logging.Stages),
 		Remote: func(address string) stages.Remote { return g.clients.Client(address) },
 		HallOf: func(handle string) string { return g.catalog.HallAt(g.adapters.StagePool.Holder(handle)) },
 	}
-	g.forward = &forward.Forwarder{
+	g.forwarder = &forward.Forwarder{
 		Placement: &placement.Client{
-			Local: g.placer, Fleet: g.members,
+			Local: g.placementOwner, Fleet: g.members,
 			Remote: func(address string) placement.Remote { return g.clients.Client(address) },
 		},
 		Quarantine: g.quarantine, Rollouts: g.rollouts, Catalog: g.catalog, Stages: runner, Sender: g.adapters.Sender, Tracker: g.tracker,
@@ -240,7 +240,7 @@
 		Budget: budget.New(budget.Limits{
 			Ratio: config.Bounds.RetryRatio, Slack: config.Bounds.RetrySlack,
 			Window: time.Duration(config.Bounds.RetryWindowMS) * time.Millisecond,
-		}, g.sharers, clock.Now()),
+		}, g.quotaPosition, clock.Now()),
 		Buffers: g.memoryBudget(answerBuffersShare),
 		ColdShare: func(target string, service *hookhall.Service) int {
 			return g.coldShare(target, coldLimits.MaxDirectSenders(service))
@@ -248,7 +248,7 @@
 		HallsIn: g.hallsIn,
 		Meter:   g.metrics, Log: g.logger(logging.Forward),
 	}
-	g.bodies = g.memoryBudget(requestBodiesShare)
+	g.bodyBudget = g.memoryBudget(requestBodiesShare)
 	g.app = g.newApp()
 }
 
@@ -262,7 +262,7 @@
 // run without the framework's default timeouts, which would cut off streamed answers,
 // and without its router, which would change paths.
 func (g *Gateway) newApp() *kratos.App {
-	handler := front.NewHandler(g.forward, g.adapters.Dialect, g.bodies, g.logger(logging.Forward))
+	handler := front.NewHandler(g.forwarder, g.adapters.Dialect, g.bodyBudget, g.logger(logging.Forward))
 	g.drain = front.NewDrain(handler, handler.Refuse)
 	clientServer := newServer(g.clientsListener, g.drain)
 	readyServer := newServer(g.readyListener, http.HandlerFunc(g.serveReady))
@@ -273,7 +273,7 @@
 	mux.HandleFunc("DELETE "+pathCrashes+"/{content}", g.serveRelease)
 	operatorServer := newServer(g.metricsListener, mux)
 	peerServer := kgrpc.NewServer(kgrpc.Listener(g.peersListener), kgrpc.Address(g.peersListener.Addr().String()), kgrpc.Timeout(0))
-	pb.RegisterFleetServer(peerServer, &fleet.Server{Broker: g.broker, PlacementOwner: g.placer, Broadcaster: g.broadcaster})
+	pb.RegisterFleetServer(peerServer, &fleet.Server{Broker: g.broker, PlacementOwner: g.placementOwner, Broadcaster: g.broadcaster})
 	return kratos.New(
 		kratos.Name("hookhall-gateway"), kratos.Server(clientServer, readyServer, operatorServer, peerServer),
 		kratos.Logger(logging.Bridge(g.log)), kratos.Signal(cli.NoSignal{}), kratos.StopTimeout(time.Second),
@@ -364,11 +364,11 @@
 	})
 }
 
-// startFromSeeds reads the current state from the gateways in gateway.seeds, other
-// than this one, if the store does not answer at the start.
+// startFromSeeds reads the current state from the gateways in the setting gateway.seeds,
+// other than this one, if the store does not answer at the start.
 func (g *Gateway) startFromSeeds(ctx context.Context) {
 	own := g.peersListener.Addr().String()
-	g.starter.Run(ctx, slices.DeleteFunc(slices.Clone(g.settings.Gateway.Seeds), func(address string) bool { return address == own }))
+	g.bootstrapper.Run(ctx, slices.DeleteFunc(slices.Clone(g.settings.Gateway.Seeds), func(address string) bool { return address == own }))
 }
 
 // logReady logs one line when the gateway can serve requests.
@@ -391,9 +391,11 @@
 		g.adapters.Connections.Sweep(now)
 		if g.catalog.Snapshot() != nil {
 			targets := g.catalog.KnownTargets()
-			isKnown := func(l hookhall.Incarnation) bool { return targets[l.ID].Start == l.Start && targets[l.ID].ID != "" }
+			isKnown := func(incarnation hookhall.Incarnation) bool {
+				return targets[incarnation.ID].Start == incarnation.Start && targets[incarnation.ID].ID != ""
+			}
 			g.tracker.Prune(isKnown, now)
-			g.placer.Prune(isKnown, now)
+			g.placementOwner.Prune(isKnown, now)
 			g.advisories.Book.Prune(isKnown, now)
 		}
 		isMember := map[string]bool{}
--- a/internal/app/gateway/reload.go
+++ b/internal/app/gateway/reload.go
@@ -11,8 +11,8 @@
 )
 
 // Reload reads the settings file at path again and logs the keys that differ from
-// those in force. It applies none of them: addresses and bounds change only by a
-// restart, which a planned stop makes harmless to clients.
+// those in force. It applies none of them: a change takes effect only at a restart,
+// which a planned stop makes harmless to clients.
 func (g *Gateway) Reload(path string) {
 	reread := settings.DefaultGateway()
 	if err := settings.Load(path, &reread); err != nil {
--- a/internal/app/gateway/shares.go
+++ b/internal/app/gateway/shares.go
@@ -15,32 +15,33 @@
 )
 
 // coldShare returns how many requests in any second this process may send to a cold
-// target by its own choice: 1 if it is among the target's first owners gateways, else 0.
-func (g *Gateway) coldShare(target string, owners int) int {
+// target without a placement owner: 1 if it is among the first maxSenders gateways in the
+// target's order, else 0.
+func (g *Gateway) coldShare(target string, maxSenders int) int {
 	var addresses []string
 	for _, m := range g.members.All() {
 		addresses = append(addresses, m.Address)
 	}
-	if balance.IsDirectSender(target, g.members.Self().Address, addresses, owners) {
+	if balance.IsDirectSender(target, g.members.Self().Address, addresses, maxSenders) {
 		return 1
 	}
 	return 0
 }
 
-// nonOwnerShare is the fraction of a target's rate limit that an instance grants when it
-// is asked but does not know itself as the owner. Its list of members or that of the
-// asking instance is then out of date. It grants only a part, because the owner grants
-// the whole rate at the same time.
+// nonOwnerShare is the fraction of a target's rate limit that an instance grants if it is
+// not the owner by its own list of members. A request for a grant then shows that its list
+// or that of the sender is out of date. It is below 1 because the owner grants the whole
+// rate at the same time.
 const nonOwnerShare = 0.25
 
-// grants returns the share of the rates of limited targets that this instance grants,
-// for the targets whose owner is the owner of key. It is 0 while no target is limited, or while
-// this instance does not know all members yet.
+// grants returns the grants of this instance for the limited targets whose owner is the
+// owner of key. Their share is 0 while no target is limited, or while this instance does
+// not know all members yet.
 func (g *Gateway) grants(key string) advisory.Grants {
 	now := clock.Now()
 	grants := advisory.Grants{Registry: g.advisories.Book}
 	switch {
-	case grants.Registry.Unrestricted(), g.sharers(now).Count == 0:
+	case grants.Registry.Unrestricted(), g.quotaPosition(now).Count == 0:
 	case g.members.Owner(key, nil, now).Address == g.members.Self().Address:
 		grants.Share = 1
 	default:
@@ -49,7 +50,7 @@
 	return grants
 }
 
-// hallsIn returns the halls that lie in any of regions, sorted.
+// hallsIn returns the halls in any of the given regions, sorted.
 func (g *Gateway) hallsIn(regions []string) []string {
 	var halls []string
 	for hall, region := range g.settings.Regions {
@@ -61,27 +62,27 @@
 	return halls
 }
 
-// sharers returns the number of processes that share the fleet's quotas, 0 if it is
-// not known yet, and this process's place among them.
-func (g *Gateway) sharers(now time.Time) quota.Position {
-	count, place := g.members.Sharers(now)
-	return quota.Position{Count: count, Index: place}
+// quotaPosition returns the number of processes that share the fleet's quotas and the
+// index of this process among them. The number is 0 if it is not known yet.
+func (g *Gateway) quotaPosition(now time.Time) quota.Position {
+	count, index := g.members.Sharers(now)
+	return quota.Position{Count: count, Index: index}
 }
 
 const (
 	// idleConnectionsShare is the fraction of a target's connection slots that idle
-	// connections may take. The others are for requests in progress, and for
-	// connections of killed processes, which the target notices late.
+	// connections of the whole fleet may take. The others are for requests in progress,
+	// and for connections of killed processes, which the target detects late.
 	idleConnectionsShare = 0.5
-	// sharersMaxAge is how long a sharersSnapshot is used. Without the snapshot each
-	// answer of a target would take the lock of the members.
-	sharersMaxAge = 200 * time.Millisecond
+	// positionMaxAge is how long a positionSnapshot is valid. Without it, each answer
+	// of a target would take the lock of the members.
+	positionMaxAge = 200 * time.Millisecond
 )
 
-// sharersSnapshot caches the result of Gateway.sharers for sharersMaxAge.
-type sharersSnapshot struct {
-	takenAt time.Time
-	sharers quota.Position
+// positionSnapshot caches the result of Gateway.quotaPosition for positionMaxAge.
+type positionSnapshot struct {
+	takenAt  time.Time
+	position quota.Position
 }
 
 // maxIdleConnections returns how many idle connections to the target at address this
@@ -99,10 +100,10 @@
 		return math.MaxInt
 	}
 	now := clock.Now()
-	snapshot := g.recentSharers.Load()
-	if snapshot == nil || now.Sub(snapshot.takenAt) >= sharersMaxAge {
-		snapshot = &sharersSnapshot{now, g.sharers(now)}
-		g.recentSharers.Store(snapshot)
+	snapshot := g.cachedPosition.Load()
+	if snapshot == nil || now.Sub(snapshot.takenAt) >= positionMaxAge {
+		snapshot = &positionSnapshot{now, g.quotaPosition(now)}
+		g.cachedPosition.Store(snapshot)
 	}
-	return snapshot.sharers.Share(int(idleConnectionsShare*float64(service.MaxConns)), address)
+	return snapshot.position.Share(int(idleConnectionsShare*float64(service.MaxConns)), address)
 }
--- a/internal/app/gateway/state.go
+++ b/internal/app/gateway/state.go
@@ -16,9 +16,10 @@
 	"github.com/hookhall/hookhall/internal/state/clock"
 )
 
-// State is the state dump of a gateway: its own state, and the store, the targets and
-// the fleet as it knows them. Rejected keys are keys of the store, among those of
-// targets, that name no target. Buffered bytes are those held of answers.
+// State is the state dump of a gateway: its own state, and the known state of the store,
+// the targets and the fleet. RejectedKeys has the store's keys below the targets' prefix
+// that hold no valid target. BufferedBytes is the memory reserved for answers, BodyBytes
+// that for request bodies.
 type State struct {
 	Instance        string                     `json:"instance"`
 	Stopping        bool                       `json:"stopping"`
@@ -51,23 +52,23 @@
 		RefusedContents: g.refusedContents(now), RejectedKeys: g.catalog.RejectedKeys(),
 		Rollouts:      g.rollouts.Snapshot().List,
 		StoreEra:      g.eras.Era(),
-		Retries:       g.forward.Budget.Status(now),
-		BufferedBytes: g.forward.Buffers.Held(),
-		BodyBytes:     g.bodies.Held(),
+		Retries:       g.forwarder.Budget.Status(now),
+		BufferedBytes: g.forwarder.Buffers.Held(),
+		BodyBytes:     g.bodyBudget.Held(),
 	}
 	if table := g.catalog.Table(); table != nil {
 		state.TableVersion = table.Version()
 		_, state.TableRevision = g.catalog.PackedTable()
 	}
-	if picture := g.catalog.Snapshot(); picture != nil {
-		state.TargetsRevision, state.TargetsAgeMS = picture.Revision, picture.Age(now).Milliseconds()
+	if snapshot := g.catalog.Snapshot(); snapshot != nil {
+		state.TargetsRevision, state.TargetsAgeMS = snapshot.Revision, snapshot.Age(now).Milliseconds()
 		for id, target := range g.catalog.KnownTargets() {
 			state.Balance[id] = g.tracker.Status(target.Incarnation(), now)
-			if advised := g.advisories.Book.Status(target.Incarnation()); advised != (advisory.Status{}) {
-				state.Advised[id] = advised
+			if status := g.advisories.Book.Status(target.Incarnation()); status != (advisory.Status{}) {
+				state.Advised[id] = status
 			}
 		}
-		state.ColdTargets = picture.ColdTargets(now)
+		state.ColdTargets = snapshot.ColdTargets(now)
 	}
 	return state
 }
--- a/internal/app/gateway/store.go
+++ b/internal/app/gateway/store.go
@@ -24,16 +24,15 @@
 	// readerMaxPause bounds the same pause of the reader and of its standby. It is the
 	// shortest bound for all other gateways.
 	readerMaxPause = 400 * time.Millisecond
-	// outageRetryDelay is after how long the reader, its standby and a process that is
-	// not ready yet repeat a call that has no answer. The store answers in milliseconds,
-	// and in 200 ms when it is slow.
-	outageRetryDelay = 250 * time.Millisecond
-	// maxPausePerMember is the bound of that pause for the other gateways, for each
-	// member of the fleet; maxPauseLimit is the most that it adds up to. Together they
-	// call the store a hundred times a second at any size of the fleet; at
-	// readerMaxPause 295 gateways would make seven hundred calls a second. With so many
-	// calls, a gateway that the store answers is found soon if it turns the reader and
-	// the standby away.
+	// outageHedgeInterval is the interval at which the reader, its standby and a process
+	// that is not ready yet send a probe again that has no answer. It is longer than the
+	// store takes for an answer: milliseconds, or 200 ms when it is slow.
+	outageHedgeInterval = 250 * time.Millisecond
+	// maxPausePerMember, times the number of members, bounds that pause at the other
+	// gateways; maxPauseLimit caps the product. Up to 300 gateways thus make about a
+	// hundred calls per second together; with readerMaxPause, 295 gateways would make seven
+	// hundred. A hundred are enough to find a gateway that the store answers soon if it
+	// does not answer the reader and the standby.
 	maxPausePerMember = 10 * time.Millisecond
 	maxPauseLimit     = 3 * time.Second
 )
@@ -49,13 +48,13 @@
 }
 
 // outagePace returns how often this process calls a store that does not answer: often
-// if it is not ready yet or if others depend on its reading, else seldom.
+// if it is not ready yet, or if it is the reader or its standby, else seldom.
 func (g *Gateway) outagePace() outage.Pace {
 	switch {
 	case !g.catalog.Ready():
-		return outage.Pace{MaxPause: startMaxPause, HedgeInterval: outageRetryDelay}
+		return outage.Pace{MaxPause: startMaxPause, HedgeInterval: outageHedgeInterval}
 	case g.catalog.ReaderRank() < passiveRank:
-		return outage.Pace{MaxPause: readerMaxPause, HedgeInterval: outageRetryDelay}
+		return outage.Pace{MaxPause: readerMaxPause, HedgeInterval: outageHedgeInterval}
 	}
 	return outage.Pace{MaxPause: max(readerMaxPause, min(time.Duration(g.members.Count())*maxPausePerMember, maxPauseLimit))}
 }
