--- a/internal/app/entry/entry.go
+++ b/internal/app/entry/entry.go
@@ -7,10 +7,10 @@
 // # Model
 //
 // Start: the entry listens, follows the table and reads the instance list. Once the
-// table is confirmed, it joins the fleet; it is ready when both are done. While the
-// key-value service is unavailable, a new process takes the view and the table from
-// more than half of its peers and serves as a guest: it owns no claims and no limits
-// until it can join.
+// table is confirmed, it joins the fleet, and waits for targets in all pools. While the
+// key-value service is unavailable, a new process reads the view from its peers, and the
+// table if more than half of them answer. It then serves without being a member, and
+// owns no claims and no limits until it can join.
 //
 // Stop: the entry reports that it is not ready, but accepts work for the notice
 // period that the load balancer needs. Meanwhile it leaves the view and hands over
@@ -253,7 +253,7 @@
 }
 
 // start waits until the table is confirmed, joins the fleet and marks the entry as
-// ready. It returns early, without that, if ctx ends.
+// ready, also if it could not join yet. It returns early, without that, if ctx ends.
 func (e *Entry) start(ctx context.Context) {
 	startedAt := clock.Now()
 	for !e.tables.Ready() {
@@ -311,8 +311,8 @@
 	return ""
 }
 
-// learnFromPeers probes all entries on the instance list, from which the fleet
-// learns the view, and confirms the table by their answers if it is not confirmed yet.
+// learnFromPeers probes all other entries on the instance list, which updates the view, and
+// confirms the table by the answers of its peers if it is not confirmed yet.
 func (e *Entry) learnFromPeers(ctx context.Context) {
 	listing := e.fleet.LatestListing()
 	if listing == nil {
@@ -352,8 +352,7 @@
 	for e.runner.ActiveRequests() > 0 && retry.Sleep(ctx, readyPollInterval) {
 	}
 	// A request may have been read without being active yet. If its connection were
-	// closed now, its caller would send it again while the first copy still runs, so
-	// that the two would collide.
+	// closed now, its caller would retry it while the first attempt still runs.
 	e.drain.RefuseAndWait(ctx)
 	if active := e.runner.ActiveRequests(); active > 0 {
 		e.log.Error("requests cut off", "active", active)
--- a/internal/app/entry/handlers.go
+++ b/internal/app/entry/handlers.go
@@ -32,16 +32,16 @@
 }
 
 // Run implements callers.Service.
-func (s callersService) Run(ctx context.Context, q *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error) {
-	return s.e.runner.Run(ctx, q, emit)
+func (s callersService) Run(ctx context.Context, request *hookhall.Request, emit pipeline.Emit) (*hookhall.Answer, error) {
+	return s.e.runner.Run(ctx, request, emit)
 }
 
 // peerHandler implements peers.Handler, the calls of other members, by an entry.
 type peerHandler struct{ e *Entry }
 
 // HandleProbe implements peers.Handler.
-func (h peerHandler) HandleProbe(ctx context.Context, p hookhall.Probe) hookhall.ProbeReply {
-	return h.e.fleet.HandleProbe(ctx, p)
+func (h peerHandler) HandleProbe(ctx context.Context, probe hookhall.Probe) hookhall.ProbeReply {
+	return h.e.fleet.HandleProbe(ctx, probe)
 }
 
 // HandleProbeFor implements peers.Handler.
@@ -50,34 +50,34 @@
 }
 
 // HandleClaim implements peers.Handler.
-func (h peerHandler) HandleClaim(ctx context.Context, q hookhall.ClaimRequest) hookhall.ClaimReply {
-	return h.e.claims.Handle(ctx, q)
+func (h peerHandler) HandleClaim(ctx context.Context, request hookhall.ClaimRequest) hookhall.ClaimReply {
+	return h.e.claims.Handle(ctx, request)
 }
 
 // HandleCopy implements peers.Handler.
-func (h peerHandler) HandleCopy(epoch uint64, r hookhall.Record) hookhall.CopyReply {
-	return h.e.claims.HandleCopy(epoch, r)
+func (h peerHandler) HandleCopy(epoch uint64, record hookhall.Record) hookhall.CopyReply {
+	return h.e.claims.HandleCopy(epoch, record)
 }
 
 // HandleSettle implements peers.Handler.
-func (h peerHandler) HandleSettle(ctx context.Context, s hookhall.Settlement) hookhall.CopyReply {
-	return h.e.claims.HandleSettle(ctx, s)
+func (h peerHandler) HandleSettle(ctx context.Context, settlement hookhall.Settlement) hookhall.CopyReply {
+	return h.e.claims.HandleSettle(ctx, settlement)
 }
 
 // HandleFetch implements peers.Handler.
-func (h peerHandler) HandleFetch(q hookhall.FetchRequest) hookhall.FetchReply {
-	return h.e.fleet.HandleFetch(q)
+func (h peerHandler) HandleFetch(request hookhall.FetchRequest) hookhall.FetchReply {
+	return h.e.fleet.HandleFetch(request)
 }
 
 // HandleIsComplete implements peers.Handler.
 func (h peerHandler) HandleIsComplete(epoch uint64) bool { return h.e.store.IsComplete(epoch) }
 
 // HandleLeaseShares implements peers.Handler.
-func (h peerHandler) HandleLeaseShares(q hookhall.ShareRequest) hookhall.ShareReply {
-	return h.e.limits.GrantLeases(q)
+func (h peerHandler) HandleLeaseShares(request hookhall.ShareRequest) hookhall.ShareReply {
+	return h.e.limits.GrantLeases(request)
 }
 
 // HandleTable implements peers.Handler.
-func (h peerHandler) HandleTable(have uint64) hookhall.TableDocument {
-	return h.e.tables.DocumentSince(have)
+func (h peerHandler) HandleTable(peerVersion uint64) hookhall.TableDocument {
+	return h.e.tables.DocumentSince(peerVersion)
 }
--- a/internal/app/entry/state.go
+++ b/internal/app/entry/state.go
@@ -46,8 +46,8 @@
 	Targets []routing.Status `json:"targets"`
 }
 
-// EstimateState is one learned estimate of how long calls of a stage take, in
-// milliseconds, for requests of a size class.
+// EstimateState is the current estimate of how long calls of a stage take for requests of
+// one size class: MedianMS is the median, HighMS the 90th percentile, in milliseconds.
 type EstimateState struct {
 	Pipeline string  `json:"pipeline"`
 	Stage    string  `json:"stage"`
@@ -56,8 +56,9 @@
 	HighMS   float64 `json:"high_ms"`
 }
 
-// CostState has what this process uses of its own resources and of the platform's,
-// in totals since its start; HeapBytes and Goroutines are current values.
+// CostState has the use of resources of this process and of the platform. The values are
+// totals since the start of the process, except HeapBytes and Goroutines, which are
+// current.
 type CostState struct {
 	ServiceCalls int64  `json:"service_calls"`
 	ServiceBytes int64  `json:"service_bytes"`
@@ -93,6 +94,7 @@
 	}
 }
 
+// poolStates returns the state of all pools and of their targets.
 func (e *Entry) poolStates(now time.Time) []PoolState {
 	var pools []PoolState
 	for _, pool := range e.targets.Pools() {
@@ -137,8 +139,8 @@
 	// Counts has this entry's totals by cause since its start.
 	Counts      map[string]int64 `json:"counts"`
 	LastFailure *metrics.Failure `json:"last_failure,omitempty"`
-	// WaitMS has what a request of this account would wait now, with its weight and
-	// priority, in milliseconds by pool.
+	// WaitMS has the estimated wait of a request of this account now, with its weight
+	// and priority, in milliseconds by pool.
 	WaitMS map[string]float64 `json:"wait_ms"`
 	Advice []string           `json:"advice"`
 }
