--- a/internal/app/logging/async.go
+++ b/internal/app/logging/async.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxQueuedLines bounds how many lines wait for a slow reader; further ones are
-	// dropped.
+	// maxQueuedLines bounds how many lines wait for a slow underlying writer; further
+	// ones are dropped.
 	maxQueuedLines = 2048
-	// Lines are gathered into one write until they take maxBufferBytes, or for
+	// Lines are combined into one write once they reach maxBufferBytes, or after
 	// flushInterval.
 	maxBufferBytes = 16 << 10
 	flushInterval  = 100 * time.Millisecond
 )
 
-// AsyncWriter is an io.Writer that never blocks its caller: a goroutine writes the lines to
-// the underlying writer from a bounded queue. While the queue is full, lines are
-// dropped and counted, and the next write reports their number. It is safe for
-// concurrent use, and the goroutine runs until the process ends.
+// AsyncWriter is an io.Writer that never blocks its caller: a goroutine writes the lines
+// to the underlying writer from a bounded queue. While the queue is full, lines are
+// dropped and counted, and the next write to the underlying writer reports their number.
+// It is safe for concurrent use, and the goroutine runs until the process ends.
 type AsyncWriter struct {
 	out           io.Writer
 	lines         chan []byte
--- a/internal/app/logging/logging.go
+++ b/internal/app/logging/logging.go
@@ -46,12 +46,12 @@
 	})
 }
 
-// bridge implements the application framework's Logger by a logger of ours.
+// bridge implements the application framework's Logger by a *log.Logger.
 type bridge struct{ logger *log.Logger }
 
 // Bridge returns a logger for the application framework that passes messages on to the
-// given one: errors as errors, all else at the level debug, because the framework logs
-// starts and stops, which our programs log themselves.
+// given one: errors as errors, all others at the level debug, because the framework logs
+// starts and stops, which the programs log themselves.
 func Bridge(to *log.Logger) kratos.Logger { return bridge{to} }
 
 // Log implements the framework's Logger. It never returns an error.
--- a/internal/app/metrics/metrics.go
+++ b/internal/app/metrics/metrics.go
@@ -77,8 +77,8 @@
 // causeAnswered is the cause label of a request that was answered.
 const causeAnswered = "answered"
 
-// RecordRequest implements pipeline.Meter: it counts a finished request, whose err is nil if it
-// was answered.
+// RecordRequest implements pipeline.Meter: it counts a finished request. err is nil if the
+// request was answered.
 func (m *Metrics) RecordRequest(request *hookhall.Request, took time.Duration, err *hookhall.Error) {
 	cause, verdict := causeAnswered, hookhall.Ran
 	if err != nil {
@@ -124,15 +124,16 @@
 	m.scope.Tagged(map[string]string{"service": service, "kind": kind}).Counter("advisories").Inc(1)
 }
 
-// AccountStats has what happened to the requests of one client account at this process.
+// AccountStats has the totals and the last failure of one client account's requests at
+// this process.
 // It is safe for concurrent use.
 type AccountStats struct {
 	countsByCause sync.Map // cause to *atomic.Int64
 	lastFailure   atomic.Pointer[Failure]
 }
 
-// Failure describes a refused or failed request. Detail is the text of the error, Stage
-// the stage at which it occurred, "" if it was none.
+// Failure describes a refused or failed request. Detail is the text of the error. Stage is
+// the stage at which it occurred, "" if it occurred outside the stages.
 type Failure struct {
 	At     time.Time `json:"at"`
 	Cause  string    `json:"cause"`
--- a/internal/app/settings/gateway.go
+++ b/internal/app/settings/gateway.go
@@ -14,15 +14,15 @@
 	Log     LogSection        `toml:"log"`
 }
 
-// GatewaySection identifies a gateway process and its instance, and has its addresses and
-// resources.
+// GatewaySection identifies a gateway process and its instance, and has its addresses
+// and resources.
 type GatewaySection struct {
 	Instance string   `toml:"instance"`  // the platform's name of this instance
 	Hall     string   `toml:"hall"`      // the hall of this instance
 	Clients  string   `toml:"clients"`   // IP:port that clients use
 	Ready    string   `toml:"ready"`     // IP:port of the load balancer's readiness check
 	Peers    string   `toml:"peers"`     // IP:port that other gateways use
-	Seeds    []string `toml:"seeds"`     // Peers of a few gateways, asked for the current state at a start while the store is unavailable
+	Seeds    []string `toml:"seeds"`     // settings "peers" of a few gateways, read for the current state at a start while the store is unavailable
 	Metrics  string   `toml:"metrics"`   // IP:port for metrics and state dumps
 	Cores    float64  `toml:"cores"`     // processor cores for the process; may be a fraction
 	LinkMbps float64  `toml:"link_mbps"` // bandwidth of the instance's network link, in Mbit/s
@@ -38,11 +38,11 @@
 type BoundsSection struct {
 	GraceMS       int     `toml:"grace_ms"`        // ms from the signal to stop to the kill
 	NoticeMS      int     `toml:"notice_ms"`       // ms for which a stopping gateway still accepts work; part of GraceMS
-	RetryRatio    float64 `toml:"retry_ratio"`     // retries, as a fraction of requests, 0 to 1
-	RetryWindowMS int     `toml:"retry_window_ms"` // ms of the window in which they are counted
-	RetrySlack    float64 `toml:"retry_slack"`     // retries of the whole fleet beyond the ratio
-	ColdOver      float64 `toml:"cold_over"`       // rate of a cold target, as a multiple of what it can bear, from 1
-	ColdSlack     float64 `toml:"cold_slack"`      // requests per second of a cold target beyond that
+	RetryRatio    float64 `toml:"retry_ratio"`     // maximum of retries, as a fraction of requests, 0 to 1
+	RetryWindowMS int     `toml:"retry_window_ms"` // ms of the window in which requests and retries are counted
+	RetrySlack    float64 `toml:"retry_slack"`     // retries of the whole fleet in one window beyond the ratio
+	ColdOver      float64 `toml:"cold_over"`       // maximum rate of a cold target, as a multiple of its service's cold rate, from 1
+	ColdSlack     float64 `toml:"cold_slack"`      // requests per second of a cold target beyond that rate
 	ExposeShare   float64 `toml:"expose_share"`    // fraction of a service's requests that a possibly faulty version may get, 0 to 1
 }
 
@@ -107,6 +107,6 @@
 // Power returns how much of the fleet's shared work the instance can do, relative to
 // others, in cores: the smaller of its cores and of the cores that its link can feed.
 func (p GatewaySection) Power() float64 {
-	const mbpsPerCore = 100 // a faster link per core is no limit
+	const mbpsPerCore = 100 // with more bandwidth per core, the link is no limit
 	return min(p.Cores, p.LinkMbps/mbpsPerCore)
 }
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -6,13 +6,14 @@
 // # Model
 //
 // Each program has one struct, whose tags name the keys. Its comments document them,
-// and a test checks that docs/OPERATING.md lists them. A file is refused as a whole for
-// an unknown key, a value of the wrong type or a value out of range. The error has one
-// line for each invalid value: file, line, key, and what would be accepted.
+// and for entries and admins a test checks that docs/OPERATING.md lists them. A file is
+// rejected as a whole for an unknown key, a value of the wrong type or a value out of
+// range. The error has one line for each invalid value: file, line, key, and what would
+// be accepted.
 //
 // # Invariants
 //
-//   - Addresses consist of an IP address and a port. Host names are refused and never
+//   - Addresses consist of an IP address and a port. Host names are rejected and never
 //     resolved.
 //   - Reading settings has no side effects, so that --check-config runs the same code as
 //     a start.
@@ -60,7 +61,7 @@
 type FleetSection struct {
 	Secret         string `toml:"secret"`            // shared by the fleet's processes, 8 characters or more
 	HeartbeatMS    int    `toml:"heartbeat_ms"`      // ms between heartbeats to one peer
-	Suspect        int    `toml:"suspect"`           // consecutive heartbeats that may fail
+	Suspect        int    `toml:"suspect"`           // consecutive failed heartbeats after which other members probe the peer too
 	ListMS         int    `toml:"list_ms"`           // ms between reads of the instance list
 	ClaimRetention int    `toml:"claim_retention_s"` // seconds for which a claim is kept
 }
@@ -76,7 +77,8 @@
 	Level string `toml:"level"` // debug, info, warn or error
 }
 
-// PolicySection turns decisions off, for experiments. In production all of them are on.
+// PolicySection selects policies, so that experiments can turn single ones off. The
+// defaults, for production, have all of them on.
 type PolicySection struct {
 	EarlyRefusal bool   `toml:"early_refusal"` // refuse requests that can't finish before their deadline
 	Order        string `toml:"order"`         // fair, or arrival
@@ -179,7 +181,7 @@
 	}
 }
 
-// secret requires enough characters that a token can't be guessed.
+// secret requires a minimum length, below which a token could be guessed.
 func (c *checker) secret(key, v string) {
 	const minLength = 8
 	if len(v) < minLength {
@@ -201,14 +203,14 @@
 	}
 }
 
-// oneOf requires one of words.
-func (c *checker) oneOf(key, v string, words ...string) {
-	for _, w := range words {
-		if v == w {
+// oneOf requires one of the allowed values.
+func (c *checker) oneOf(key, v string, allowed ...string) {
+	for _, word := range allowed {
+		if v == word {
 			return
 		}
 	}
-	c.add(key, "%q is not a valid value; it must be one of %s", v, strings.Join(words, ", "))
+	c.add(key, "%q is not a valid value; it must be one of %s", v, strings.Join(allowed, ", "))
 }
 
 func (c *checker) platform(p PlatformSection) {
@@ -255,8 +257,8 @@
 		return withPosition(path, err)
 	}
 	var lines []string
-	for _, m := range s.Validate() {
-		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s", path, lineOf(b, m.Key), m.Key, m.Message))
+	for _, invalid := range s.Validate() {
+		lines = append(lines, fmt.Sprintf("%s:%d: %s: %s", path, lineOf(b, invalid.Key), invalid.Key, invalid.Message))
 	}
 	if len(lines) > 0 {
 		return errors.New(strings.Join(lines, "\n"))
--- a/internal/app/settings/settings_test.go
+++ b/internal/app/settings/settings_test.go
@@ -37,7 +37,7 @@
 			So(s.Fleet.HeartbeatMS, ShouldEqual, 500)
 			So(s.Policy.Claims, ShouldBeTrue)
 		})
-		cases := []struct{ name, text, words string }{
+		cases := []struct{ name, text, want string }{
 			{"an unknown key", validEntry + "colour = 1\n", "x.toml:12: fleet.colour: unknown key"},
 			{"an unknown section", validEntry + "[weather]\nrain = true\n", "x.toml:12: weather"},
 			{"another type", strings.Replace(validEntry, `"hall-1"`, "7", 1), "x.toml:3: entry.hall"},
@@ -54,7 +54,7 @@
 				s := DefaultEntry()
 				err := Parse("x.toml", []byte(x.text), &s)
 				So(err, ShouldNotBeNil)
-				So(err.Error(), ShouldContainSubstring, x.words)
+				So(err.Error(), ShouldContainSubstring, x.want)
 			})
 		}
 	})
