--- a/cmd/hookhall-standin/targets.go
+++ b/cmd/hookhall-standin/targets.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// nthAddress returns the address i ports after first. Port 0, which means any free
-// port, stays 0.
+// nthAddress returns the address whose port is i above that of first. Port 0, which
+// means any free port, stays 0.
 func nthAddress(first string, i int) (string, error) {
 	host, port, err := net.SplitHostPort(first)
 	if err != nil {
--- a/cmd/hookhallctl/cmd/client.go
+++ b/cmd/hookhallctl/cmd/client.go
@@ -32,10 +32,10 @@
 )
 
 // call sends one request with the operators' token to address, with body as
-// JSON if it is not nil, and decodes the answer into into. It returns the
+// JSON if it is not nil, and decodes the answer into result. It returns the
 // status, or 0 if there was no complete answer. A status other than 200 is an
 // error that carries the detail from the answer.
-func call(method, address, path string, query url.Values, body, into any) (int, error) {
+func call(method, address, path string, query url.Values, body, result any) (int, error) {
 	if address == "" {
 		return 0, errors.New("no address: set --admin or HOOKHALL_ADMIN")
 	}
@@ -63,17 +63,17 @@
 	if resp.StatusCode != http.StatusOK {
 		return resp.StatusCode, responseError(resp.StatusCode, answer)
 	}
-	return resp.StatusCode, json.Unmarshal(answer, into)
+	return resp.StatusCode, json.Unmarshal(answer, result)
 }
 
 // responseError returns the detail of an operators.EditFailure, or the status
 // and the body of any other answer.
 func responseError(status int, answer []byte) error {
-	var refusal operators.EditFailure
-	if json.Unmarshal(answer, &refusal) != nil || refusal.Detail == "" {
+	var failure operators.EditFailure
+	if json.Unmarshal(answer, &failure) != nil || failure.Detail == "" {
 		return errors.Errorf("status %d: %s", status, bytes.TrimSpace(answer))
 	}
-	return errors.New(refusal.Detail)
+	return errors.New(failure.Detail)
 }
 
 // readTable returns the rows of a sheet, or of all sheets if sheet is empty.
@@ -87,13 +87,13 @@
 // times. It retries only while the outcome is unknown: after a call without a
 // complete answer, or with status 503.
 func submitEdits(edits []hookhall.Edit) (tables.Outcome, error) {
-	var out tables.Outcome
+	var outcome tables.Outcome
 	request := operators.EditRequest{ID: uuid.NewString(), Edits: edits}
 	for i := 1; ; i++ {
-		status, err := call(http.MethodPost, options.Admin, operators.PathEdits, nil, request, &out)
+		status, err := call(http.MethodPost, options.Admin, operators.PathEdits, nil, request, &outcome)
 		settled := status != 0 && status != http.StatusServiceUnavailable
 		if err == nil || settled || i == maxEditAttempts {
-			return out, err
+			return outcome, err
 		}
 	}
 }
--- a/cmd/hookhallctl/cmd/crashes.go
+++ b/cmd/hookhallctl/cmd/crashes.go
@@ -40,10 +40,10 @@
 // lists the refused contents.
 func (c *crashesCommand) Execute([]string) error {
 	if c.Lift != "" {
-		_, err := c.ask(http.MethodDelete, "/crashes/"+c.Lift)
+		_, err := c.callGateway(http.MethodDelete, "/crashes/"+c.Lift)
 		return err
 	}
-	body, err := c.ask(http.MethodGet, "/crashes")
+	body, err := c.callGateway(http.MethodGet, "/crashes")
 	if err != nil {
 		return err
 	}
@@ -68,9 +68,9 @@
 	return table.Flush()
 }
 
-// ask calls the gateway and returns the body of its answer. A status other than
-// 200 is an error with that body as its text.
-func (c *crashesCommand) ask(method, path string) ([]byte, error) {
+// callGateway calls the gateway and returns the body of its answer. A status other
+// than 200 is an error with that body as its text.
+func (c *crashesCommand) callGateway(method, path string) ([]byte, error) {
 	req, err := http.NewRequest(method, "http://"+c.Args.Gateway+path, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "crashes")
--- a/cmd/hookhallctl/cmd/explain.go
+++ b/cmd/hookhallctl/cmd/explain.go
@@ -26,8 +26,8 @@
 	} `positional-args:"true"`
 }
 
-// Execute implements flags.Commander. It prints what the entry knows of the
-// account's requests since the entry started.
+// Execute implements flags.Commander. It prints the outcomes of the account's
+// requests since the entry started, and the cells of the table that influence them.
 func (c *explainCommand) Execute([]string) error {
 	var explanation entry.Explanation
 	query := url.Values{"account": {c.Args.Account}}
--- a/cmd/hookhallctl/cmd/root.go
+++ b/cmd/hookhallctl/cmd/root.go
@@ -6,8 +6,8 @@
 // # Model
 //
 // A command is a struct whose fields are its flags and whose Execute method runs
-// it, mostly through the HTTP client in client.go. Output has a fixed
-// order, so that equal states print equally; with --json it is one JSON document.
+// it, mostly through the HTTP client in client.go. Output has a fixed order, so that
+// equal states print equally; with --json it is one JSON document.
 //
 // # Invariants
 //
