--- a/internal/app/admin/admin.go
+++ b/internal/app/admin/admin.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The hookhall authors.
 // SPDX-License-Identifier: Apache-2.0
 
-// Package admin assembles an admin process, which serves the operators' interface
-// to the table. The process keeps no state, so any number of them may run.
+// Package admin assembles an admin process, which serves the operators' interface to the
+// table and to the status of the fleet. The process keeps no state, so any number of them
+// may run.
 package admin
 
 import (
@@ -90,9 +91,9 @@
 	return State{clock.Since(a.started).Seconds(), a.kv.Calls()}
 }
 
-// Status describes the fleet by the stored view and by a heartbeat to each member. The
-// table version is the newest that a member reported. Error is set, and all
-// else empty, if the view can't be read.
+// Status describes the fleet by the stored view and by a heartbeat to each member.
+// TableVersion is the newest that a member reported. Error is set, and all other fields
+// are empty, if the view can't be read.
 type Status struct {
 	Epoch        uint64            `json:"epoch"`
 	TableVersion uint64            `json:"table_version"`
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -69,13 +69,14 @@
 	// keep-alive connections are accepted; later ones might not end before the kill.
 	keepAliveDrainPeriod = 300 * time.Millisecond
 	// killMargin is how long before the kill a planned stop ends the remaining requests.
-	// finalAnswersTimeout bounds how long that may take: requests that still wait are
+	// finalAnswersTimeout bounds how long it then waits: requests that still wait are
 	// refused, and those answers need some milliseconds to reach their clients.
 	killMargin          = 350 * time.Millisecond
 	finalAnswersTimeout = 150 * time.Millisecond
-	// idleTimeout bounds how long a client's connection may be idle.
+	// idleTimeout bounds how long a client's connection may be idle before it is closed.
 	idleTimeout = 75 * time.Second
-	// readHeaderTimeout bounds how long a client may take to send a request's header.
+	// readHeaderTimeout bounds how long a client may take to send a request's header; the
+	// connection of a slower one is closed.
 	readHeaderTimeout = 10 * time.Second
 	// memoryLimitShare is the Go runtime's soft memory limit, as a fraction of the memory
 	// that the process may use. Near the limit the garbage collector runs more often.
@@ -87,6 +88,7 @@
 	// logFlushTimeout bounds how long a stop waits for log lines to be written.
 	logFlushTimeout = 200 * time.Millisecond
 
+	// Paths at the address in the setting gateway.metrics.
 	pathMetrics = "/metrics"
 	pathState   = "/state"
 	pathCrashes = "/crashes"
