--- a/cmd/hookhall-gateway/main.go
+++ b/cmd/hookhall-gateway/main.go
@@ -52,7 +52,7 @@
 	pool := upstream.NewPool()
 	targets := &platform.TargetClient{Connections: pool}
 	g, err := gateway.New(s, gateway.Adapters{
-		Store: platform.NewStore(s.Store.Address), Platform: platform.StoreKeys{}, Rollouts: platform.StoreKeys{}, Dialect: platform.Dialect{},
+		Store: platform.NewStore(s.Store.Address), StoreSchema: platform.StoreKeys{}, RolloutSchema: platform.StoreKeys{}, Dialect: platform.Dialect{},
 		Sender: targets, StagePool: targets, Advisories: targets, Connections: pool,
 	}, os.Stdout)
 	if err != nil {
--- a/internal/app/entry/state.go
+++ b/internal/app/entry/state.go
@@ -88,7 +88,7 @@
 		Claims: e.store.Summary(), ClaimCounts: e.claims.Counts(), OwnedLimits: e.limits.OwnedAccounts(),
 		Pools: e.poolStates(now), Estimates: e.estimateStates(),
 		Cost: CostState{
-			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.BytesTransferred(), ViewWrites: e.fleet.ViewWrites(), PeerBytes: e.clients.TransferredBytes(), ListBytes: e.instanceList.BytesRead(),
+			ServiceCalls: e.kv.Calls(), ServiceBytes: e.kv.BytesTransferred(), ViewWrites: e.fleet.ViewWrites(), PeerBytes: e.clients.BytesTransferred(), ListBytes: e.instanceList.BytesRead(),
 			PeerRefusals: e.peers.RefusedCalls(), HeapBytes: mem.HeapAlloc, Goroutines: runtime.NumGoroutine(),
 		},
 	}
--- a/internal/app/gateway/gateway.go
+++ b/internal/app/gateway/gateway.go
@@ -97,12 +97,12 @@
 // Adapters has the implementations that connect a gateway to one platform. All are
 // required except Advisories.
 type Adapters struct {
-	Store     hookhall.Store
-	Platform  hookhall.StoreSchema
-	Rollouts  hookhall.RolloutSchema
-	Dialect   hookhall.Dialect
-	Sender    hookhall.Sender
-	StagePool hookhall.StagePool
+	Store         hookhall.Store
+	StoreSchema   hookhall.StoreSchema
+	RolloutSchema hookhall.RolloutSchema
+	Dialect       hookhall.Dialect
+	Sender        hookhall.Sender
+	StagePool     hookhall.StagePool
 	// Advisories reports the advisories in targets' answers; nil if the platform has
 	// none.
 	Advisories hookhall.AdvisorySource
@@ -186,19 +186,19 @@
 // build constructs the components and connects them. The addresses must be open.
 func (g *Gateway) build() {
 	config := g.settings
-	self := hookhall.Member{ID: config.Gateway.Instance, Instance: config.Gateway.Instance, Hall: config.Gateway.Hall, Address: g.peersListener.Addr().String(), RelativeCapacity: config.Gateway.Power()}
+	self := hookhall.Member{ID: config.Gateway.Instance, Instance: config.Gateway.Instance, Hall: config.Gateway.Hall, Address: g.peersListener.Addr().String(), RelativeCapacity: config.Gateway.RelativeCapacity()}
 	g.eras = eras.New(g.adapters.Store, g.metrics, g.logger(logging.Catalog))
 	g.storeGate = outage.NewGate(g.eras)
 	g.storeGate.Pace = g.outagePace
-	g.catalog = catalog.New(g.storeGate, g.adapters.Platform, g.logger(logging.Catalog))
+	g.catalog = catalog.New(g.storeGate, g.adapters.StoreSchema, g.logger(logging.Catalog))
 	g.members = members.New(self, g.storeGate, g.logger(logging.Members))
 	g.clients = fleet.NewClients(g.logger(logging.Members))
 	g.quarantine = quarantine.New(g.adapters.Connections, g.catalog, g.storeGate, g.logger(logging.Crashes))
 	g.rollouts = &rollouts.Rollouts{
-		Keys: g.adapters.Rollouts, Store: g.storeGate, Fleet: g.members, Directory: g.catalog, MaxCanaryShare: config.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
+		Keys: g.adapters.RolloutSchema, Store: g.storeGate, Fleet: g.members, Directory: g.catalog, MaxCanaryShare: config.Bounds.ExposeShare, Log: g.logger(logging.Rollout),
 		Remote: func(address string) rollouts.Remote { return g.clients.Client(address) },
 	}
-	g.catalog.ApplyOperatorKeys = g.rollouts.Read
+	g.catalog.ApplyOperatorKeys = g.rollouts.ApplyItems
 	g.broadcaster = &fleet.Broadcaster{Peers: g.members, Clients: g.clients, Catalog: g.catalog, Crashes: g.quarantine, Rollouts: g.rollouts}
 	g.bootstrapper = &fleet.Bootstrapper{Clients: g.clients, Catalog: g.catalog, Members: g.members, Crashes: g.quarantine, Log: g.logger(logging.Catalog), StartedAt: clock.Now()}
 	g.quarantine.IsStoreWriter = func() bool { return g.catalog.ReaderRank() == 0 }
@@ -213,10 +213,10 @@
 	g.adapters.Connections.MaxIdle = g.maxIdleConnections
 	g.catalog.OnRestart = func(before, after hookhall.Target) {
 		g.adapters.Connections.CloseIdle(before.Address)
-		g.advisories.Book.TransferPause(before.Incarnation(), after.Incarnation(), clock.Now())
+		g.advisories.Registry.TransferPause(before.Incarnation(), after.Incarnation(), clock.Now())
 	}
 	g.members.IsLeader = func() bool { return g.catalog.ReaderRank() < 2 }
-	g.advisories = &advisories.Advisories{Book: &advisory.Registry{}, Meter: g.metrics, Log: g.logger(logging.Advised), Leave: g.catalog.MarkLeaving, Broadcast: g.broadcaster.Advise}
+	g.advisories = &advisories.Advisories{Registry: &advisory.Registry{}, Meter: g.metrics, Log: g.logger(logging.Advisories), MarkLeaving: g.catalog.MarkLeaving, Broadcast: g.broadcaster.Advise}
 	g.broadcaster.Advisories, g.bootstrapper.Advisories = g.advisories, g.advisories
 	if g.adapters.Advisories != nil {
 		g.adapters.Advisories.SetObserver(g.advisories)
@@ -238,7 +238,7 @@
 			Remote: func(address string) placement.Remote { return g.clients.Client(address) },
 		},
 		Quarantine: g.quarantine, Rollouts: g.rollouts, Catalog: g.catalog, Stages: runner, Sender: g.adapters.Sender, Tracker: g.tracker,
-		Advisories: g.advisories.Book,
+		Advisories: g.advisories.Registry,
 		Budget: budget.New(budget.Limits{
 			Ratio: config.Bounds.RetryRatio, Slack: config.Bounds.RetrySlack,
 			Window: time.Duration(config.Bounds.RetryWindowMS) * time.Millisecond,
@@ -398,7 +398,7 @@
 			}
 			g.tracker.Prune(isKnown, now)
 			g.placementOwner.Prune(isKnown, now)
-			g.advisories.Book.Prune(isKnown, now)
+			g.advisories.Registry.Prune(isKnown, now)
 		}
 		isMember := map[string]bool{}
 		for _, m := range g.members.List(now) {
--- a/internal/app/gateway/shares.go
+++ b/internal/app/gateway/shares.go
@@ -39,7 +39,7 @@
 // not know all members yet.
 func (g *Gateway) grants(key string) advisory.Grants {
 	now := clock.Now()
-	grants := advisory.Grants{Registry: g.advisories.Book}
+	grants := advisory.Grants{Registry: g.advisories.Registry}
 	switch {
 	case grants.Registry.Unrestricted(), g.quotaPosition(now).Count == 0:
 	case g.members.Owner(key, nil, now).Address == g.members.Self().Address:
@@ -65,7 +65,7 @@
 // quotaPosition returns the number of processes that share the fleet's quotas and the
 // index of this process among them. The number is 0 if it is not known yet.
 func (g *Gateway) quotaPosition(now time.Time) quota.Position {
-	count, index := g.members.Sharers(now)
+	count, index := g.members.QuotaPosition(now)
 	return quota.Position{Count: count, Index: index}
 }
 
--- a/internal/app/gateway/state.go
+++ b/internal/app/gateway/state.go
@@ -64,7 +64,7 @@
 		state.TargetsRevision, state.TargetsAgeMS = snapshot.Revision, snapshot.Age(now).Milliseconds()
 		for id, target := range g.catalog.KnownTargets() {
 			state.Balance[id] = g.tracker.Status(target.Incarnation(), now)
-			if status := g.advisories.Book.Status(target.Incarnation()); status != (advisory.Status{}) {
+			if status := g.advisories.Registry.Status(target.Incarnation()); status != (advisory.Status{}) {
 				state.Advised[id] = status
 			}
 		}
--- a/internal/app/logging/logging.go
+++ b/internal/app/logging/logging.go
@@ -15,22 +15,22 @@
 
 // Prefixes of the log lines of the components.
 const (
-	Fleet   = "fleet"
-	Table   = "table"
-	Claims  = "claims"
-	Targets = "targets"
-	Peers   = "peers"
-	Callers = "callers"
-	App     = "app"
-	Admin   = "admin"
-	Standin = "standin"
-	Forward = "forward"
-	Stages  = "stages"
-	Catalog = "catalog"
-	Members = "members"
-	Crashes = "crashes"
-	Rollout = "rollout"
-	Advised = "advised"
+	Fleet      = "fleet"
+	Table      = "table"
+	Claims     = "claims"
+	Targets    = "targets"
+	Peers      = "peers"
+	Callers    = "callers"
+	App        = "app"
+	Admin      = "admin"
+	Standin    = "standin"
+	Forward    = "forward"
+	Stages     = "stages"
+	Catalog    = "catalog"
+	Members    = "members"
+	Crashes    = "crashes"
+	Rollout    = "rollout"
+	Advisories = "advised"
 )
 
 // New returns a logger that writes lines in logfmt to w, with the given prefix. level
--- a/internal/app/settings/gateway.go
+++ b/internal/app/settings/gateway.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Power returns how much of the fleet's shared work the instance can do, relative to
+// RelativeCapacity returns how much of the fleet's shared work the instance can do, relative to
 // others, in cores: the smaller of its cores and of the cores that its link can feed.
-func (p GatewaySection) Power() float64 {
+func (p GatewaySection) RelativeCapacity() float64 {
 	const mbpsPerCore = 100 // with more bandwidth per core, the link is no limit
 	return min(p.Cores, p.LinkMbps/mbpsPerCore)
 }
--- a/internal/app/settings/settings.go
+++ b/internal/app/settings/settings.go
@@ -59,11 +59,11 @@
 
 // FleetSection has the settings that all processes of a fleet share.
 type FleetSection struct {
-	Secret         string `toml:"secret"`            // shared by the fleet's processes, 8 characters or more
-	HeartbeatMS    int    `toml:"heartbeat_ms"`      // ms between heartbeats to one peer
-	Suspect        int    `toml:"suspect"`           // consecutive failed heartbeats after which other members probe the peer too
-	ListMS         int    `toml:"list_ms"`           // ms between reads of the instance list
-	ClaimRetention int    `toml:"claim_retention_s"` // seconds for which a claim is kept
+	Secret          string `toml:"secret"`            // shared by the fleet's processes, 8 characters or more
+	HeartbeatMS     int    `toml:"heartbeat_ms"`      // ms between heartbeats to one peer
+	Suspect         int    `toml:"suspect"`           // consecutive failed heartbeats after which other members probe the peer too
+	ListMS          int    `toml:"list_ms"`           // ms between reads of the instance list
+	ClaimRetentionS int    `toml:"claim_retention_s"` // seconds for which a claim is kept
 }
 
 // StopSection has the durations of a planned stop.
@@ -115,7 +115,7 @@
 }
 
 func defaultFleet() FleetSection {
-	return FleetSection{HeartbeatMS: 500, Suspect: 3, ListMS: 2000, ClaimRetention: 600}
+	return FleetSection{HeartbeatMS: 500, Suspect: 3, ListMS: 2000, ClaimRetentionS: 600}
 }
 
 // DefaultAdmin returns the defaults of all keys that have one; the other keys must be
@@ -223,7 +223,7 @@
 	c.inRange("fleet.heartbeat_ms", f.HeartbeatMS, 20, 10000)
 	c.inRange("fleet.suspect", f.Suspect, 1, 20)
 	c.inRange("fleet.list_ms", f.ListMS, 20, 60000)
-	c.inRange("fleet.claim_retention_s", f.ClaimRetention, 1, 86400)
+	c.inRange("fleet.claim_retention_s", f.ClaimRetentionS, 1, 86400)
 }
 
 // HeartbeatInterval returns the time between heartbeats to one peer.
@@ -235,7 +235,9 @@
 func (f FleetSection) ListInterval() time.Duration { return time.Duration(f.ListMS) * time.Millisecond }
 
 // Retention returns how long a claim is kept.
-func (f FleetSection) Retention() time.Duration { return time.Duration(f.ClaimRetention) * time.Second }
+func (f FleetSection) Retention() time.Duration {
+	return time.Duration(f.ClaimRetentionS) * time.Second
+}
 
 // validator is implemented by the settings of each program.
 type validator interface{ Validate() []InvalidValue }
--- a/internal/coordination/advisories/advisories.go
+++ b/internal/coordination/advisories/advisories.go
@@ -44,12 +44,12 @@
 // hookhall.AdvisoryObserver and safe for concurrent use; its exported fields are set before
 // the first use.
 type Advisories struct {
-	Book  *advisory.Registry // advisories of all targets, by incarnation
-	Meter Meter
-	Log   *log.Logger
-	// Leave marks an incarnation of a target as leaving; from names the source in the log. It
+	Registry *advisory.Registry // advisories of all targets, by incarnation
+	Meter    Meter
+	Log      *log.Logger
+	// MarkLeaving marks an incarnation of a target as leaving; from names the source in the log. It
 	// must not block.
-	Leave func(incarnation hookhall.Incarnation, from string)
+	MarkLeaving func(incarnation hookhall.Incarnation, from string)
 	// Broadcast sends reports to all other instances. It must not block.
 	Broadcast func(list []advisory.Report)
 
@@ -61,7 +61,7 @@
 // HandleAdvisory applies the advisory of an answer to a call that was sent at sent, and
 // broadcasts a change that other instances need. It implements hookhall.AdvisoryObserver.
 func (s *Advisories) HandleAdvisory(t hookhall.Target, a hookhall.Advisory, sent time.Time) {
-	c := s.Book.Record(t.Incarnation(), a, sent, clock.Now())
+	c := s.Registry.Record(t.Incarnation(), a, sent, clock.Now())
 	s.apply(t, c, fromAnswer)
 	if c.Notify {
 		s.enqueue(advisory.Report{Target: t, Leaving: c.After.Leaving, Limit: c.After.Limit})
@@ -72,7 +72,7 @@
 // passed on to other peers. from names the peer in the log.
 func (s *Advisories) Merge(list []advisory.Report, from string) (fresh []advisory.Report) {
 	for _, r := range list {
-		c := s.Book.Merge(r, clock.Now())
+		c := s.Registry.Merge(r, clock.Now())
 		s.apply(r.Target, c, from)
 		if c.Notify {
 			fresh = append(fresh, r)
@@ -82,7 +82,7 @@
 }
 
 // All returns reports of all targets that are leaving or limited.
-func (s *Advisories) All() []advisory.Report { return s.Book.All() }
+func (s *Advisories) All() []advisory.Report { return s.Registry.All() }
 
 // enqueue adds a report to the next broadcast, in place of an earlier one of the same
 // incarnation.
@@ -109,7 +109,7 @@
 func (s *Advisories) apply(t hookhall.Target, c advisory.Change, from string) {
 	s.log(t, c, from)
 	if c.After.Leaving && !c.Before.Leaving {
-		s.Leave(t.Incarnation(), from)
+		s.MarkLeaving(t.Incarnation(), from)
 	}
 }
 
--- a/internal/coordination/advisories/advisories_test.go
+++ b/internal/coordination/advisories/advisories_test.go
@@ -27,8 +27,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
 		s := &Advisories{
-			Book: &advisory.Registry{}, Meter: noMeter{}, Log: log.New(io.Discard),
-			Leave: func(incarnation hookhall.Incarnation, _ string) { left = append(left, incarnation) },
+			Registry: &advisory.Registry{}, Meter: noMeter{}, Log: log.New(io.Discard),
+			MarkLeaving: func(incarnation hookhall.Incarnation, _ string) { left = append(left, incarnation) },
 			Broadcast: func(list []advisory.Report) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/coordination/catalog/follow_test.go
+++ b/internal/coordination/catalog/follow_test.go
@@ -130,7 +130,7 @@
 				update.Changed = update.Changed[:len(update.Changed)/2]
 			}
 			if _, gap := follower.ApplyUpdate(update, "reader"); gap {
-				if !follower.ApplyRepair(reader.DifferingBuckets(follower.Digests()), "reader") {
+				if !follower.ApplyRepair(reader.RepairFor(follower.Digests()), "reader") {
 					t.Fatal("the repair left a gap")
 				}
 			}
--- a/internal/coordination/catalog/updates.go
+++ b/internal/coordination/catalog/updates.go
@@ -114,9 +114,9 @@
 	Digest uint64
 }
 
-// DifferingBuckets returns the repair for a peer: the listed targets of the buckets in which the
+// RepairFor returns the repair for a peer: the listed targets of the buckets in which the
 // peer's digests differ from those of this process.
-func (c *Catalog) DifferingBuckets(theirs Digests) Repair {
+func (c *Catalog) RepairFor(theirs Digests) Repair {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	snapshot := c.snapshot.Load()
--- a/internal/coordination/members/members_test.go
+++ b/internal/coordination/members/members_test.go
@@ -170,14 +170,14 @@
 	}
 }
 
-// TestSharers guards against processes that use more than their share of the fleet's limits
+// TestQuotaPosition guards against processes that use more than their share of the fleet's limits
 // together: when a lease expired but its process still runs, and at a start, before a list is
 // known and has settled.
-func TestSharers(t *testing.T) {
+func TestQuotaPosition(t *testing.T) {
 	now := time.Now()
 	m := New(member(1), nil, log.New(io.Discard))
 	count := func(after time.Duration) int {
-		n, _ := m.Sharers(now.Add(after))
+		n, _ := m.QuotaPosition(now.Add(after))
 		return n
 	}
 	if n := count(time.Hour); n != 0 {
@@ -200,7 +200,7 @@
 	if n := count(2 * departedShareDuration); n != 2 {
 		t.Fatalf("%d processes share the limits later, want 2", n)
 	}
-	if _, index := m.Sharers(now.Add(2 * departedShareDuration)); index != 0 {
+	if _, index := m.QuotaPosition(now.Add(2 * departedShareDuration)); index != 0 {
 		t.Fatalf("index %d, want 0", index)
 	}
 }
--- a/internal/coordination/members/quota.go
+++ b/internal/coordination/members/quota.go
@@ -16,13 +16,13 @@
 // length.
 const departedShareDuration = time.Minute
 
-// Sharers returns the number of processes that may be using the limits of the whole fleet,
+// QuotaPosition returns the number of processes that may be using the limits of the whole fleet,
 // and the index of this process among the members in the order of their addresses. It
 // counts the members and those that left the list within departedShareDuration. Both
 // results are 0 until settleTime has passed since a list was first known: a list that is
 // read at the start lacks the processes that start at the same moment, and each of them
 // would use the whole limit.
-func (m *Members) Sharers(now time.Time) (count, index int) {
+func (m *Members) QuotaPosition(now time.Time) (count, index int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.hasList || now.Sub(m.firstListAt) < m.settleTime() {
--- a/internal/coordination/quarantine/quarantine.go
+++ b/internal/coordination/quarantine/quarantine.go
@@ -157,8 +157,8 @@
 // All returns all crashes in the ledger, also cleared ones.
 func (q *Quarantine) All() []crashes.Crash { return q.Ledger.All() }
 
-// Sum returns the checksum of the ledger at now. Equal ledgers have equal checksums.
-func (q *Quarantine) Sum(now time.Time) uint64 { return q.Ledger.Checksum(now) }
+// Checksum returns the checksum of the ledger at now. Equal ledgers have equal checksums.
+func (q *Quarantine) Checksum(now time.Time) uint64 { return q.Ledger.Checksum(now) }
 
 // recordCrash enters a crash that this process found, and broadcasts it.
 func (q *Quarantine) recordCrash(crash crashes.Crash) {
--- a/internal/coordination/quarantine/quarantine_test.go
+++ b/internal/coordination/quarantine/quarantine_test.go
@@ -136,7 +136,7 @@
 		}
 		second, _ := newQuarantine(&fakeProber{}, fakeCatalog{})
 		second.Merge(*broadcast, "one")
-		if !second.Standing(content).Refused() || second.Sum(time.Now()) != first.Sum(time.Now()) {
+		if !second.Standing(content).Refused() || second.Checksum(time.Now()) != first.Checksum(time.Now()) {
 			t.Fatal("the peer does not refuse the content, or has another checksum")
 		}
 		first.Served(content)
--- a/internal/coordination/rollouts/rollouts.go
+++ b/internal/coordination/rollouts/rollouts.go
@@ -114,12 +114,12 @@
 	receivedAt time.Time
 }
 
-// Read applies items under the operators' keys, as of revision at of the store, and reports
+// ApplyItems applies items under the operators' keys, as of revision at of the store, and reports
 // whether any rollout was added, replaced or withdrawn. If complete is set, the items are all
 // that the store has, and rollouts not among them are withdrawn; otherwise they are changes.
 // A revision before the known one is ignored. A rollout whose item can't be decoded stays in
 // force as it was.
-func (r *Rollouts) Read(items []hookhall.Item, at hookhall.Revision, complete bool) bool {
+func (r *Rollouts) ApplyItems(items []hookhall.Item, at hookhall.Revision, complete bool) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if at < r.revision {
--- a/internal/coordination/rollouts/rollouts_test.go
+++ b/internal/coordination/rollouts/rollouts_test.go
@@ -171,7 +171,7 @@
 		Remote: func(to string) Remote { return remote{f, to} },
 	}
 	if known.Revision == 0 {
-		p.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte(newVersion + " 16"), Revision: 5}}, 10, true)
+		p.ApplyItems([]hookhall.Item{{Key: "order/" + service, Value: []byte(newVersion + " 16"), Revision: 5}}, 10, true)
 	} else {
 		p.ApplySnapshot(known, "peer")
 	}
@@ -408,16 +408,16 @@
 			t.Errorf("%s: got versions %q, want %q", when, got, want)
 		}
 	}
-	r.Read([]hookhall.Item{item("a", 5), {Key: "other", Revision: 6}}, 7, true)
+	r.ApplyItems([]hookhall.Item{item("a", 5), {Key: "other", Revision: 6}}, 7, true)
 	check("one rollout", "a")
-	r.Read(nil, 8, false)
+	r.ApplyItems(nil, 8, false)
 	check("a watch without events", "a")
-	r.Read([]hookhall.Item{item("b", 9)}, 9, false)
+	r.ApplyItems([]hookhall.Item{item("b", 9)}, 9, false)
 	check("a later revision", "b")
 	r.ApplySnapshot(Snapshot{Revision: 7}, "peer")
 	check("an older update of a peer", "b")
-	r.Read([]hookhall.Item{{Key: "order/" + service, Value: []byte("nonsense"), Revision: 10}}, 10, false)
+	r.ApplyItems([]hookhall.Item{{Key: "order/" + service, Value: []byte("nonsense"), Revision: 10}}, 10, false)
 	check("an undecodable item", "b")
-	r.Read([]hookhall.Item{{Key: "order/" + service, Deleted: true, Revision: 11}}, 11, false)
+	r.ApplyItems([]hookhall.Item{{Key: "order/" + service, Deleted: true, Revision: 11}}, 11, false)
 	check("a withdrawn rollout", "")
 }
--- a/internal/coordination/stages/broker.go
+++ b/internal/coordination/stages/broker.go
@@ -318,7 +318,7 @@
 	}
 	startedAt := clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeoutFactor*b.Expected+callTimeoutMargin)
-	stallTimer := time.AfterFunc(b.StallTimeout, func() { q.retryOverdue(b) })
+	stallTimer := time.AfterFunc(b.OverdueAfter, func() { q.retryOverdue(b) })
 	readTimer := time.AfterFunc(b.InputsReadAfter, func() { q.recordInputsRead(b) })
 	rolloutAttempt := q.broker.rollouts.Begin(stageCallRoute, b.Target)
 	results, err := q.broker.pool.Make(ctx, b.Target, b.Pieces)
@@ -392,7 +392,7 @@
 	q.mu.Unlock()
 	if isRetried {
 		q.broker.log.Warn("stage pool call overdue; its pieces are retried at other targets as well",
-			"service", q.service, "target", b.Target.ID, "pieces", len(b.Pieces), "expected", b.Expected, "patience", b.StallTimeout)
+			"service", q.service, "target", b.Target.ID, "pieces", len(b.Pieces), "expected", b.Expected, "patience", b.OverdueAfter)
 		q.dispatch()
 	}
 }
--- a/internal/state/batch/fill.go
+++ b/internal/state/batch/fill.go
@@ -111,7 +111,7 @@
 		return nil
 	}
 	b.Expected = q.spec.CallTime + time.Duration(len(b.Pieces))*q.spec.PieceTime
-	b.StallTimeout = w.overdueAfter(b.Expected)
+	b.OverdueAfter = w.overdueAfter(b.Expected)
 	b.InputsReadAfter = max(time.Duration(inputsReadShare*float64(q.spec.CallTime)), minInputsReadDelay)
 	w.activeCalls++
 	return b
--- a/internal/state/batch/queue.go
+++ b/internal/state/batch/queue.go
@@ -18,9 +18,9 @@
 	Pieces []hookhall.Piece
 	// Expected is the expected duration of the call.
 	Expected time.Duration
-	// StallTimeout is how long after the start of the call the call is overdue, so that the
+	// OverdueAfter is how long after the start of the call the call is overdue, so that the
 	// caller should call Queue.MarkOverdue.
-	StallTimeout time.Duration
+	OverdueAfter time.Duration
 	// InputsReadAfter is how long after the start of the call the target has read all inputs,
 	// so that the caller should call Queue.InputsRead.
 	InputsReadAfter time.Duration
--- a/internal/transport/fleet/crashes.go
+++ b/internal/transport/fleet/crashes.go
@@ -28,8 +28,8 @@
 	Merge(list []crashes.Crash, from string) (fresh []crashes.Crash)
 	// All returns all crashes.
 	All() []crashes.Crash
-	// Sum returns a checksum of all crashes, 0 for none.
-	Sum(now time.Time) uint64
+	// Checksum returns a checksum of all crashes, 0 for none.
+	Checksum(now time.Time) uint64
 }
 
 // ReportCrashes sends crashes that this process found to all other gateways, without
@@ -66,7 +66,7 @@
 // compareCrashes starts a comparison with the sender of update m if the checksums of their
 // crashes differ. Only one comparison runs at a time.
 func (s *Broadcaster) compareCrashes(m *pb.News, now time.Time) {
-	if m.GetFrom() == "" || m.GetEndsSum() == s.Crashes.Sum(now) || clock.Stamp(now) < s.nextComparison.Load() {
+	if m.GetFrom() == "" || m.GetEndsSum() == s.Crashes.Checksum(now) || clock.Stamp(now) < s.nextComparison.Load() {
 		return
 	}
 	if !s.comparing.CompareAndSwap(false, true) {
--- a/internal/transport/fleet/repair.go
+++ b/internal/transport/fleet/repair.go
@@ -51,7 +51,7 @@
 func (s *Server) GetTargets(_ context.Context, r *pb.TargetsRequest) (*pb.Targets, error) {
 	var theirs catalog.Digests
 	copy(theirs[:], r.GetDigests())
-	d := s.Broadcaster.Catalog.DifferingBuckets(theirs)
+	d := s.Broadcaster.Catalog.RepairFor(theirs)
 	if d.Revision == 0 {
 		return nil, errNoState
 	}
--- a/internal/transport/fleet/updates.go
+++ b/internal/transport/fleet/updates.go
@@ -106,7 +106,7 @@
 	}
 	halls := s.Catalog.Halls()
 	m.HallsRevision, m.Evacuated = uint64(halls.Revision), halls.Evacuated
-	m.EndsSum = s.Crashes.Sum(now)
+	m.EndsSum = s.Crashes.Checksum(now)
 	snapshot := s.Rollouts.Snapshot()
 	m.RolloutsRevision, m.Rollouts = uint64(snapshot.Revision), wireRollouts(snapshot.List)
 	peers := s.Peers.OutgoingUpdate(now)
--- a/internal/transport/peers/client.go
+++ b/internal/transport/peers/client.go
@@ -100,9 +100,9 @@
 // Close closes all connections.
 func (c *Clients) Close() { c.CloseUnused(func(string) bool { return false }) }
 
-// TransferredBytes returns the number of bytes sent and received over all connections
+// BytesTransferred returns the number of bytes sent and received over all connections
 // since NewClients, without TCP and IP headers.
-func (c *Clients) TransferredBytes() int64 { return c.bytes.Load() }
+func (c *Clients) BytesTransferred() int64 { return c.bytes.Load() }
 
 // countingConn adds the bytes read and written on a connection to a counter.
 type countingConn struct {
