--- a/internal/standin/instances.go
+++ b/internal/standin/instances.go
@@ -26,7 +26,7 @@
 	down      bool
 }
 
-// listSnapshot is the whole list, by ID, as it was from takenAt on.
+// listSnapshot is the complete list, sorted by ID, as it was from takenAt on.
 type listSnapshot struct {
 	takenAt   time.Time
 	instances []hookhall.Instance
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -15,9 +15,10 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits of the key-value service as its platform documents them.
+// Limits that the platform documents for its key-value service, and that the stand-in
+// enforces.
 const (
-	// WritesPerSecond and ReadsPerSecond are rate limits, and the size of the burst.
+	// WritesPerSecond and ReadsPerSecond are rate limits and also the sizes of the bursts.
 	WritesPerSecond = 100
 	ReadsPerSecond  = 2000
 	// maxValueBytes limits the size of one value.
@@ -29,7 +30,7 @@
 	Down             bool `json:"down"`        // every call fails with 503
 	SlowMS           int  `json:"slow_ms"`     // delay added to every call, in milliseconds
 	LoseWriteAnswers int  `json:"lose_writes"` // number of next writes whose answer is lost after their effect
-	StaleReads       int  `json:"stale_reads"` // number of next reads that return the value before the last change
+	StaleReads       int  `json:"stale_reads"` // number of next reads that return the value before the last write, of keys written twice or more
 }
 
 // KeyValueStats counts calls by kind, rejected ones included.
@@ -50,7 +51,7 @@
 	mu               sync.Mutex
 	lastIndex        uint64
 	pairs            map[string]kvPair
-	changed          chan struct{} // closed and replaced by every change
+	changed          chan struct{} // closed and replaced by every write and every change of the faults
 	faults           KeyValueFaults
 	stats            KeyValueStats
 	currentSecond    int64 // Unix time that the next two counters belong to
@@ -60,7 +61,8 @@
 	writeLimiter     *rate.Limiter
 }
 
-// kvPair is a value with its modify index, and both as they were before the last write.
+// kvPair is a value with its modify index, and both as they were before the last write; the
+// previous ones are zero until the second write.
 type kvPair struct {
 	value, previousValue []byte
 	index                uint64
@@ -119,7 +121,7 @@
 	}
 }
 
-// serveControl sets the faults, or returns the counters for any other path.
+// serveControl sets the faults, or answers with the counters on any other path.
 func (k *KeyValue) serveControl(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/standin/faults" {
 		reply(w, k.Stats())
@@ -209,7 +211,7 @@
 }
 
 // awaitChange returns when the key's modify index differs from index, the time wait has
-// passed, an outage begins or the client goes away; at once if index or wait is
+// passed, an outage begins or the client disconnects; at once if index or wait is
 // malformed.
 func (k *KeyValue) awaitChange(r *http.Request, key, index, wait string) {
 	knownIndex, err := strconv.ParseUint(index, 10, 64)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -38,7 +38,7 @@
 // Shutdown stops the server once all calls in progress have ended, or ctx ends.
 func (s *Server) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-// controlTimeout limits one call of Control.
+// controlTimeout limits one call of SendControl.
 const controlTimeout = 5 * time.Second
 
 // SendControl sends body as JSON to a path of the stand-in at address, such as a fault
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// Announce adds or changes an instance on the list stand-in at address list.
-func Announce(list string, i hookhall.Instance) error {
-	return SendControl(http.MethodPut, list, "/standin/instance", i)
+// Announce adds or changes an instance on the Instances stand-in at listAddress, an IP:port.
+func Announce(listAddress string, i hookhall.Instance) error {
+	return SendControl(http.MethodPut, listAddress, "/standin/instance", i)
 }
--- a/internal/standin/slots.go
+++ b/internal/standin/slots.go
@@ -57,7 +57,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-w.granted:
+	case <-w.granted: // the slot was granted while ctx ended
 		s.grantNext()
 	default:
 		heap.Remove(&s.queue, w.heapIndex)
@@ -81,7 +81,8 @@
 	close(heap.Pop(&s.queue).(*waiter).granted)
 }
 
-// waiterHeap implements heap.Interface; the next call to run is its first element.
+// waiterHeap implements heap.Interface; the call that gets the next slot is its first
+// element.
 type waiterHeap []*waiter
 
 func (w waiterHeap) Len() int { return len(w) }
--- a/internal/standin/stalling_proxy.go
+++ b/internal/standin/stalling_proxy.go
@@ -25,48 +25,49 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &StallingProxy{listener: l, upstreamAddress: upstreamAddress}
-	go w.acceptConnections()
-	return w, nil
+	p := &StallingProxy{listener: l, upstreamAddress: upstreamAddress}
+	go p.acceptConnections()
+	return p, nil
 }
 
 // Address returns the address that the proxy listens at.
-func (w *StallingProxy) Address() string { return w.listener.Addr().String() }
+func (p *StallingProxy) Address() string { return p.listener.Addr().String() }
 
 // Stall stalls all connections that are open now.
-func (w *StallingProxy) Stall() { w.generation.Add(1) }
+func (p *StallingProxy) Stall() { p.generation.Add(1) }
 
-// OpenedCount returns the number of connections accepted since the start.
-func (w *StallingProxy) OpenedCount() int64 { return w.opened.Load() }
+// OpenedCount returns the number of connections accepted since the start, closed ones
+// included.
+func (p *StallingProxy) OpenedCount() int64 { return p.opened.Load() }
 
 // Close stops accepting connections; those that are open stay.
-func (w *StallingProxy) Close() { _ = w.listener.Close() }
+func (p *StallingProxy) Close() { _ = p.listener.Close() }
 
-func (w *StallingProxy) acceptConnections() {
+func (p *StallingProxy) acceptConnections() {
 	for {
-		client, err := w.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		w.opened.Add(1)
-		upstream, err := net.Dial("tcp", w.upstreamAddress)
+		p.opened.Add(1)
+		upstream, err := net.Dial("tcp", p.upstreamAddress)
 		if err != nil {
 			_ = client.Close()
 			continue
 		}
-		generation := w.generation.Load()
-		go w.copyDirection(client, upstream, generation)
-		go w.copyDirection(upstream, client, generation)
+		generation := p.generation.Load()
+		go p.copyDirection(client, upstream, generation)
+		go p.copyDirection(upstream, client, generation)
 	}
 }
 
-// copyDirection copies one direction of a connection. Bytes and ends on a stalled
-// connection are discarded.
-func (w *StallingProxy) copyDirection(from, to net.Conn, generation int64) {
+// copyDirection copies one direction of a connection. Once the connection is stalled, bytes
+// and the end of the stream are discarded.
+func (p *StallingProxy) copyDirection(from, to net.Conn, generation int64) {
 	buffer := make([]byte, 4096)
 	for {
 		length, err := from.Read(buffer)
-		stalled := w.generation.Load() != generation
+		stalled := p.generation.Load() != generation
 		if err != nil {
 			if !stalled {
 				_ = to.Close()
--- a/internal/standin/target.go
+++ b/internal/standin/target.go
@@ -46,8 +46,8 @@
 type TargetFaults struct {
 	SlowFactor  float64 `json:"slow"`        // factor on all times; values below 1 count as 1
 	FailBefore  float64 `json:"fail_before"` // share refused with 503 and marked as not run
-	FailAfter   float64 `json:"fail_after"`  // share that fails after running, with status 500
-	LoseAnswer  float64 `json:"lose"`        // share whose connection breaks after running, before the answer
+	FailAfter   float64 `json:"fail_after"`  // share that fails with status 500 after the prefill and counts as finished
+	LoseAnswer  float64 `json:"lose"`        // share whose connection breaks after running, before the first word
 	Truncate    float64 `json:"truncate"`    // share whose connection breaks in the middle of the answer
 	Misdirect   float64 `json:"misdirect"`   // share answered with the answer of another request
 	Corrupt     float64 `json:"corrupt"`     // share whose answer has a changed last byte
@@ -62,7 +62,7 @@
 	Request        string    `json:"request"`
 	Stage          string    `json:"stage"`
 	Attempt        string    `json:"attempt"`
-	IdempotencyKey string    `json:"key,omitempty"` // idempotency key
+	IdempotencyKey string    `json:"key,omitempty"` // empty if none was sent
 	Tag            string    `json:"tag"`
 	StartedAt      time.Time `json:"began"`
 	Finished       bool      `json:"finished"` // ran to its end, even if its answer was then lost
@@ -171,7 +171,8 @@
 	t.runCall(w, r, faults, string(input), time.Since(arrived))
 }
 
-// refuse answers a call that is not to run, and reports whether it did.
+// refuse answers a call that a fault or a full queue keeps from running, and reports
+// whether it did.
 func (t *Target) refuse(w http.ResponseWriter, faults TargetFaults) bool {
 	status := 0
 	switch {
@@ -199,13 +200,13 @@
 		record.BusyMS = milliseconds(time.Since(began))
 		t.mu.Unlock()
 	}()
-	slow := max(faults.SlowFactor, 1)
+	slowFactor := max(faults.SlowFactor, 1)
 	tokens := 0
 	if t.settings.TokenTime > 0 {
 		tokens = max(headerInt(r, wire.HeaderMaxTokens), 1)
 	}
 	words := Transform(r.Header.Get(wire.HeaderStage), input, tokens)
-	if !sleepContext(r.Context(), scaleDuration(t.prefillTime(input), slow)) {
+	if !sleepContext(r.Context(), scaleDuration(t.prefillTime(input), slowFactor)) {
 		return
 	}
 	output := &answer{w: w, faults: faults, words: append([]string(nil), words...)}
@@ -214,7 +215,7 @@
 		return
 	}
 	for i, word := range words {
-		if t.settings.TokenTime > 0 && i > 0 && !sleepContext(r.Context(), scaleDuration(t.currentTokenTime(), slow)) {
+		if t.settings.TokenTime > 0 && i > 0 && !sleepContext(r.Context(), scaleDuration(t.currentTokenTime(), slowFactor)) {
 			return
 		}
 		output.writeWord(i, word)
@@ -246,7 +247,8 @@
 	prefixBytes = 64
 )
 
-// prefillTime returns the time before the first word and adds the prefix to the cache.
+// prefillTime returns the time before the first word, and makes the input's prefix the most
+// recently used one in the cache.
 func (t *Target) prefillTime(input string) time.Duration {
 	if t.settings.CachedPrefixes == 0 {
 		return t.settings.CallTime
@@ -281,7 +283,7 @@
 	return record
 }
 
-// finishRun marks a run as finished.
+// finishRun marks a run as finished in the ledger.
 func (t *Target) finishRun(record *RunRecord) {
 	t.mu.Lock()
 	record.Finished = true
@@ -325,9 +327,10 @@
 	return nil
 }
 
+// errAlreadyAnswered reports that applyFault has written the complete answer.
 var errAlreadyAnswered = fmt.Errorf("fault")
 
-// writeWord sends word i, or what the fault makes of it.
+// writeWord sends word i, changed or left out as the fault requires.
 func (a *answer) writeWord(i int, word string) {
 	if a.cutAt >= 0 && i >= a.cutAt {
 		return // the run continues, but nothing more is sent
@@ -351,14 +354,14 @@
 	a.writeLine(wire.TargetLine{End: e})
 }
 
-// writeLine sends one line at once.
+// writeLine writes one line and flushes it.
 func (a *answer) writeLine(l wire.TargetLine) {
 	if json.NewEncoder(a.w).Encode(l) == nil {
 		_ = http.NewResponseController(a.w).Flush() // a broken connection fails the next write
 	}
 }
 
-// headerInt returns the number in a header field, 0 if there is none.
+// headerInt returns the number in a header field, or 0 if the field is missing or malformed.
 func headerInt(r *http.Request, header string) int {
 	n, err := strconv.Atoi(r.Header.Get(header))
 	if err != nil {
--- a/internal/standin/transform.go
+++ b/internal/standin/transform.go
@@ -12,13 +12,13 @@
 )
 
 // headBytes is the length in bytes of the input's beginning that non-streaming stages
-// copy into their output, as a prompt template would be kept. Prefix caches of later
-// stages match on it.
+// copy into their output. Inputs with the same prompt template thus share a prefix at later
+// stages too, where prefix caches match on it.
 const headBytes = 64
 
 // Transform returns the answer of a target as a list of words, one per token. The last
 // word is the tag of the input (see Tag), so that an answer can be matched to its
-// request; the other words depend on stage and input alone. With tokens 0, as for
+// request; the other words are derived from stage and input alone. With tokens 0, as for
 // targets that do not stream, the answer is the head of the input, a word derived from
 // the hash, and the tag; otherwise it has exactly tokens words.
 func Transform(stage, input string, tokens int) []string {
