--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -12,13 +12,14 @@
 	"context"
 )
 
-// Arrival is a request that is to be sent.
+// Arrival is a planned request.
 type Arrival struct {
 	Offset         time.Duration // since the start of the load
 	Kind           Kind
 	Tag            string // unique within a plan; the last word of the input
-	IdempotencyKey string // idempotency key; empty for repeatable kinds
-	// EntryIndex is the index of the entry that it goes to, from 0 to Plan.EntryCount - 1.
+	IdempotencyKey string // empty for repeatable kinds
+	// EntryIndex is the index of the entry that it is sent to, from 0 to
+	// Plan.EntryCount - 1.
 	EntryIndex int
 }
 
@@ -28,10 +29,10 @@
 	Rate       float64 // requests per second, averaged over the load, without the flood
 	Duration   time.Duration
 	Seed       uint64
-	EntryCount int // number of entries; arrivals are spread over them at random
+	EntryCount int // arrivals are spread over the entries at random
 	// BurstFactor, if above 1, is the factor on the average rate in the first tenth
-	// of each second; the rate in the rest of the second is lower, which keeps the
-	// average.
+	// of each second. The rate in the rest of the second is lowered to keep the
+	// average, as far as rateFactor allows.
 	BurstFactor float64
 	// FloodAccount names an account, if any, whose kinds have their weight multiplied
 	// by FloodFactor. The additional requests come on top of Rate.
@@ -79,7 +80,8 @@
 	return max((1-burstShare*p.BurstFactor)/(1-burstShare), 0.05)
 }
 
-// weightedKinds returns the kinds with the flood in their weights, and the sum of these.
+// weightedKinds returns a copy of the kinds in which the weights of FloodAccount are
+// multiplied by FloodFactor, and the sum of all weights.
 func (p Plan) weightedKinds() ([]Kind, float64) {
 	kinds := append([]Kind(nil), p.Profile.Kinds...)
 	total := 0.0
@@ -92,7 +94,8 @@
 	return kinds, total
 }
 
-// pickKind returns the kind that x, from 0 to the sum of weights, falls on.
+// pickKind returns the kind whose interval of weight contains x, which is from 0 to the sum
+// of the weights.
 func pickKind(kinds []Kind, x float64) Kind {
 	for _, k := range kinds {
 		if x < k.Weight {
--- a/internal/load/audit.go
+++ b/internal/load/audit.go
@@ -33,7 +33,7 @@
 	// Unfounded counts answers of pipelines with side effects for which no run of such a
 	// stage has finished.
 	Unfounded int `json:"unfounded"`
-	// Examples describes the first differences, at most maxExamples.
+	// Examples describes the first maxExamples differences.
 	Examples []string `json:"examples,omitempty"`
 }
 
@@ -45,7 +45,7 @@
 // maxExamples keeps a report of many differences readable.
 const maxExamples = 8
 
-// addFinding increments count and adds an example while there is room.
+// addFinding increments count and adds an example unless there are maxExamples.
 func (a *Audit) addFinding(count *int, format string, args ...any) {
 	*count++
 	if len(a.Examples) < maxExamples {
@@ -87,7 +87,7 @@
 	switch {
 	case o.Answered:
 		if o.Output != p.ExpectedOutput(o.Kind, Input(o.Kind, o.Tag)) {
-			a.addFinding(&a.Swapped, "%s got another answer: %.60q", o.Tag, o.Output)
+			a.addFinding(&a.Swapped, "%s got another output than expected: %.60q", o.Tag, o.Output)
 		}
 		if len(p.sideEffectStages(o.Kind)) > 0 && !anyFinished(effects) {
 			a.addFinding(&a.Unfounded, "%s has an answer and no finished run", o.Tag)
@@ -95,7 +95,7 @@
 	case o.Problem == nil:
 		a.addFinding(&a.Lost, "%s at %s: no final answer: %v", o.Tag, o.Entry, o.Err)
 	case o.Problem.Verdict == hookhall.NotRun.String() && anyStartedBefore(effects, o.StartedAt.Add(o.Latency)):
-		a.addFinding(&a.FalseNotRun, "%s was called not run (%s: %s) and ran at %s", o.Tag, o.Problem.Cause, o.Problem.Detail, effects[0].Target)
+		a.addFinding(&a.FalseNotRun, "%s was reported as not run (%s: %s) and ran at %s", o.Tag, o.Problem.Cause, o.Problem.Detail, effects[0].Target)
 	}
 }
 
@@ -131,6 +131,7 @@
 	return counts
 }
 
+// anyFinished reports whether a run reached its end.
 func anyFinished(runs []standin.RunRecord) bool {
 	for _, r := range runs {
 		if r.Finished {
@@ -143,10 +144,10 @@
 // ledgerReadTimeout limits one read of a ledger or of the instance list.
 const ledgerReadTimeout = 10 * time.Second
 
-// ListTargets returns the targets on the instance list at the address list.
-func ListTargets(list string) ([]hookhall.Instance, error) {
+// ListTargets returns the targets on the instance list at listAddress, an IP:port.
+func ListTargets(listAddress string) ([]hookhall.Instance, error) {
 	var all []hookhall.Instance
-	if err := getJSON("http://"+list+instances.Path, &all); err != nil {
+	if err := getJSON("http://"+listAddress+instances.Path, &all); err != nil {
 		return nil, err
 	}
 	var targets []hookhall.Instance
@@ -158,10 +159,10 @@
 	return targets, nil
 }
 
-// ReadLedgers returns the runs in the ledgers of all targets on the instance list at the
-// address list, in order of their start. It fails if any of them can't be read.
-func ReadLedgers(list string) ([]standin.RunRecord, error) {
-	targets, err := ListTargets(list)
+// ReadLedgers returns the runs in the ledgers of all targets on the instance list at
+// listAddress, an IP:port, in order of their start. It fails if any ledger can't be read.
+func ReadLedgers(listAddress string) ([]standin.RunRecord, error) {
+	targets, err := ListTargets(listAddress)
 	if err != nil {
 		return nil, err
 	}
@@ -177,7 +178,7 @@
 	return all, nil
 }
 
-// getJSON reads a JSON document into v.
+// getJSON fetches a JSON document and decodes it into v.
 func getJSON(url string, v any) error {
 	client := &http.Client{Timeout: ledgerReadTimeout}
 	response, err := client.Get(url)
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -33,13 +33,13 @@
 type Outcome struct {
 	Kind              Kind
 	Tag               string
-	IdempotencyKey    string // idempotency key, if any
+	IdempotencyKey    string // empty if none was sent
 	RequestID         string
 	Entry             string // IP:port
 	StartedAt         time.Time
-	Latency           time.Duration // from sending until the last byte
+	Latency           time.Duration // from sending until the end of the answer or the failure
 	FirstTokenLatency time.Duration // from sending until the first text of a stream; 0 without one
-	// Answered is set if a complete answer came: length and checksum of Output match.
+	// Answered is set if a complete answer arrived: length and checksum of Output match.
 	Answered bool
 	Output   string
 	Replayed bool // the answer is of an earlier request with the same key
@@ -49,7 +49,7 @@
 	Err     error
 }
 
-// InTime reports whether the complete answer came within the deadline.
+// InTime reports whether the complete answer arrived within the deadline.
 func (o *Outcome) InTime() bool {
 	return o.Answered && o.Latency <= time.Duration(o.Kind.DeadlineMS)*time.Millisecond
 }
@@ -66,10 +66,10 @@
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // Send sends one request of a kind to the entry at an IP:port and waits for its outcome,
-// at most until answerGracePeriod after the deadline. key is the idempotency key; "" for
-// none. It never retries.
-func (c *Client) Send(ctx context.Context, entry, accountKey string, kind Kind, tag, key string) *Outcome {
-	outcome := &Outcome{Kind: kind, Tag: tag, IdempotencyKey: key, Entry: entry, StartedAt: time.Now()}
+// at most until answerGracePeriod after the deadline. An empty idempotencyKey is not sent.
+// Send never retries.
+func (c *Client) Send(ctx context.Context, entry, accountKey string, kind Kind, tag, idempotencyKey string) *Outcome {
+	outcome := &Outcome{Kind: kind, Tag: tag, IdempotencyKey: idempotencyKey, Entry: entry, StartedAt: time.Now()}
 	timeout := time.Duration(kind.DeadlineMS)*time.Millisecond + answerGracePeriod
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -90,8 +90,8 @@
 	// Without a body to replay, net/http can't retry the request by itself.
 	request.GetBody = nil
 	request.Header.Set("Authorization", "Bearer "+accountKey)
-	if key != "" {
-		request.Header.Set(wire.HeaderIdempotencyKey, key)
+	if idempotencyKey != "" {
+		request.Header.Set(wire.HeaderIdempotencyKey, idempotencyKey)
 	}
 	outcome.Err = c.exchange(request, outcome)
 	outcome.Latency = time.Since(outcome.StartedAt)
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// Venue returns a profile like that of a network of highlights: captions that are billed
-// once, recaps that screens wait for, and replays from a plain service.
+// Venue returns a profile like that of a service that shows highlights in venues: captions
+// that are billed once, recaps that screens wait for, and replays from a plain service.
 func Venue() Profile {
 	return Profile{
 		Name: "venue",
@@ -180,8 +180,7 @@
 	return edits
 }
 
-// StreamsByPool returns the profile's pools by name, and whether the targets of
-// each stream.
+// StreamsByPool reports for each of the profile's pools, by name, whether its targets stream.
 func (p Profile) StreamsByPool() map[string]bool {
 	pools := map[string]bool{}
 	for _, steps := range p.Pipelines {
@@ -192,7 +191,7 @@
 	return pools
 }
 
-// ExpectedOutput returns the only right output of a request whose targets are all
+// ExpectedOutput returns the only correct output of a request whose targets are all
 // stand-ins.
 func (p Profile) ExpectedOutput(k Kind, input string) string {
 	for _, s := range p.Pipelines[k.Pipeline] {
@@ -216,7 +215,8 @@
 	return stages
 }
 
-// templatesPerKind is the number of distinct prompt prefixes of a kind of request.
+// templatesPerKind is the number of distinct prompt templates, and so of prefixes, of a kind
+// of request.
 const templatesPerKind = 16
 
 // Input returns the input of a request: one of the kind's prompt templates, which is longer
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -29,8 +29,8 @@
 	Latency           *hdrhistogram.Histogram
 	FirstTokenLatency *hdrhistogram.Histogram
 	RefusalLatency    *hdrhistogram.Histogram
-	// Cost is the cost of all requests by stage; Missed is the part of it spent on
-	// requests without an answer in time.
+	// Cost is the cost of all requests by stage; MissedCost is the part of it spent on
+	// requests without a complete answer in time.
 	Cost       map[string]hookhall.StageCost
 	MissedCost map[string]hookhall.StageCost
 }
@@ -86,6 +86,7 @@
 	return all, list
 }
 
+// add counts an outcome, with its latencies and its cost.
 func (s *Summary) add(o *Outcome) {
 	s.Requests++
 	switch {
@@ -130,6 +131,7 @@
 	costs[c.Stage] = sum
 }
 
+// recordLatency adds a latency, clamped to the range of the histograms.
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	microseconds := min(max(latency.Microseconds(), minRecordedMicroseconds), maxRecordedMicroseconds)
 	_ = histogram.RecordValue(microseconds) // clamped to the range
@@ -165,6 +167,8 @@
 	}
 }
 
+// printCost writes the table of costs by stage. MISSED SHARE is the share of the busy time
+// that was spent on requests without a complete answer in time.
 func printCost(w io.Writer, all *Summary) {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "STAGE\tCALLS\tTOKENS\tBUSY ms\tWAIT ms\tBUSY/CALL\tMISSED SHARE")
@@ -185,7 +189,7 @@
 	_ = table.Flush()
 }
 
-// formatCauses returns the causes with their counts, by name.
+// formatCauses returns the causes with their counts, sorted by name.
 func formatCauses(countByCause map[string]int) string {
 	var names []string
 	for n := range countByCause {
