--- a/internal/lab/edits.go
+++ b/internal/lab/edits.go
@@ -14,23 +14,24 @@
 	"github.com/hookhall/hookhall/internal/load"
 )
 
-// EditStep is one edit of the table during a load, with its expected effect.
+// EditStep is one edit of the table during a load. Effect is its expected effect, for the
+// report.
 type EditStep struct {
 	Effect string
 	Edit   hookhall.Edit
 }
 
 // accountEdit returns the edit of one cell of the accounts sheet.
-func accountEdit(account, column, value, says string) EditStep {
-	return EditStep{says, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: account, Column: column, Value: value, Force: true}}
+func accountEdit(account, column, value, effect string) EditStep {
+	return EditStep{effect, hookhall.Edit{Sheet: hookhall.SheetAccounts, Row: account, Column: column, Value: value, Force: true}}
 }
 
 // EditSteps are the edits of the experiment, one at the beginning of each phase but the first.
 var EditSteps = []EditStep{
-	accountEdit("sponsors", "priority", "8", "sponsors go before all but the gateway"),
+	accountEdit("sponsors", "priority", "8", "sponsors are served before all accounts but station-gateway"),
 	accountEdit("fleet-portal", "weight", "8", "fleet-portal gets four times member-bank's share"),
 	accountEdit("partners", "rate", "5", "partners may send 5 requests a second"),
-	accountEdit("venues", "priority", "0", "venues go last"),
+	accountEdit("venues", "priority", "0", "venues are served last"),
 }
 
 // RunEdits makes the edits during a load of loadFactor times the capacity, one per phase, and
@@ -50,8 +51,8 @@
 	defer client.Close()
 	outcomes := load.Run(ctx, client, lab.CallerAddresses(), p, arrivals, nil)
 	fmt.Fprintf(out, "profile %s, 3 entries, %.1f times the capacity of %.0f requests/s, seed %d, %v a phase\n", p.Name, loadFactor, capacity, seed, phase)
-	for _, c := range EditSteps {
-		fmt.Fprintf(out, "  then %s:%s = %s: %s\n", c.Edit.Row, c.Edit.Column, c.Edit.Value, c.Effect)
+	for _, step := range EditSteps {
+		fmt.Fprintf(out, "  then %s:%s = %s: %s\n", step.Edit.Row, step.Edit.Column, step.Edit.Value, step.Effect)
 	}
 	return printPhases(out, p, arrivals, outcomes, phase, phases)
 }
@@ -59,14 +60,14 @@
 // applyEdits makes the edits, each at the beginning of its phase, until ctx ends.
 func (l *Lab) applyEdits(ctx context.Context, phase time.Duration) {
 	began := time.Now()
-	for i, cell := range EditSteps {
+	for i, step := range EditSteps {
 		select {
 		case <-time.After(time.Until(began.Add(warmupTime + time.Duration(i+1)*phase))):
 		case <-ctx.Done():
 			return
 		}
-		if _, err := l.Edit(fmt.Sprintf("phase-%d", i), []hookhall.Edit{cell.Edit}); err != nil {
-			panic(err) // no faults are switched on
+		if _, err := l.Edit(fmt.Sprintf("phase-%d", i), []hookhall.Edit{step.Edit}); err != nil {
+			panic(err) // not expected, since no faults are switched on
 		}
 	}
 }
@@ -92,14 +93,14 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "  ACCOUNT\tBEFORE")
-	for _, c := range EditSteps {
-		fmt.Fprintf(table, "\t%s:%s=%s", c.Edit.Row, c.Edit.Column, c.Edit.Value)
+	for _, step := range EditSteps {
+		fmt.Fprintf(table, "\t%s:%s=%s", step.Edit.Row, step.Edit.Column, step.Edit.Value)
 	}
 	fmt.Fprintln(table)
 	for _, a := range p.Accounts {
 		fmt.Fprintf(table, "  %s", a.Name)
-		for _, c := range talliesByAccount[a.Name] {
-			fmt.Fprintf(table, "\t%.2f of %d", float64(c.inTime)/float64(max(c.all, 1)), c.all)
+		for _, phaseTally := range talliesByAccount[a.Name] {
+			fmt.Fprintf(table, "\t%.2f of %d", float64(phaseTally.inTime)/float64(max(phaseTally.all, 1)), phaseTally.all)
 		}
 		fmt.Fprintln(table)
 	}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// warmupTime is left out of the figures, because the entries' estimates are not yet
-	// reliable. cooldownTime is left out too: the load continues in it, as requests
-	// still waiting at the end of the run would otherwise find idle targets.
+	// warmupTime and cooldownTime are the parts of the load before and after the figures
+	// are taken. In the first the entries' estimates are not yet reliable; without the
+	// second, requests still waiting at the end of the run would find idle targets.
 	warmupTime   = 2 * time.Second
 	cooldownTime = 2 * time.Second
-	// settleDelay separates runs, so that closing one does not disturb the next.
+	// settleDelay separates runs, so that stopping one does not disturb the next.
 	settleDelay = 300 * time.Millisecond
 )
 
@@ -40,7 +40,8 @@
 	savedPrefillShare = 0.5
 )
 
-// experimentPools returns the pools of an experiment. The engines are the bottleneck.
+// experimentPools returns the pools of an experiment, whose load reports are at most lag
+// old. The engines are the bottleneck.
 func experimentPools(lag time.Duration) []PoolSettings {
 	plain := func(name string, callTime time.Duration) PoolSettings {
 		return PoolSettings{name, 3, standin.TargetSettings{Capacity: 8, CallTime: callTime, ReportLag: lag}}
@@ -52,7 +53,8 @@
 	}
 }
 
-// Capacity returns the number of requests of a profile that the engines can run per second.
+// Capacity returns the estimated number of requests of a profile that the engines can run
+// per second, with full batches.
 func Capacity(p load.Profile) float64 {
 	var totalWeight, engineSeconds float64
 	for _, kind := range p.Kinds {
@@ -74,18 +76,19 @@
 	BurstFactor float64
 	// FloodFactor is the factor on the requests of fleet-portal; 0 for none.
 	FloodFactor float64
-	// ReportLag is the age of the targets' load reports; 0 for defaultReportLag.
+	// ReportLag is the maximum age of the targets' load reports; 0 for defaultReportLag.
 	ReportLag time.Duration
 	// InjectFaults, if set, switches on faults at the end of the warm-up.
 	InjectFaults func(*Lab)
-	// During, if set, runs concurrently with the load; it gets the length of the run.
+	// During, if set, runs concurrently with the load. It gets the length of the run
+	// without warm-up and cool-down.
 	During func(*Lab, time.Duration)
 }
 
-// defaultReportLag is the age of the targets' load reports unless a scenario sets it.
+// defaultReportLag is the maximum age of the targets' load reports unless a scenario sets it.
 const defaultReportLag = 200 * time.Millisecond
 
-// ScenariosByGroup holds the scenarios by group.
+// ScenariosByGroup has the scenarios of the groups "load" and "faults".
 var ScenariosByGroup = map[string][]Scenario{
 	"load": {
 		{Name: "0.7x", LoadFactor: 0.7}, {Name: "1.0x", LoadFactor: 1}, {Name: "1.5x", LoadFactor: 1.5}, {Name: "3.0x", LoadFactor: 3},
@@ -126,7 +129,7 @@
 	Profile     load.Profile
 	Policies    []Policy
 	Scenarios   []Scenario
-	EntryCount  int           // number of entries
+	EntryCount  int
 	RunDuration time.Duration // of a run, without warm-up and cool-down
 	Seed        uint64        // of the arrivals
 }
@@ -142,10 +145,11 @@
 	RunDuration      time.Duration
 }
 
-// Run runs every scenario with every policy on the same arrivals and prints a line for
-// each run as its scenario ends. On an error, it returns the rows so far.
+// Run runs every scenario with every policy on the same arrivals. When the runs of a
+// scenario have ended, it prints a line for each of them. On an error, it returns the
+// results so far.
 func (x Experiment) Run(ctx context.Context, out io.Writer) ([]Result, error) {
-	var rows []Result
+	var results []Result
 	capacity := Capacity(x.Profile)
 	fmt.Fprintf(out, "profile %s, %d entries, capacity %.0f requests/s, seed %d, %v a run after %v of warm-up\n\n",
 		x.Profile.Name, x.EntryCount, capacity, x.Seed, x.RunDuration, warmupTime)
@@ -154,19 +158,19 @@
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "  POLICY\tATTAIN\tHIGH\tGOODPUT/s\tOF CAP\tTOKENS/s\tp50 ms\tp95 ms\tp99 ms\tFIRST p95\tMISSED\tUSED\tREFUSED\tREF p50 ms\tREF p99 ms\tFAIR\tAMPL\tAUDIT")
 		for _, policy := range x.Policies {
-			row, err := x.runOne(ctx, scenario, policy, capacity)
+			result, err := x.runOne(ctx, scenario, policy, capacity)
 			if err != nil {
-				return rows, err
+				return results, err
 			}
-			rows = append(rows, row)
-			row.print(table, capacity)
+			results = append(results, result)
+			result.print(table, capacity)
 		}
 		if err := table.Flush(); err != nil {
-			return rows, err
+			return results, err
 		}
 		fmt.Fprintln(out)
 	}
-	return rows, nil
+	return results, nil
 }
 
 // runOne runs one scenario with one policy.
@@ -218,7 +222,8 @@
 // minHighPriority is the lowest priority of an account that counts as high.
 const minHighPriority = 7
 
-// highPriorityAttainment returns the attainment of the requests of high priority.
+// highPriorityAttainment returns the attainment of the requests of accounts with a priority
+// of at least minHighPriority, from 0 to 1; 0 without such requests.
 func (r Result) highPriorityAttainment(p load.Profile) float64 {
 	isHighPriority := map[string]bool{}
 	for _, account := range p.Accounts {
@@ -236,8 +241,9 @@
 	return float64(inTime) / float64(max(total, 1))
 }
 
-// fairness returns the attainment of the worse of two accounts with equal settings relative
-// to that of the better one, from 0 to 1.
+// fairness compares fleet-portal and member-bank, two accounts with equal settings. It
+// returns the lower of their attainments relative to the higher one, from 0 to 1; 1 if both
+// are 0.
 func (r Result) fairness() float64 {
 	attainment := map[string]float64{}
 	for _, kind := range r.Kinds {
@@ -250,8 +256,9 @@
 	return min(a, b) / max(a, b)
 }
 
-// missedShare returns the share of the targets' busy time, by their own ledgers, that was
-// spent on requests without a complete answer in time.
+// missedShare returns the share of the targets' busy time that was spent on requests without
+// a complete answer in time, by the targets' ledgers. Requests in warm-up and cool-down are
+// left out.
 func (r Result) missedShare() float64 {
 	inTime := map[string]bool{}
 	for _, outcome := range r.Outcomes {
@@ -273,7 +280,8 @@
 	return missedMS / max(totalMS, 1)
 }
 
-// engineUtilization returns the share of the engines' slot time that was busy, from 0 to 1.
+// engineUtilization returns the share of the engines' slot time that was busy, from 0 to 1,
+// over the whole run with warm-up and cool-down.
 func (r Result) engineUtilization() float64 {
 	var busyMS float64
 	for _, run := range r.Ledger {
@@ -284,7 +292,8 @@
 	return busyMS / 1000 / (engineCount * engineSlots * (warmupTime + r.RunDuration + cooldownTime).Seconds())
 }
 
-// amplification returns the mean number of calls per stage of a request that was reached.
+// amplification returns the mean number of calls of a stage per request that reached it: 1
+// without retries; 0 if no stage was reached.
 func (r Result) amplification() float64 {
 	calls, stages := 0, 0
 	for _, outcome := range r.Outcomes {
@@ -305,7 +314,8 @@
 	return float64(calls) / float64(max(stages, 1))
 }
 
-// tokensPerSecond returns the engine tokens per second of requests answered in time.
+// tokensPerSecond returns the requested engine tokens per second of requests answered in
+// time.
 func (r Result) tokensPerSecond() float64 {
 	tokens := 0
 	for _, outcome := range r.Outcomes {
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -33,7 +33,7 @@
 const (
 	fleetSecret   = "the-fleet-secret"
 	operatorToken = "the-operator-token"
-	// editTimeout limits one call of Edit, readyTimeout one of AwaitReady.
+	// editTimeout limits one call of Edit, readyTimeout one of AwaitReady or awaitVersion.
 	editTimeout  = 10 * time.Second
 	readyTimeout = 20 * time.Second
 	// listLag is the time until a change of the instance list is visible.
@@ -51,13 +51,13 @@
 
 // Settings configures a lab.
 type Settings struct {
-	EntryCount int // number of entries
+	EntryCount int
 	Pools      []PoolSettings
 	Profile    load.Profile    // its edits make the first table
 	ExtraEdits []hookhall.Edit // more edits of the first table
 	// AdjustEntry, if set, changes the settings of entry i, from 0, before it starts.
 	AdjustEntry func(i int, s *settings.Entry)
-	Log         io.Writer // of all entries; nil discards it
+	Log         io.Writer // gets the logs of all entries; nil discards them
 }
 
 // Lab is a running fleet. Targets and Servers are by instance ID; Servers also holds those
@@ -101,6 +101,7 @@
 	return lab, nil
 }
 
+// startPlatform starts the stand-ins of the key-value service and the instance list.
 func (l *Lab) startPlatform() error {
 	keyValue, err := standin.Listen(loopbackAddress, l.KeyValue)
 	if err != nil {
@@ -116,6 +117,7 @@
 	return nil
 }
 
+// startTargets starts the targets of all pools and puts them on the instance list.
 func (l *Lab) startTargets() error {
 	streamsByPool := l.settings.Profile.StreamsByPool()
 	for _, pool := range l.settings.Pools {
@@ -158,6 +160,7 @@
 	return l.Editor.Apply(ctx, id, edits)
 }
 
+// startEntries starts all entries and does not wait until they are ready.
 func (l *Lab) startEntries() error {
 	for i := 0; i < l.settings.EntryCount; i++ {
 		if err := l.startEntry(i); err != nil {
--- a/internal/lab/policy.go
+++ b/internal/lab/policy.go
@@ -13,11 +13,11 @@
 // baseline to the product: each one has the features of those before it.
 type Policy struct {
 	Name        string
-	Description string // what the step adds
-	Adjust      func(*settings.PolicySection)
+	Description string                        // what the step adds
+	Adjust      func(*settings.PolicySection) // replaces the section
 }
 
-// Policies are the steps in order; each one adds one feature.
+// Policies has the steps from the baseline to the product, in order.
 var Policies = []Policy{
 	{"baseline", "first come, first served; random target; no early refusal", func(p *settings.PolicySection) {
 		*p = settings.PolicySection{Order: "arrival", Choice: "random", Claims: true}
--- a/internal/lab/slopes.go
+++ b/internal/lab/slopes.go
@@ -23,8 +23,8 @@
 const idleObservationTime = 6 * time.Second
 
 // resourceSample holds the resources that the process has used up to a moment. Stand-ins
-// and all entries share the process, so that processor time and memory of an entry are
-// upper bounds.
+// and all entries share the process, so that the processor time and memory divided by the
+// number of entries are upper bounds for one entry.
 type resourceSample struct {
 	at            time.Time
 	cpu           time.Duration // user and system time
@@ -54,8 +54,8 @@
 	return sample
 }
 
-// printIdleCost measures the lab without requests for idleObservationTime and prints a line
-// with the cost per entry.
+// printIdleCost measures the lab without requests for idleObservationTime, from a second
+// after the call, and prints a line with the cost per entry.
 func (l *Lab) printIdleCost(out io.Writer, label string) {
 	time.Sleep(time.Second)
 	before := l.takeSample()
@@ -85,7 +85,8 @@
 	return nil
 }
 
-// measureEntries prints the idle cost by number of entries, and the cost of one that joins.
+// measureEntries prints the idle cost by number of entries, and the cost of a join of one
+// more.
 func measureEntries(_ context.Context, out io.Writer) error {
 	fmt.Fprintln(out, "entries, idle, 6 targets, no accounts; then one joins")
 	for _, n := range []int{3, 9, 20, 40} {
@@ -165,17 +166,17 @@
 // timedEditCount is the number of edits of one cell that are timed.
 const timedEditCount = 10
 
-// timeCellEdits returns the longest time and the sum of the times that edits of one cell
-// take to be in force at all entries.
+// timeCellEdits makes timedEditCount edits of one cell, one after another. It returns the
+// longest time until an edit was in force at all entries, and the sum of these times.
 func (l *Lab) timeCellEdits() (worst, sum time.Duration, err error) {
 	for i := range timedEditCount {
 		began := time.Now()
-		out, err := l.Edit(fmt.Sprintf("cell-%d", i), []hookhall.Edit{{
+		outcome, err := l.Edit(fmt.Sprintf("cell-%d", i), []hookhall.Edit{{
 			Sheet: hookhall.SheetAccounts, Row: "account-00000", Column: "rate", Value: fmt.Sprint(i + 20), Force: true}})
 		if err != nil {
 			return 0, 0, err
 		}
-		if err := l.awaitVersion(out.Version); err != nil {
+		if err := l.awaitVersion(outcome.Version); err != nil {
 			return 0, 0, err
 		}
 		took := time.Since(began)
@@ -201,7 +202,7 @@
 	}
 }
 
-// measureRequests prints what claims and limits add to the cost of a request.
+// measureRequests prints the cost of a request alone, with a claim, and with a rate limit.
 func measureRequests(ctx context.Context, out io.Writer) error {
 	const requests = 3000
 	fmt.Fprintf(out, "coordination cost per request: %d requests to a plain service, 9 entries, one after another on 8 threads\n", requests)
@@ -267,7 +268,8 @@
 	return answered
 }
 
-// PrintDocumentSizes prints the sizes of stored documents, which need no fleet.
+// PrintDocumentSizes prints the sizes in bytes of the stored parts of a table of 8200
+// accounts. It starts no fleet.
 func PrintDocumentSizes(out io.Writer) error {
 	doc := table.Empty()
 	var edits []hookhall.Edit
