--- a/internal/clock_test.go
+++ b/internal/clock_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// reasonByAllowedFile has the files that may use the clock of package time, with the reason.
+// reasonByAllowedFile has the reason for each file that may use the clock of package time.
 var reasonByAllowedFile = map[string]string{
 	"internal/state/clock/clock.go":     "implements the project's clock",
 	"internal/transport/front/front.go": "deadline of a connection",
@@ -21,15 +21,15 @@
 }
 
 // measurementDirs has the folders of load generators, experiments and stand-ins. They may
-// use package time, since they measure and decide nothing in the product.
+// use package time, since they only measure and are no part of the product.
 var measurementDirs = []string{"internal/lab", "internal/load", "internal/standin", "cmd/hookhall-load", "cmd/hookhall-standin"}
 
 // systemClockUse matches calls that read the time of day or set a deadline by it.
 var systemClockUse = regexp.MustCompile(`\btime\.(Now|Since|Until)\(|context\.WithDeadline\(|\.Unix(Nano|Milli)?\(\)`)
 
-// TestOneClock guards against decisions of the product that use the clock of package time,
-// whose time of day jumps. They use the project's clock, which also advances while an
-// instance is suspended.
+// TestOneClock guards against product code that uses the clock of package time, whose time
+// of day jumps. It has to use the project's clock, which also advances while an instance is
+// suspended.
 func TestOneClock(t *testing.T) {
 	checked := 0
 	for _, dir := range []string{"internal", "platform", "cmd"} {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -17,12 +17,14 @@
 // import packages of its own layer and of lower ones.
 var layers = []string{"state", "coordination", "protocol", "transport", "standin", "load", "app", "lab"}
 
+// Prefixes of the import paths of internal packages and of the platform's packages.
 const (
-	internalModule = "github.com/hookhall/hookhall/internal/"
-	platformModule = "github.com/hookhall/hookhall/platform"
+	internalPrefix = "github.com/hookhall/hookhall/internal/"
+	platformPrefix = "github.com/hookhall/hookhall/platform"
 )
 
-// layerOf returns the index in layers of the path's first folder, or -1.
+// layerOf returns the index in layers of the first folder of a path below internal, or -1 if
+// it is none of them.
 func layerOf(path string) int {
 	name, _, _ := strings.Cut(path, "/")
 	for i, layer := range layers {
@@ -41,7 +43,7 @@
 		for path, imports := range importsBelow(t, dir) {
 			checked++
 			for _, name := range imports {
-				if strings.HasPrefix(name, platformModule) && !strings.HasSuffix(path, "hookhall-gateway/main.go") {
+				if strings.HasPrefix(name, platformPrefix) && !strings.HasSuffix(path, "hookhall-gateway/main.go") {
 					t.Errorf("%s imports %s, which only hookhall-gateway/main.go may", path, name)
 				}
 			}
@@ -85,13 +87,13 @@
 	checked := 0
 	for path, imports := range importsBelow(t, ".") {
 		for _, name := range imports {
-			imported, internalPackage := strings.CutPrefix(name, internalModule)
-			if !internalPackage {
+			imported, isInternal := strings.CutPrefix(name, internalPrefix)
+			if !isInternal {
 				continue
 			}
 			checked++
 			if layerOf(imported) < 0 || layerOf(imported) > layerOf(filepath.ToSlash(path)) {
-				t.Errorf("%s imports %s of a higher layer", path, imported)
+				t.Errorf("%s imports %s, which is of a higher layer or of none", path, imported)
 			}
 		}
 	}
