--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -10,8 +10,8 @@
 work=$(mktemp -d)
 pids=()
 finish() {
-  # In reverse order of the start, so that entries can leave the fleet while the
-  # platform still runs.
+  # Stops the processes in reverse order of their start, so that entries can leave
+  # the fleet while the platform still runs.
   for ((i = ${#pids[@]} - 1; i >= 0; i--)); do
     kill "${pids[i]}" 2>/dev/null || true
     wait "${pids[i]}" 2>/dev/null || true
@@ -28,8 +28,8 @@
   pids+=($!)
 }
 
-# address NAME WORD: waits up to 10 s for the address that a program prints after
-# WORD, and prints it.
+# address NAME WORD: waits up to 10 s until a program has printed its address after
+# WORD, and prints the address.
 address() {
   for _ in $(seq 200); do
     local a
@@ -74,7 +74,7 @@
   entries+=("$(address "entry-$i" callers)")
 done
 
-echo "== the table goes in"
+echo "== importing the table"
 "$bin/hookhall-load" table mixed | "$bin/hookhallctl" import -
 for i in 1 2 3; do
   for _ in $(seq 200); do
@@ -82,7 +82,8 @@
     sleep 0.05
   done
 done
-# Pools become known only when an entry reads the instance list, which lags behind.
+# Waits until each entry has read the six pools' targets from the instance list, whose
+# changes become visible with a lag.
 for e in "${entries[@]}"; do
   for _ in $(seq 200); do
     [ "$("$bin/hookhallctl" dump "$e" | grep -c '"id": "[a-z]*-hall-1-0"')" = 6 ] && break
@@ -98,6 +99,6 @@
 "$bin/hookhall-load" run --profile mixed --rate 60 --time 5s --seed 1 --list "$list" \
   --entries "$(IFS=,; echo "${entries[*]}")" 2>/dev/null
 echo
-echo "== an operator's edit, and what an entry says of an account"
+echo "== an operator's edit, and an entry's explanation of an account"
 "$bin/hookhallctl" set accounts/venues priority=6
 "$bin/hookhallctl" explain venues --entry "${entries[1]}"
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -28,8 +28,8 @@
 	Issue   string
 }
 
-// parse returns the tests in the text of a list. An error names the line that is malformed,
-// or says that there are more than maxListed.
+// parse returns the tests in the text of a list. It fails if a line is malformed, with its
+// number in the error, or if there are more than maxListed tests.
 func parse(text string) ([]knownFailure, error) {
 	var tests []knownFailure
 	for n, line := range strings.Split(text, "\n") {
@@ -68,8 +68,8 @@
 }
 
 // pattern returns a pattern for -run and -skip that matches this test alone.
-func (l knownFailure) pattern() string {
-	names := strings.Split(l.Test, "/")
+func (f knownFailure) pattern() string {
+	names := strings.Split(f.Test, "/")
 	for i, n := range names {
 		names[i] = "^" + regexp.QuoteMeta(n) + "$"
 	}
@@ -78,8 +78,8 @@
 
 // topLevelPattern returns the pattern of the test without its subtests, as -list knows no
 // subtests.
-func (l knownFailure) topLevelPattern() string {
-	first, _, _ := strings.Cut(l.pattern(), "/")
+func (f knownFailure) topLevelPattern() string {
+	first, _, _ := strings.Cut(f.pattern(), "/")
 	return first
 }
 
@@ -96,12 +96,12 @@
 	return strings.Join(patterns, "|")
 }
 
-// testRunner runs go test with arguments and returns its output and whether it succeeded.
+// testRunner runs go test with arguments. It returns the output and whether go test succeeded.
 type testRunner func(args ...string) (output string, passed bool)
 
 // check runs each listed test and writes the results to out. It fails if any line is wrong.
-// The pattern for -skip does not contain packages, so that the name of a listed test must
-// be unique in the module.
+// The name of a listed test must be unique in the module, because the pattern for -skip does
+// not contain packages.
 func check(tests []knownFailure, goTest testRunner, out io.Writer) error {
 	wrongLines := 0
 	for _, test := range tests {
@@ -116,23 +116,24 @@
 	return nil
 }
 
-// check returns why the line is wrong, or "" if its test exists once and fails.
-func (l knownFailure) check(goTest testRunner, out io.Writer) string {
-	names, ok := goTest("-list", l.topLevelPattern(), "./...")
+// check runs the listed test and returns why the line is wrong, or "" if the test exists once
+// and fails.
+func (f knownFailure) check(goTest testRunner, out io.Writer) string {
+	names, ok := goTest("-list", f.topLevelPattern(), "./...")
 	if !ok {
 		return "go test -list failed: " + names
 	}
-	if n := countLines(names, strings.Split(l.Test, "/")[0]); n != 1 {
+	if n := countLines(names, strings.Split(f.Test, "/")[0]); n != 1 {
 		return fmt.Sprintf("%d tests have this name", n)
 	}
-	output, passed := goTest("-count=1", "-v", "-run", l.pattern(), l.Package)
-	if !strings.Contains(output, "=== RUN   "+l.Test+"\n") {
+	output, passed := goTest("-count=1", "-v", "-run", f.pattern(), f.Package)
+	if !strings.Contains(output, "=== RUN   "+f.Test+"\n") {
 		return "no such test ran"
 	}
 	if passed {
 		return "it passes; take the line off"
 	}
-	fmt.Fprintf(out, "KNOWN-RED failed as listed: %s %s: %s; %s; %s\n", l.Package, l.Test, l.Cause, l.Seen, l.Issue)
+	fmt.Fprintf(out, "KNOWN-RED failed as listed: %s %s: %s; %s; %s\n", f.Package, f.Test, f.Cause, f.Seen, f.Issue)
 	return ""
 }
 
--- a/scripts/knownred/list_test.go
+++ b/scripts/knownred/list_test.go
@@ -9,10 +9,11 @@
 	"testing"
 )
 
+// exampleLine is a well-formed line, with a subtest.
 const exampleLine = "./a TestOne/sub_case | a cause | make test, seed 1: 3 of 4 | #7\n"
 
-// A malformed list must be rejected: a line that is ignored would hide its failure or skip
-// tests that nobody listed.
+// TestParse guards against malformed lists that are accepted: a line that is ignored would
+// hide its failure or skip tests that are not listed.
 func TestParse(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string
@@ -38,8 +39,8 @@
 	}
 }
 
-// A listed name must skip exactly its own test, neither those that contain the name nor
-// those that match it as a pattern.
+// TestSkipPattern guards against a listed name that skips tests other than its own, such as
+// those that contain the name or match it as a pattern.
 func TestSkipPattern(t *testing.T) {
 	for name, c := range map[string]struct {
 		list          string
@@ -63,7 +64,8 @@
 	}
 }
 
-// A line must be rejected if its test passes, does not exist, exists twice or does not build.
+// TestCheck guards against lines that are accepted although their test passes, does not
+// exist, exists twice or does not build.
 func TestCheck(t *testing.T) {
 	const ran = "=== RUN   TestOne\n=== RUN   TestOne/sub_case\n"
 	for name, c := range map[string]struct {
--- a/scripts/knownred/main.go
+++ b/scripts/knownred/main.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// run executes a command of this program and writes its output to out. A missing list is an
-// empty one.
+// run executes the command "skip" or "check" and writes its output to out. A missing list
+// counts as empty.
 func run(args []string, out io.Writer) error {
 	if len(args) != 1 || (args[0] != "skip" && args[0] != "check") {
 		return errors.New("usage: knownred skip | check")
@@ -43,7 +43,7 @@
 	return check(tests, goTest, out)
 }
 
-// goTest implements testRunner; output has both standard output and standard error.
+// goTest implements testRunner; output combines standard output and standard error.
 func goTest(args ...string) (output string, passed bool) {
 	combined, err := exec.Command("go", append([]string{"test"}, args...)...).CombinedOutput()
 	return string(combined), err == nil
