--- a/test/config_test.go
+++ b/test/config_test.go
@@ -88,13 +88,13 @@
 	return time.Since(began)
 }
 
-// apply submits edits under a request id and returns the version of the table that has
+// apply submits edits under an operation ID and returns the version of the table that has
 // them. It waits for at most 8 s.
 func (c *cluster) apply(id string, edits ...hookhall.Edit) (uint64, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 	defer cancel()
-	out, err := c.editor.Apply(ctx, id, edits)
-	return out.Version, err
+	outcome, err := c.editor.Apply(ctx, id, edits)
+	return outcome.Version, err
 }
 
 // TestConfigurationRaces guards against lost updates: a concurrent edit overwrites
@@ -159,7 +159,7 @@
 func TestConfigurationFaults(t *testing.T) {
 	Convey("An edit", t, func() {
 		c := newCluster(t, options{})
-		seen := c.watchVersions()
+		watcher := c.watchVersions()
 		change := func(value string) hookhall.Edit { return forcedEdit("accounts", "venues", "rate", value) }
 		Convey("takes effect once when the replies to its writes are lost", func() {
 			before, _, err := c.editor.Read(context.Background())
@@ -233,7 +233,7 @@
 			So(firstVersion, ShouldEqual, v)
 			c.kv.SetFaults(standin.KeyValueFaults{})
 		})
-		So(seen.stop(), ShouldEqual, 0)
+		So(watcher.stop(), ShouldEqual, 0)
 	})
 }
 
@@ -285,8 +285,8 @@
 	})
 }
 
-// TestConfigurationImport guards against a large import that exceeds the largest value
-// of the key-value service, 1 MiB.
+// TestConfigurationImport guards against a large import that writes a value larger than the
+// key-value service accepts, 1 MiB.
 func TestConfigurationImport(t *testing.T) {
 	Convey("An import of 8,200 accounts", t, func() {
 		c := newCluster(t, options{})
@@ -297,9 +297,9 @@
 				forcedEdit("accounts", row, "priority", fmt.Sprint(i%10)), forcedEdit("accounts", row, "rate", "5"))
 		}
 		began := time.Now()
-		out := c.edit(edits)
+		outcome := c.edit(edits)
 		accepting := time.Since(began)
-		propagation := c.awaitVersion(out.Version, c.entries...)
+		propagation := c.awaitVersion(outcome.Version, c.entries...)
 		doc, _, err := c.editor.Read(context.Background())
 		So(err, ShouldBeNil)
 		largest := len(doc.EncodeRoot())
--- a/test/harness_test.go
+++ b/test/harness_test.go
@@ -31,7 +31,7 @@
 const (
 	fleetSecret   = "the-fleet-secret"
 	operatorToken = "the-operator-token"
-	// awaitTimeout is how long a test waits for a condition before it fails.
+	// awaitTimeout limits the wait for a condition, after which the test fails.
 	awaitTimeout = 20 * time.Second
 	// pollInterval is the pause between two checks of a condition.
 	pollInterval = 10 * time.Millisecond
@@ -57,13 +57,13 @@
 	os.Exit(code)
 }
 
-// options configure a cluster. newCluster replaces zero values by defaults.
+// options configures a cluster. newCluster replaces zero values by the defaults.
 type options struct {
 	entries          int                               // default 3
 	profile          load.Profile                      // default load.Mixed()
 	retentionSeconds int                               // claim retention; default 60
 	noticeMS         int                               // the setting stop.notice_ms; default 200
-	extraSettings    string                            // TOML at the end of each entry's configuration file
+	extraSettings    string                            // TOML that is appended to each entry's configuration file
 	listLag          time.Duration                     // delay until a change shows in the instance list; default 50 ms
 	settingsByPool   map[string]standin.TargetSettings // other pools use defaultTargetSettings
 	targetsPerPool   int                               // default 2
@@ -142,7 +142,8 @@
 // startTargets adds 1 ms per token for pools that stream.
 var defaultTargetSettings = standin.TargetSettings{Capacity: 16, CallTime: 3 * time.Millisecond}
 
-// startTargets starts targetsPerPool targets for each pool of the profile and lists them.
+// startTargets starts targetsPerPool targets for each pool of the profile and puts them on
+// the instance list.
 func (c *cluster) startTargets() {
 	for pool, streams := range c.options.profile.StreamsByPool() {
 		settings, ok := c.options.settingsByPool[pool]
@@ -176,14 +177,15 @@
 	}
 }
 
-// edit submits edits and returns when they are accepted; entries apply them later.
+// edit submits edits and returns when they are accepted; entries apply them later. It fails
+// the test if they are not accepted within awaitTimeout.
 func (c *cluster) edit(edits []hookhall.Edit) tables.Outcome {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), awaitTimeout)
 	defer cancel()
-	out, err := c.editor.Apply(ctx, fmt.Sprintf("edit-%d", time.Now().UnixNano()), edits)
+	outcome, err := c.editor.Apply(ctx, fmt.Sprintf("edit-%d", time.Now().UnixNano()), edits)
 	c.must(err)
-	return out
+	return outcome
 }
 
 // forcedEdit returns an edit that applies whatever the current value of its cell is.
--- a/test/http_test.go
+++ b/test/http_test.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// operatorClient bounds each call to an entry at 2 s.
+// operatorClient sends the tests' plain HTTP calls to entries, each limited to 2 s.
 var operatorClient = &http.Client{Timeout: 2 * time.Second}
 
 // getJSON fetches a JSON document with the operator token and decodes it into v.
--- a/test/input_test.go
+++ b/test/input_test.go
@@ -28,8 +28,9 @@
 	"google.golang.org/grpc/status"
 )
 
-// post sends a body to the first entry. It returns the problem document, which is empty
-// if the status is 200, and the response with its body closed.
+// post sends a body to the first entry, without an Authorization header if key is empty. It
+// returns the problem document, which is empty if the status is 200, and the response with
+// its body closed.
 func (c *cluster) post(body, key, idempotency string) (*wire.Problem, *http.Response) {
 	req, err := http.NewRequest(http.MethodPost, "http://"+c.entries[0].callersAddress+"/v1/run", strings.NewReader(body))
 	c.must(err)
@@ -40,42 +41,42 @@
 	response, err := operatorClient.Do(req)
 	c.must(err)
 	defer response.Body.Close()
-	content, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	c.must(err)
 	problem := &wire.Problem{}
 	if response.StatusCode != http.StatusOK {
-		c.must(json.Unmarshal(content, problem))
+		c.must(json.Unmarshal(responseBody, problem))
 	}
 	return problem, response
 }
 
 // TestInvalidRequests guards against invalid requests that reach a target, or that are
-// answered without the cause and the verdict "not-run". Callers must not get at the
-// operators' endpoints either.
+// refused without the cause and the verdict "not-run", and against callers that can use the
+// operators' endpoints.
 func TestInvalidRequests(t *testing.T) {
 	Convey("Invalid requests are refused with their cause", t, func() {
 		c := newCluster(t, options{})
-		good := load.Account{Name: "venues"}.Key()
+		validKey := load.Account{Name: "venues"}.Key()
 		cases := []struct {
 			name, body, key, idempotency string
 			status                       int
 			detail                       string
 		}{
-			{"no JSON", `{"pipeline":`, good, "", 400, "not a run request"},
-			{"another type", `{"pipeline":7}`, good, "", 400, "not a run request"},
-			{"unknown field", `{"pipeline":"recap","colour":1}`, good, "", 400, "colour"},
-			{"two documents", `{"pipeline":"recap"}{}`, good, "", 400, "goes on"},
-			{"no pipeline", `{"input":"x"}`, good, "", 400, "pipeline is missing"},
-			{"unknown pipeline", `{"pipeline":"nothing"}`, good, "", 404, "nothing"},
-			{"unknown class", `{"pipeline":"recap","class":"none"}`, good, "", 400, "none"},
-			{"negative deadline", `{"pipeline":"recap","deadline_ms":-1}`, good, "", 400, "deadline_ms"},
-			{"too many tokens", `{"pipeline":"recap","max_tokens":1000000}`, good, "", 400, "max_tokens"},
+			{"no JSON", `{"pipeline":`, validKey, "", 400, "not a run request"},
+			{"another type", `{"pipeline":7}`, validKey, "", 400, "not a run request"},
+			{"unknown field", `{"pipeline":"recap","colour":1}`, validKey, "", 400, "colour"},
+			{"two documents", `{"pipeline":"recap"}{}`, validKey, "", 400, "goes on"},
+			{"no pipeline", `{"input":"x"}`, validKey, "", 400, "pipeline is missing"},
+			{"unknown pipeline", `{"pipeline":"nothing"}`, validKey, "", 404, "nothing"},
+			{"unknown class", `{"pipeline":"recap","class":"none"}`, validKey, "", 400, "none"},
+			{"negative deadline", `{"pipeline":"recap","deadline_ms":-1}`, validKey, "", 400, "deadline_ms"},
+			{"too many tokens", `{"pipeline":"recap","max_tokens":1000000}`, validKey, "", 400, "max_tokens"},
 			{"no key", `{"pipeline":"recap"}`, "", "", 401, "key is missing"},
 			{"wrong key", `{"pipeline":"recap"}`, "nobody's", "", 401, "no account"},
 			{"operator's token", `{"pipeline":"recap"}`, operatorToken, "", 401, "no account"},
-			{"long idempotency key", `{"pipeline":"recap"}`, good, strings.Repeat("k", 201), 400, "longer"},
-			{"idempotency key with space", `{"pipeline":"recap"}`, good, "a b", 400, "printable"},
-			{"oversize body", `{"pipeline":"recap","input":"` + strings.Repeat("x", 1<<20) + `"}`, good, "", 413, "larger"},
+			{"long idempotency key", `{"pipeline":"recap"}`, validKey, strings.Repeat("k", 201), 400, "longer"},
+			{"idempotency key with space", `{"pipeline":"recap"}`, validKey, "a b", 400, "printable"},
+			{"oversize body", `{"pipeline":"recap","input":"` + strings.Repeat("x", 1<<20) + `"}`, validKey, "", 413, "larger"},
 		}
 		for _, x := range cases {
 			p, resp := c.post(x.body, x.key, x.idempotency)
@@ -89,7 +90,7 @@
 			for _, path := range []string{"/debug/state", "/debug/explain?account=venues", "/metrics"} {
 				req, err := http.NewRequest(http.MethodGet, "http://"+c.entries[0].callersAddress+path, nil)
 				So(err, ShouldBeNil)
-				req.Header.Set("Authorization", "Bearer "+good)
+				req.Header.Set("Authorization", "Bearer "+validKey)
 				resp, err := operatorClient.Do(req)
 				So(err, ShouldBeNil)
 				_ = resp.Body.Close()
--- a/test/leaving_test.go
+++ b/test/leaving_test.go
@@ -15,8 +15,8 @@
 )
 
 // TestLeavingTarget guards against new calls to a target after every entry has learned
-// that it is leaving, and against its running calls being cut off. The mark comes from
-// each of the four sources; one entry can't read the instance list.
+// that it is leaving, and against its running calls being aborted. The mark comes from
+// each of the four sources in turn; one entry can't read the instance list.
 func TestLeavingTarget(t *testing.T) {
 	const target = "engines-0"
 	cases := []struct {
--- a/test/limits_test.go
+++ b/test/limits_test.go
@@ -48,7 +48,8 @@
 }
 
 // limitOwner returns the index of the entry that owns the account's limits and leases
-// shares of them to the others, or -1 if the owner is not in the cluster.
+// shares of them to the others, by the view of the first entry; -1 if the owner is not in the
+// cluster.
 func (c *cluster) limitOwner(account string) int {
 	s, err := c.entries[0].state()
 	c.must(err)
@@ -65,7 +66,7 @@
 // over the fleet. The answered requests must stay near the account's rate with an even
 // load, with all load at one entry, and with the owner of the account's limits frozen.
 func TestFleetWideLimits(t *testing.T) {
-	// The bounds are wide, since the machine may be busy; the log has the exact shares.
+	// The bounds are wide, since a busy machine delays requests; the log has the exact shares.
 	const minShare, maxShare = 0.6, 1.6
 	for _, n := range []int{3, 9} {
 		Convey(fmt.Sprintf("A rate over %d entries", n), t, func() {
--- a/test/membership_test.go
+++ b/test/membership_test.go
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestMembershipCost guards against writes to the key-value service by an idle fleet, and
-// logs its calls.
+// TestMembershipCost guards against an idle fleet that writes to the key-value service. It
+// also logs how many calls such a fleet makes.
 func TestMembershipCost(t *testing.T) {
 	Convey("An idle fleet writes nothing to the key-value service", t, func() {
 		for _, n := range []int{3, 9} {
--- a/test/once_test.go
+++ b/test/once_test.go
@@ -41,7 +41,7 @@
 	return newCluster(t, o)
 }
 
-// ownerOf returns the indexes of a key's owner, its standby and one other entry, by the
+// ownerOf returns the indexes of a key's owner, its standby and the last other entry, by the
 // view of the first entry that answers; an index is -1 if there is no such entry.
 func (c *cluster) ownerOf(account, key string) (owner, standby, other int) {
 	var pairIDs []string
@@ -211,9 +211,9 @@
 	}
 }
 
-// TestOnceThroughOutage guards against charges that need the key-value service: they must
-// be served during its outage, and with an entry killed too, at least those whose owner and
-// standby both run.
+// TestOnceThroughOutage guards against charges that fail because the key-value service is
+// down. If an entry is killed too, those whose owner and standby both run must still be
+// served.
 func TestOnceThroughOutage(t *testing.T) {
 	Convey("With the key-value service down, charges are still served", t, func() {
 		c := fuelCluster(t, options{})
--- a/test/process_test.go
+++ b/test/process_test.go
@@ -21,7 +21,8 @@
 	"github.com/hookhall/hookhall/internal/app/entry"
 )
 
-// process is an entry process, which may be down, with its proxies and log.
+// process is an entry process, which may be stopped, with its proxies and the log of all its
+// starts.
 type process struct {
 	cluster        *cluster
 	name           string
@@ -170,7 +171,7 @@
 	}
 }
 
-// signal sends s to the program if it has been started.
+// signal sends s to the program if it has been started, and ignores that it may have exited.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,7 +221,7 @@
 	return false
 }
 
-// disconnect closes a proxy's connections and refuses new ones; reconnect undoes it.
+// disconnect closes a proxy's connections and refuses new ones; reconnect starts it again.
 func disconnect(p *toxiproxy.Proxy) { p.Stop() }
 func reconnect(p *toxiproxy.Proxy)  { _ = p.Start() } // fails if the proxy runs already
 
--- a/test/schedules_test.go
+++ b/test/schedules_test.go
@@ -20,11 +20,14 @@
 const (
 	// defaultSeedCount is the number of schedules in CI; HOOKHALL_SEEDS overrides it.
 	defaultSeedCount = 3
-	scheduleEvents   = 14
-	scheduleEntries  = 5
+	// scheduleEvents is the number of events of a schedule, scheduleEntries the number of
+	// entries that it runs against.
+	scheduleEvents  = 14
+	scheduleEntries = 5
 )
 
-// schedule injects a sequence of faults, drawn from a seed, while requests are sent.
+// schedule injects a sequence of faults, edits and planned stops, drawn from a seed, while
+// requests are sent.
 type schedule struct {
 	cluster  *cluster
 	random   *rand.Rand
@@ -41,7 +44,7 @@
 // until two are left, so that at most three faults are active at a time.
 func (s *schedule) undoLater(f func()) { s.undos = append(s.undos, f) }
 
-// injectEvent undoes old faults and injects the next one, which is event n.
+// injectEvent undoes the oldest faults and injects event n, from 0.
 func (s *schedule) injectEvent(n int) {
 	for len(s.undos) > 2 {
 		s.undos[0]()
--- a/test/stop_test.go
+++ b/test/stop_test.go
@@ -104,8 +104,8 @@
 }
 
 // TestPlannedStops guards against requests or claims that are lost when entries are
-// restarted one after another as planned. The same load with kills must lose requests,
-// which shows that it would detect a loss.
+// restarted one after another by planned stops. With kills instead, the same load must lose
+// requests, which shows that the test would detect a loss.
 func TestPlannedStops(t *testing.T) {
 	failures := func(outcomes []*load.Outcome) (refused, lost int) {
 		all, _ := load.Summarize(outcomes)
