--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -202,8 +202,8 @@
 	return nil
 }
 
-// AwaitReady waits until every entry is ready, sees all others and has every slot
-// claimed. It fails after readyTimeout.
+// AwaitReady waits until every entry is ready, has all others in its view and misses no
+// claims. It fails after readyTimeout.
 func (l *Lab) AwaitReady() error {
 	deadline := time.Now().Add(readyTimeout)
 	for _, e := range l.Entries {
--- a/internal/load/arrival.go
+++ b/internal/load/arrival.go
@@ -35,7 +35,7 @@
 	// average, as far as rateFactor allows.
 	BurstFactor float64
 	// FloodAccount names an account, if any, whose kinds have their weight multiplied
-	// by FloodFactor. The additional requests come on top of Rate.
+	// by FloodFactor. The additional requests are not part of Rate.
 	FloodAccount string
 	FloodFactor  float64
 }
--- a/internal/load/profile.go
+++ b/internal/load/profile.go
@@ -8,8 +8,9 @@
 //
 // A Profile is a weighted mix of kinds of request. Arrivals are drawn from a seed
 // before the run, so that variants are compared on the same load. Every request
-// carries a tag as the last word of its input. Stand-ins keep the tag and answer by a
-// known function, so that the complete answer can be checked.
+// carries a tag as the last word of its input. Stand-ins keep the tag and derive the
+// answer from stage and input (see standin.Transform), so that the complete answer can be
+// checked.
 //
 // # Invariants
 //
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -82,8 +82,8 @@
     sleep 0.05
   done
 done
-# Waits until each entry has read the six pools' targets from the instance list, whose
-# changes become visible with a lag.
+# Waits until each entry has read the first target of each of the six pools from the
+# instance list, whose changes become visible with a lag.
 for e in "${entries[@]}"; do
   for _ in $(seq 200); do
     [ "$("$bin/hookhallctl" dump "$e" | grep -c '"id": "[a-z]*-hall-1-0"')" = 6 ] && break
--- a/scripts/knownred/list.go
+++ b/scripts/knownred/list.go
@@ -76,8 +76,8 @@
 	return strings.Join(names, "/")
 }
 
-// topLevelPattern returns the pattern of the test without its subtests, as -list knows no
-// subtests.
+// topLevelPattern returns the pattern of the test without its subtests, as -list does not
+// list subtests.
 func (f knownFailure) topLevelPattern() string {
 	first, _, _ := strings.Cut(f.pattern(), "/")
 	return first
